--- a/dandeliongw/coordination/claim_attempts.py
+++ b/dandeliongw/coordination/claim_attempts.py
@@ -1,7 +1,8 @@
-"""The entry's half of claims: attempts that ask for slots, and give up.
+"""The entry side of claims: attempts that request slots from the holders.
 
-Every piece of work here ends: it is resent on ticks, and given up at a time
-that was set when it began.
+The entry is the instance that accepted the client's call. Every operation
+here terminates: unanswered messages are resent on ticks until a timeout that
+is set when the operation starts.
 """
 
 from collections import abc
@@ -16,9 +17,9 @@
 from . import claim_withdrawals
 from . import parts
 
-#: Callers are not asked to stay away for longer than this at a time.
+#: Upper bound of ``retry_after_s`` in :class:`InProgress` results.
 MAX_RETRY_AFTER_S = 5.0
-#: A granted attempt may be finished for so many times its deadline.
+#: A granted attempt can be finished for this many times its deadline.
 KEEP_DEADLINES = 2
 
 Effects = list[typing.Any]
@@ -30,13 +31,20 @@
 
 
 class _Attempt(msgspec.Struct, kw_only=True):
-    """A ``Begin`` that has no answer yet."""
+    """A ``Begin`` and the holders' answers to its current round.
+
+    :param give_up_at: time at which it ends without a grant.
+    :param resend_at: when unanswered messages are sent again.
+    :param granted: holders that granted their slot.
+    :param full: holders that have no room for a new key.
+    :param seen_by_holder: slots that holders reported as taken.
+    """
 
     begin: messages.Begin
     round: int = 0
     give_up_at: float
     resend_at: float
-    #: When it may go to the next round, once that was put off.
+    #: When it may start the next round; ``None`` if that is not delayed.
     advance_at: float | None = None
     granted: set[str] = msgspec.field(default_factory=set)
     full: set[str] = msgspec.field(default_factory=set)
@@ -45,7 +53,7 @@
     )
 
     def forget_answers(self) -> None:
-        """Answers of another round or epoch count for nothing."""
+        """Discard answers, which are valid for one round and epoch only."""
         self.granted.clear()
         self.full.clear()
         self.seen_by_holder.clear()
@@ -57,7 +65,7 @@
         outcome: bytes = b'',
         kept: bool = True,
     ) -> messages.ClaimSlot:
-        """Return the slot of this attempt in another state."""
+        """Return this attempt's slot in the given state."""
         return messages.ClaimSlot(
             key=self.begin.key,
             round=self.round,
@@ -71,11 +79,13 @@
 
 
 class Attempts:
-    """Takes claims for the callers of this instance.
+    """Claims keys for the callers of this instance.
 
-    :param patience: how long to wait for holders.
-    :param max_outcome_bytes: larger outcomes are noted but not kept.
-    :param retention_s: no attempt may take more than half of it.
+    :param patience: timeout and resend interval of requests to holders.
+    :param max_outcome_bytes: of a larger outcome, only the fact that the
+        attempt ran is stored.
+    :param retention_s: seconds for which holders keep a slot; the deadline
+        of an attempt may be at most half of it.
     """
 
     def __init__(
@@ -97,7 +107,11 @@
     # Local requests.
 
     def begin(self, begin: messages.Begin) -> Effects:
-        """Ask every holder for its slot."""
+        """Request the slot from every holder.
+
+        :raises ValueError: if the deadline is more than half of the
+            retention.
+        """
         if begin.deadline_s > self.retention_s / 2:
             raise ValueError(
                 f'deadline_s of {begin.deadline_s} is more than half of'
@@ -117,7 +131,7 @@
         return self._puts(attempt)
 
     def finish(self, finish: messages.Finish) -> Effects:
-        """Record what a granted attempt gave."""
+        """Record the outcome of a granted attempt on the holders."""
         attempt = self._granted_by_id.pop(finish.attempt_id, None)
         if attempt is None:
             failed = messages.NotRecorded()
@@ -133,9 +147,9 @@
         )
 
     def abandon(self, abandon: messages.Abandon) -> Effects:
-        """Tell the holders that an attempt never ran and never will.
+        """Withdraw an attempt that did not run and will not run.
 
-        Nothing is told of an attempt that has been finished: it ran.
+        Does nothing for a finished attempt, because it ran.
         """
         attempt = self._granted_by_id.pop(abandon.attempt_id, None)
         if attempt is None:
@@ -151,7 +165,10 @@
     def holders_changed(
         self, now: float, holder_set: claim_slots.HolderSet
     ) -> Effects:
-        """Ask anew: grants of two epochs never add up to a majority."""
+        """Restart all requests under the new epoch.
+
+        Grants from different epochs must not be added up to a majority.
+        """
         if holder_set.epoch <= self._holder_set.epoch:
             return []
         self._holder_set = holder_set
@@ -165,17 +182,17 @@
     def outcome_answered(
         self, sender: str, reply: messages.ClaimOutcomeReply
     ) -> Effects:
-        """Count a holder that keeps an outcome."""
+        """Count a holder that has stored an outcome."""
         return self._outcomes.answered(sender, reply)
 
     def withdrawal_answered(
         self, sender: str, reply: messages.ClaimWithdrawReply
     ) -> Effects:
-        """Stop telling a holder that has understood."""
+        """Stop resending a withdrawal to a holder that confirmed it."""
         return self._withdrawals.answered(sender, reply)
 
     def ticked(self, now: float) -> Effects:
-        """Send again what has no answer; give up what had its time."""
+        """Resend unanswered messages and end operations that timed out."""
         effects: Effects = []
         for attempt in list(self._attempts_by_id.values()):
             effects += self._attempt_ticked(now, attempt)
@@ -184,12 +201,12 @@
         self._drop_old(now)
         return effects
 
-    # Taking a claim.
+    # Claiming a key.
 
     def put_answered(
         self, now: float, sender: str, reply: messages.ClaimPutReply
     ) -> Effects:
-        """Count one holder's answer, if it is to the present question."""
+        """Count one holder's answer if it is for the current round."""
         attempt = self._attempts_by_id.get(reply.attempt_id)
         if attempt is None or reply.round != attempt.round:
             return []
@@ -223,7 +240,11 @@
     def _settle(
         self, now: float, attempt: _Attempt, *, final: bool
     ) -> Effects:
-        """Decide what the answers so far allow; often: wait for more."""
+        """Act on the answers received so far, or wait for more.
+
+        :param final: whether the attempt has timed out, so that it must end
+            with the answers that it has.
+        """
         if self._holder_set.is_majority(attempt.granted):
             return self._grant(attempt)
         recorded = self._recorded(attempt)
@@ -259,10 +280,10 @@
     def _replay(
         self, now: float, attempt: _Attempt, seen: claim_slots.SeenSlot
     ) -> Effects:
-        """Tell a recorded outcome, once a majority has it.
+        """Return a recorded outcome once a majority of holders stores it.
 
-        An outcome that one holder has could be lost with its disk after it
-        was told; the next caller would then be told something else.
+        If fewer holders stored it, the outcome could be lost with a disk
+        after it was returned, and the next caller would get another answer.
         """
         if seen.slot.digest != attempt.begin.digest:
             return self._end(now, attempt, messages.DigestMismatch())
@@ -294,7 +315,10 @@
         ]
 
     def _join_round(self, now: float, attempt: _Attempt) -> Effects:
-        """Go on in a round that others started before this began."""
+        """Join a later round if it was started before this attempt began.
+
+        Otherwise end: a call already answered as not run could then run.
+        """
         later = self._later_rounds(attempt)
         top = max(seen.slot.round for seen in later)
         for seen in later:
@@ -321,7 +345,11 @@
         }
 
     def _is_settled(self, attempt: _Attempt, rivals: frozenset[str]) -> bool:
-        """Whether no further answer can make the round dead or won."""
+        """Whether outstanding answers can no longer change the result.
+
+        This is so if all holders have answered, or if one possible winner
+        certainly has a majority.
+        """
         if not self._silent(attempt):
             return True
         counts: dict[str, set[str]] = {}
@@ -333,7 +361,7 @@
         )
 
     def _is_other_call(self, attempt: _Attempt) -> bool:
-        """Whether a majority of slots was used for another digest."""
+        """Whether a majority of holders stores the key with another digest."""
         others = {
             holder
             for holder, seen in attempt.seen_by_holder.items()
@@ -342,7 +370,10 @@
         return self._holder_set.may_be_majority(others)
 
     def _advance(self, now: float, attempt: _Attempt) -> Effects:
-        """Start the next round; the lowest attempt id gets a head start."""
+        """Start the next round; the lowest attempt id goes first.
+
+        The others wait one round trip, to avoid another split vote.
+        """
         live = [
             seen.slot.attempt_id
             for seen in attempt.seen_by_holder.values()
@@ -366,13 +397,14 @@
         attempt: _Attempt,
         rivals: abc.Set[str] = frozenset(),
     ) -> Effects:
-        """End without a grant, with what is known of those in the way."""
+        """End without a grant; the result depends on the blocking slots."""
         if self._is_other_call(attempt):
             return self._end(now, attempt, messages.DigestMismatch())
         blockers = _slots_of(attempt, rivals)
         if not blockers:
             return self._end(now, attempt, self._unavailable(attempt))
-        # A rival that nobody has seen may be of the same call, and have run.
+        # An attempt that no answer has shown may belong to the same call,
+        # and may have run.
         is_other = all(_is_of_other_call(attempt, one) for one in blockers)
         if is_other and UNSEEN not in rivals:
             return self._end(now, attempt, messages.DigestMismatch())
@@ -402,7 +434,7 @@
         return _Reason.CONTENDED
 
     def _remaining_s(self, seen: claim_slots.SeenSlot) -> float:
-        """Return how long the attempt's entry may still be at work."""
+        """Return for how many seconds the slot's attempt may still run."""
         if seen.slot.state is _State.WITHDRAWN:
             return self.patience.round_trip_s
         if seen.slot.state is _State.CONTESTED:
@@ -416,7 +448,7 @@
         return [self._complete(attempt, result), *closing]
 
     def _close(self, now: float, attempt: _Attempt) -> Effects:
-        """Forget an attempt and take back what it may have been given."""
+        """Remove an attempt and withdraw slots that it may have got."""
         del self._attempts_by_id[attempt.begin.attempt_id]
         return self._withdrawals.withdraw(
             now,
@@ -427,7 +459,7 @@
     # Helpers.
 
     def _silent(self, attempt: _Attempt) -> frozenset[str]:
-        """Return the holders that have said nothing that counts."""
+        """Return the holders without a valid answer in this round."""
         told = attempt.granted | attempt.full | attempt.seen_by_holder.keys()
         return self._holder_set.holders - told
 
@@ -453,10 +485,11 @@
         return parts.Complete(ticket=attempt.begin.ticket, result=result)
 
     def _drop_old(self, now: float) -> None:
-        """Drop granted attempts that nobody finished or abandoned.
+        """Evict granted attempts that were neither finished nor abandoned.
 
-        Calls whose outcome is never known would else stay in memory. The
-        holders keep their slots; a later ``Finish`` is not recorded.
+        Without this, calls whose outcome never becomes known would stay in
+        memory. The holders keep the slots; a later ``Finish`` is answered
+        with ``NotRecorded``.
         """
         old = [
             attempt_id
@@ -474,7 +507,11 @@
 def _slots_of(
     attempt: _Attempt, rivals: abc.Set[str]
 ) -> list[claim_slots.SeenSlot]:
-    """Return the seen slots that stand for a rival, or for nobody knows."""
+    """Return the reported slots of possible winners.
+
+    Contested slots have no attempt id; they are included if an unseen
+    attempt is among the possible winners.
+    """
     return [
         seen
         for seen in attempt.seen_by_holder.values()
--- a/dandeliongw/coordination/claim_holder.py
+++ b/dandeliongw/coordination/claim_holder.py
@@ -1,7 +1,7 @@
-"""The holder's half of claims: slots on a disk that are given away once.
+"""The holder side of claims: durable slots, granted once per round.
 
-All answers wait until what they tell is synced, and everything that arrives
-while one sync is under way goes into the next: one sync for many records.
+A reply is sent only after the state that it reports is synced. Records that
+arrive during a sync are batched into the next one (group commit).
 """
 
 import bisect
@@ -14,7 +14,7 @@
 from . import claim_slots
 from . import parts
 
-#: A page of a copy ends after so many slots or bytes of outcomes.
+#: A page of a copy ends after this many slots or bytes of outcomes.
 PAGE_SLOTS = 64
 PAGE_BYTES = 256 * 1024
 
@@ -24,14 +24,18 @@
 
 
 class _Held(msgspec.Struct, kw_only=True):
-    """A slot and when it last changed (monotonic seconds)."""
+    """A stored slot and when it last changed, in monotonic seconds."""
 
     slot: messages.ClaimSlot
     since: float
 
 
 class _Batch(msgspec.Struct, kw_only=True):
-    """Records for one sync, and what may be told after it."""
+    """Records for one sync, and the effects that wait for it.
+
+    :param keys: of the slots among the records.
+    :param epoch: the epoch that becomes synced, if it is journaled here.
+    """
 
     records: list[typing.Any] = msgspec.field(default_factory=list)
     keys: set[str] = msgspec.field(default_factory=set)
@@ -40,7 +44,11 @@
 
 
 class _Copy(msgspec.Struct, kw_only=True):
-    """What a joining holder has asked for and got."""
+    """Progress of a joining holder's copy from the other holders.
+
+    :param cursors_by_source: the last key received from each source.
+    :param done: sources that were read to the end.
+    """
 
     holder_set: claim_slots.HolderSet
     resend_at: float
@@ -48,17 +56,20 @@
     done: set[str] = msgspec.field(default_factory=set)
 
     def has_majority(self) -> bool:
-        """Whether a majority of the set that counts was read to the end."""
+        """Whether a majority of the current set was read to the end."""
         return len(self.done) > len(self.holder_set.disk_ids_by_holder) // 2
 
 
 class Holder:
-    """Keeps the slots of all keys on this instance's disk.
-
-    :param disk_id: made when the disk was first used; a disk that comes
-        back empty has another one, so that it can't speak for the old.
-    :param retention_s: seconds a slot is kept after its last change.
-    :param max_records: keys held at once; further new ones are refused.
+    """Stores the slots of all keys on this instance's disk.
+
+    :param disk_id: generated when the disk was first used. A disk that comes
+        back empty gets a new one, so that its replies are not counted as
+        replies of the old disk.
+    :param retention_s: seconds for which a slot is kept after its last
+        change.
+    :param max_records: most keys stored at once; when it is full, new keys
+        are refused.
     :param resend_s: seconds between requests of an unfinished copy.
     """
 
@@ -76,12 +87,13 @@
         self.retention_s = retention_s
         self.max_records = max_records
         self.resend_s = resend_s
-        #: Oldest change first, so that forgetting looks at the front only.
+        #: Ordered by last change, so that eviction stops at the first slot
+        #: that is still retained.
         self._held_by_key: dict[str, _Held] = {}
         self._keys: list[str] = []
         self._clock_started = False
         self._holder_set: claim_slots.HolderSet | None = None
-        #: The highest epoch that is journaled, and that is synced.
+        #: The highest epoch written to the journal, and the highest synced.
         self._journaled_epoch = 0
         self._synced_epoch = 0
         self._waiting = _Batch()
@@ -92,7 +104,7 @@
     # Journal.
 
     def restore(self, record: typing.Any) -> None:
-        """Take one journal record back, in the order of writing."""
+        """Replay one journal record; call it in the order of writing."""
         if isinstance(record, messages.ClaimSlot):
             self._store(record, 0.0)
         elif isinstance(record, messages.ClaimEpoch):
@@ -105,12 +117,12 @@
                 self._forget(key)
 
     def snapshot(self) -> abc.Sequence[typing.Any]:
-        """Return the records that rebuild this holder."""
+        """Return the journal records that restore this holder."""
         slots = [held.slot for held in self._held_by_key.values()]
         return [messages.ClaimEpoch(epoch=self._journaled_epoch), *slots]
 
     def persisted(self, token: str) -> Effects:
-        """Tell what the finished sync allows, and start the next one."""
+        """Release the effects that waited for a sync, and start the next."""
         batch = self._syncing
         if batch is None or token != self._token:
             return []
@@ -120,7 +132,7 @@
         return batch.effects + self.flush()
 
     def flush(self) -> Effects:
-        """Start a sync if records wait and none is under way."""
+        """Start a sync if records are pending and none is under way."""
         if self._syncing is not None or not self._waiting.records:
             return []
         self._syncing, self._waiting = self._waiting, _Batch()
@@ -139,10 +151,11 @@
     # Time and the set of holders.
 
     def start_clock(self, now: float) -> None:
-        """Give restored slots an age, once: from now, so too young.
+        """Set the age of restored slots to zero, at the first call only.
 
-        The time spent dead is unknown. Too young means kept for longer and
-        called "in progress" for longer, and never the other way round.
+        The downtime is unknown, so their real age is higher. The error is
+        safe: they are retained longer and reported as "in progress" longer,
+        never shorter.
         """
         if self._clock_started:
             return
@@ -151,7 +164,7 @@
             held.since = now
 
     def ticked(self, now: float) -> Effects:
-        """Forget what is past its retention; ask again for lost pages."""
+        """Evict slots past their retention; request lost pages again."""
         self._forget_old(now)
         effects: Effects = []
         copy = self._copy
@@ -164,10 +177,11 @@
     def holders_changed(
         self, now: float, holder_set: claim_slots.HolderSet
     ) -> Effects:
-        """Act under a new epoch, from when it is synced.
+        """Switch to a new epoch, which takes effect once it is synced.
 
-        Without the sync a restart would forget the epoch, and grant under an
-        old one what a joining holder can't have copied.
+        Without the sync, a holder that restarts would lose the epoch and
+        could grant slots under an older one, after a joining holder has
+        copied its slots.
         """
         if holder_set.epoch < self._journaled_epoch:
             return []
@@ -184,7 +198,7 @@
         return self._start_copy(now, holder_set)
 
     def _counts(self) -> bool:
-        """Whether this disk is one of those whose word counts now."""
+        """Whether this disk is in the current set, under a synced epoch."""
         holder_set = self._holder_set
         if holder_set is None or holder_set.epoch != self._synced_epoch:
             return False
@@ -194,7 +208,7 @@
     # Claims.
 
     def put(self, now: float, sender: str, put: messages.ClaimPut) -> Effects:
-        """Give the slot of a key and round to the first who asks."""
+        """Grant the slot of a key and round to the first request."""
         if not self._accepts(put.epoch, put.disk_id):
             return [self._put_reply(sender, put, _Answer.UNKNOWN)]
         held = self._held_by_key.get(put.key)
@@ -214,11 +228,12 @@
     def withdraw(
         self, now: float, sender: str, withdraw: messages.ClaimWithdraw
     ) -> Effects:
-        """Note that an attempt never runs; leave other attempts alone.
+        """Mark a slot of an attempt as withdrawn; other attempts' slots stay.
 
-        The slot is not freed: within its round it changes hands never, else
-        two attempts could be granted a majority of one round. A free slot is
-        used up as well, so that a late double of the put finds it so.
+        The slot is not freed: within its round it is never granted to
+        another attempt, or two attempts could get a majority in one round. A
+        free slot is marked as well, so that a late duplicate of the attempt's
+        put is refused.
         """
         if withdraw.disk_id != self.disk_id or not self._counts():
             return []
@@ -242,7 +257,7 @@
     def record(
         self, now: float, sender: str, outcome: messages.ClaimOutcome
     ) -> Effects:
-        """Keep an outcome; it proves that its attempt won its round."""
+        """Store an outcome; it proves that its attempt won its round."""
         stored = self._accepts(outcome.epoch, outcome.disk_id)
         if stored:
             stored = self._record(now, outcome.slot)
@@ -266,11 +281,11 @@
         return True
 
     def _accepts(self, epoch: int, disk_id: str) -> bool:
-        """Whether a message means this disk, in this epoch.
+        """Whether a message is for this disk and the current epoch.
 
-        An older epoch must be refused: a joining holder has copied this one
-        since, and a grant that it can't know would be lost with the next
-        disk.
+        A message of an older epoch must be refused: a joining holder may
+        have copied this holder's slots since. It would miss the grant, which
+        would then be lost with the next disk.
         """
         if disk_id != self.disk_id or epoch != self._synced_epoch:
             return False
@@ -301,7 +316,7 @@
     def copy_requested(
         self, now: float, sender: str, request: messages.ClaimCopyRequest
     ) -> Effects:
-        """Show a joining holder a page of synced slots, in key order."""
+        """Send a joining holder a page of synced slots, in key order."""
         if request.epoch != self._synced_epoch or not self._counts():
             return []
         page = self._page(now, request)
@@ -366,7 +381,7 @@
     def copied(
         self, now: float, sender: str, page: messages.ClaimCopyPage
     ) -> Effects:
-        """Merge a page; ask for the next, or note that all is here."""
+        """Merge a page; request the next one or finish the copy."""
         copy = self._copy
         if copy is None or page.epoch != copy.holder_set.epoch:
             return []
@@ -414,13 +429,14 @@
         self._held_by_key[slot.key] = _Held(slot=slot, since=since)
 
     def _tell(self, key: str | None, effect: typing.Any) -> Effects:
-        """Let out an effect once what it tells is synced.
+        """Release an effect once the state that it reports is synced.
 
-        :param key: of the slot that it tells of; ``None``: of all slots.
+        :param key: of the slot that the effect reports; ``None`` if it
+            depends on all slots.
 
-        A refusal waits as well: were the slot that it shows lost in a crash,
-        the next to ask would get it, and the proof that nobody can win this
-        round would be false.
+        A refusal waits too. If the slot that it reports were lost in a
+        crash, it would be granted to the next attempt, although the refused
+        one may have concluded from it that nobody can win this round.
         """
         for batch in (self._waiting, self._syncing):
             if batch is None or not batch.records:
@@ -456,7 +472,10 @@
 
 
 def _gives_way(slot: messages.ClaimSlot, round: int) -> bool:
-    """Whether a slot may pass to a round: a later one proves it dead."""
+    """Whether a put of this round may overwrite a slot.
+
+    A later round proves that no attempt can win the slot's round any more.
+    """
     return slot.state is not _State.RECORDED and slot.round < round
 
 
--- a/dandeliongw/coordination/claim_messages.py
+++ b/dandeliongw/coordination/claim_messages.py
@@ -1,7 +1,8 @@
-"""What the claims part takes in, gives out, sends and journals.
+"""Events, results, messages and journal records of the claims part.
 
-Durations are seconds on the clock of whoever measured them; a message never
-carries a point in time. ``epoch`` counts the changes of the set of holders.
+Durations are seconds, measured by the sender's clock; no message carries a
+point in time. ``epoch`` counts the changes of the set of holders. The entry
+is the instance that accepted the client's call.
 """
 
 from collections import abc
@@ -11,27 +12,27 @@
 
 
 class SlotState(enum.StrEnum):
-    """What a holder knows of the attempt that its slot was given to."""
+    """State of the attempt that a holder's slot is assigned to."""
 
-    #: The attempt may run, be running or have run.
+    #: The attempt may run later, be running or have run.
     CLAIMED = 'claimed'
-    #: Its own entry said that it never ran and never will.
+    #: The attempt's entry reported that it did not and will not run.
     WITHDRAWN = 'withdrawn'
-    #: It ran; the outcome is kept, or known to be too large to keep.
+    #: The attempt ran; its outcome is stored, or was too large to store.
     RECORDED = 'recorded'
-    #: Copied from holders that disagreed; whose slot it was is lost.
+    #: Copied from holders that disagreed; the owner of the slot is lost.
     CONTESTED = 'contested'
 
 
 class PutAnswer(enum.StrEnum):
-    """What a holder says to a :class:`ClaimPut`."""
+    """A holder's answer to a :class:`ClaimPut`."""
 
     GRANTED = 'granted'
-    #: Another attempt has the slot, or this one's part in it has ended.
+    #: Assigned to another attempt, or this one is withdrawn or recorded.
     TAKEN = 'taken'
-    #: No room for a new key; old ones are never dropped early.
+    #: No room for a new key; old keys are never evicted early.
     FULL = 'full'
-    #: Not this disk, not this epoch, or not caught up: says nothing.
+    #: Wrong disk or epoch, or not caught up: counts neither way.
     UNKNOWN = 'unknown'
 
 
@@ -41,7 +42,7 @@
     NO_HOLDERS = 'no_holders'
     HOLDERS_UNREACHABLE = 'holders_unreachable'
     HOLDERS_FULL = 'holders_full'
-    #: Others claimed at the same moment, until this one's time was up.
+    #: Concurrent claims split the vote until this one timed out.
     CONTENDED = 'contended'
 
 
@@ -51,11 +52,11 @@
 class Begin(msgspec.Struct, frozen=True, kw_only=True):
     """Claim a key for one attempt at a non-idempotent call.
 
-    :param ticket: comes back in the ``Complete`` that ends this.
-    :param key: made from account, service and idempotency key.
-    :param digest: of method, path and body.
-    :param attempt_id: never used before, by anyone.
-    :param deadline_s: seconds that the attempt may take in all.
+    :param ticket: returned in the ``Complete`` that ends this request.
+    :param key: derived from account, service and idempotency key.
+    :param digest: hash of method, path and body.
+    :param attempt_id: globally unique.
+    :param deadline_s: most seconds that the attempt may take in total.
     """
 
     now: float
@@ -67,7 +68,7 @@
 
 
 class Finish(msgspec.Struct, frozen=True, kw_only=True):
-    """The granted attempt ran; record its outcome before telling it."""
+    """A granted attempt ran; record its outcome before answering."""
 
     now: float
     ticket: str
@@ -77,9 +78,10 @@
 
 
 class Abandon(msgspec.Struct, frozen=True, kw_only=True):
-    """The attempt is proved not to have run, and will not run now.
+    """The attempt certainly did not run, and will not run.
 
-    Also for a ``Begin`` whose caller has gone; its ticket gets no answer.
+    Also cancels a ``Begin`` whose caller disconnected; its ticket gets no
+    ``Complete``.
     """
 
     now: float
@@ -88,13 +90,13 @@
 
 
 class HoldersChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """The register holds another set of claim holders.
+    """The set of claim holders in the register changed.
 
-    :param disk_ids_by_holder: the set that counts now.
-    :param joining: disk ids of holders that are catching up; a holder that
-        is in the set already gets a new disk.
-    :param epoch: 0 or more; grows with every change.
-    :param leaving: holders that are not in the set to come.
+    :param disk_ids_by_holder: disk ids of the current set.
+    :param joining: disk ids of holders that are catching up; for a holder of
+        the current set, the id of its new disk.
+    :param epoch: 0 or more; increases with every change.
+    :param leaving: holders that are not in the next set.
     """
 
     now: float
@@ -108,67 +110,74 @@
 
 
 class Granted(msgspec.Struct, frozen=True, kw_only=True):
-    """This attempt, and no other, may run now."""
+    """This attempt may run now, and no other attempt may."""
 
 
 class Replayed(msgspec.Struct, frozen=True, kw_only=True):
     """An earlier attempt ran.
 
-    :param outcome: what it gave, or ``None`` if that was too large to keep.
+    :param outcome: its outcome, or ``None`` if that was too large to store.
     """
 
     outcome: bytes | None
 
 
 class InProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """Another attempt may be running; this one never will."""
+    """Another attempt may be running; this one never runs."""
 
     retry_after_s: float
 
 
 class DigestMismatch(msgspec.Struct, frozen=True, kw_only=True):
-    """The key stands for another call; this one was not run."""
+    """The key was used for a different call; this attempt never runs."""
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True, kw_only=True):
-    """An earlier attempt may have run and nobody can say; none runs again."""
+    """An earlier attempt may have run, with unknown outcome; no rerun."""
 
 
 class ClaimsUnavailable(msgspec.Struct, frozen=True, kw_only=True):
-    """Too few holders answered. This attempt never runs; an earlier may."""
+    """The claim was not decided; this attempt never runs.
+
+    An earlier attempt with the same key may have run. ``reason`` has the
+    cause.
+    """
 
     retry_after_s: float
     reason: UnavailableReason
 
 
 class Recorded(msgspec.Struct, frozen=True, kw_only=True):
-    """A majority keeps the outcome; the caller may have it."""
+    """A majority stores the outcome; it may be sent to the caller."""
 
 
 class NotRecorded(msgspec.Struct, frozen=True, kw_only=True):
-    """No majority confirmed in time; a resend may not find the outcome."""
+    """No majority confirmed in time; a retry may not find the outcome."""
 
 
-# An effect besides those of ``parts``.
+# An effect in addition to those of ``parts``.
 
 
 class CaughtUp(msgspec.Struct, frozen=True, kw_only=True):
-    """This joining holder has synced all that a majority of others holds."""
+    """This joining holder has copied and synced a majority's slots."""
 
     epoch: int
     disk_id: str
 
 
-# What holders keep, journal and send.
+# Stored slots, journal records and messages.
 
 
 class ClaimSlot(msgspec.Struct, frozen=True, kw_only=True):
-    """What one holder keeps for one key; in a round it changes hands never.
+    """One holder's state of one key.
+
+    Within a round, a slot is never reassigned to another attempt.
 
-    :param round: a new one starts when no attempt can win the one before.
-    :param attempt_id: empty when contested.
-    :param deadline_s: how long the attempt may take.
-    :param kept: false if the outcome was too large.
+    :param round: incremented when no attempt can win the previous round.
+    :param attempt_id: empty if contested.
+    :param deadline_s: most seconds that the attempt may take.
+    :param outcome: empty if there is none or it was too large.
+    :param kept: false if the outcome was too large to store.
     """
 
     key: str
@@ -182,27 +191,27 @@
 
 
 class ClaimEpoch(msgspec.Struct, frozen=True, kw_only=True):
-    """Journal: this holder acts under this epoch and under none before."""
+    """Journal record: messages of earlier epochs are refused from here."""
 
     epoch: int
 
 
 class ClaimCopyStarted(msgspec.Struct, frozen=True, kw_only=True):
-    """Journal: all that was held before is void; a copy starts."""
+    """Journal record: all earlier slots are void; a copy starts."""
 
     epoch: int
 
 
 class ClaimsForgotten(msgspec.Struct, frozen=True, kw_only=True):
-    """Journal: the retention of these keys is over."""
+    """Journal record: these keys are evicted; their retention ended."""
 
     keys: tuple[str, ...]
 
 
 class ClaimPut(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a holder to give its slot of a key and round to an attempt.
+    """Requests a holder's slot of a key and round for an attempt.
 
-    :param disk_id: of the recipient, as the sender knows it.
+    :param disk_id: of the recipient, according to the sender's set.
     """
 
     key: str
@@ -215,11 +224,12 @@
 
 
 class ClaimPutReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answers a :class:`ClaimPut`; nothing in it is less than synced.
+    """Answers a :class:`ClaimPut`; reports synced state only.
 
-    :param round: of the put that is answered.
-    :param slot: what the holder has, when it is taken.
-    :param age_s: seconds since that slot last changed, or fewer.
+    :param round: of the answered put.
+    :param slot: the stored slot, if ``answer`` is ``TAKEN``.
+    :param age_s: seconds since that slot last changed; too low after a
+        restart of the holder.
     """
 
     key: str
@@ -233,7 +243,7 @@
 
 
 class ClaimWithdraw(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry's word that its attempt never ran and never will."""
+    """An entry reports that its attempt did not and will not run."""
 
     key: str
     round: int
@@ -243,13 +253,13 @@
 
 
 class ClaimWithdrawReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The withdrawal is synced, or changes nothing here."""
+    """The withdrawal is synced, or did not change the slot."""
 
     attempt_id: str
 
 
 class ClaimOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a holder to keep the outcome of an attempt that ran."""
+    """Requests that a holder store the outcome of an attempt."""
 
     slot: ClaimSlot
     epoch: int
@@ -257,7 +267,7 @@
 
 
 class ClaimOutcomeReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answers a :class:`ClaimOutcome`, after the sync if it is stored."""
+    """Answers a :class:`ClaimOutcome`; ``stored`` means synced."""
 
     attempt_id: str
     epoch: int
@@ -266,21 +276,21 @@
 
 
 class ClaimCopyRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A joining holder asks for the slots after a key, in key order."""
+    """A joining holder requests the slots after a key, in key order."""
 
     epoch: int
     after_key: str
 
 
 class ClaimCopied(msgspec.Struct, frozen=True, kw_only=True):
-    """A slot on its way to a joining holder."""
+    """One slot of a page, with its age in seconds."""
 
     slot: ClaimSlot
     age_s: float
 
 
 class ClaimCopyPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Answers a :class:`ClaimCopyRequest`; ``last`` ends the copy."""
+    """Answers a :class:`ClaimCopyRequest`; ``last`` marks the last page."""
 
     epoch: int
     after_key: str
@@ -288,7 +298,7 @@
     last: bool
 
 
-#: Sent from instance to instance.
+#: Messages between instances.
 MESSAGES = (
     ClaimPut,
     ClaimPutReply,
@@ -300,5 +310,5 @@
     ClaimCopyPage,
 )
 
-#: Written to the journal.
+#: Journal records.
 RECORDS = (ClaimSlot, ClaimEpoch, ClaimCopyStarted, ClaimsForgotten)
--- a/dandeliongw/coordination/claim_outcomes.py
+++ b/dandeliongw/coordination/claim_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes on their way to a majority of holders."""
+"""Replicates outcomes to a majority of the claim holders."""
 
 import typing
 
@@ -14,7 +14,12 @@
 
 
 class _Recording(msgspec.Struct, kw_only=True):
-    """An outcome that a ticket waits for."""
+    """An outcome being replicated for one ticket.
+
+    :param result: completes the ticket once a majority stores the outcome.
+    :param failure: completes it at ``give_up_at``.
+    :param stored: holders that confirmed the outcome in this epoch.
+    """
 
     ticket: str
     slot: messages.ClaimSlot
@@ -26,13 +31,16 @@
 
 
 class Outcomes:
-    """Sends outcomes to the holders until a majority has synced them."""
+    """Sends outcomes to the holders until a majority has synced them.
+
+    :param patience: timeout and resend interval.
+    """
 
     def __init__(self, *, patience: claim_patience.Patience) -> None:
         self._patience = patience
         self._holder_set = claim_slots.NO_HOLDERS
         self._recordings_by_ticket: dict[str, _Recording] = {}
-        #: Several callers may wait for one outcome to be written back.
+        #: Several tickets may wait for the same outcome to be written back.
         self._tickets_by_attempt_id: dict[str, set[str]] = {}
 
     def record(
@@ -46,8 +54,10 @@
     ) -> Effects:
         """Send an outcome to every holder.
 
-        :param result: answers the ticket once a majority has the outcome.
-        :param failure: answers it if none has it in time.
+        :param ticket: completed with ``result`` or ``failure``.
+        :param slot: the slot with the outcome.
+        :param result: returned once a majority stores the outcome.
+        :param failure: returned if the timeout passes before that.
         """
         recording = _Recording(
             ticket=ticket,
@@ -67,7 +77,7 @@
     def answered(
         self, sender: str, reply: messages.ClaimOutcomeReply
     ) -> Effects:
-        """Count a holder that keeps an outcome."""
+        """Count a holder that has stored an outcome."""
         if not reply.stored:
             return []
         if not self._holder_set.speaks(sender, reply.epoch, reply.disk_id):
@@ -82,7 +92,10 @@
         return effects
 
     def holders_changed(self, holder_set: claim_slots.HolderSet) -> Effects:
-        """Ask anew: what was stored in two epochs never adds up."""
+        """Send all outcomes again under the new epoch.
+
+        Confirmations from different epochs must not be added up.
+        """
         self._holder_set = holder_set
         effects: Effects = []
         for recording in self._recordings_by_ticket.values():
@@ -91,7 +104,7 @@
         return effects
 
     def ticked(self, now: float) -> Effects:
-        """Send again what has no answer; give up what had its time."""
+        """Resend unconfirmed outcomes and fail those that timed out."""
         effects: Effects = []
         for recording in list(self._recordings_by_ticket.values()):
             if now >= recording.give_up_at:
--- a/dandeliongw/coordination/claim_slots.py
+++ b/dandeliongw/coordination/claim_slots.py
@@ -1,7 +1,7 @@
-"""Rules over slots: majorities, merging copies, and when a round is dead.
+"""Rules for slots: majorities, merging copies, and unwinnable rounds.
 
-These are the decisions that ``specs/claims_spec.py`` checks; they are plain
-functions, so that the specification and the code can be read side by side.
+``specs/claims_spec.py`` checks these rules. They are pure functions, so that
+they can be compared with the specification.
 """
 
 from collections import abc
@@ -10,21 +10,21 @@
 
 from . import claim_messages as messages
 
-#: Two monotonic clocks drift apart by less than this share.
+#: Largest relative difference between the rates of two monotonic clocks.
 CLOCK_DRIFT = 0.001
 
-#: Stands for attempts that no answer has shown.
+#: Attempt id that stands for attempts that no answer has shown.
 UNSEEN = ''
 
 _State = messages.SlotState
 
 
 class HolderSet(msgspec.Struct, frozen=True, kw_only=True):
-    """The holders of one epoch: the set that counts and the one to come.
+    """The holders of one epoch: the current set and the next one.
 
-    :param disk_ids_by_holder: of the set that counts now.
+    :param disk_ids_by_holder: disk ids of the current set.
     :param joining: disk ids of holders that are catching up.
-    :param leaving: holders that are not in the set to come.
+    :param leaving: holders that are not in the next set.
     """
 
     epoch: int
@@ -34,7 +34,7 @@
 
     @property
     def sets(self) -> tuple[frozenset[str], ...]:
-        """The sets of which each needs a majority."""
+        """The sets that each need a majority: current, and next if any."""
         old = frozenset(self.disk_ids_by_holder)
         if not self.joining and not self.leaving:
             return (old,)
@@ -42,24 +42,24 @@
 
     @property
     def holders(self) -> frozenset[str]:
-        """Every holder of the old and of the new set."""
+        """Every holder of the current and the next set."""
         return frozenset().union(*self.sets)
 
     def disk_id_of(self, holder: str) -> str:
-        """The disk that counts for a holder, or is to count."""
+        """A holder's disk id in the next set, or in the current one."""
         old = self.disk_ids_by_holder.get(holder)
         return self.joining.get(holder) or old or ''
 
     def speaks(self, holder: str, epoch: int, disk_id: str) -> bool:
-        """Whether a reply comes from a disk of this set, in this epoch."""
+        """Whether a reply is from this epoch and a disk of this set."""
         return epoch == self.epoch and disk_id == self.disk_id_of(holder)
 
     def is_majority(self, holders: abc.Set[str]) -> bool:
-        """Whether these are a majority of every set: enough to act on."""
+        """Whether these are a majority of every set, as a decision needs."""
         return all(_is_majority(holders, one) for one in self.sets)
 
     def may_be_majority(self, holders: abc.Set[str]) -> bool:
-        """Whether these are a majority of any set: enough to fear."""
+        """Whether these are a majority of any set, so possibly decisive."""
         return any(_is_majority(holders, one) for one in self.sets)
 
 
@@ -67,16 +67,18 @@
     return len(holders & of) > len(of) // 2
 
 
-#: Before the register has said who the holders are; older than its first.
+#: Used until the register supplies a set; its epoch is below all real ones,
+#: which start at 0.
 NO_HOLDERS = HolderSet(
     epoch=-1, disk_ids_by_holder={}, joining={}, leaving=frozenset()
 )
 
 
 class SeenSlot(msgspec.Struct, frozen=True, kw_only=True):
-    """A slot as a holder showed it to an attempt.
+    """A slot as a holder reported it to an attempt.
 
-    :param age_s: seconds since it last changed, or fewer.
+    :param age_s: lower bound of the seconds since it last changed; a restart
+        of the holder and the time in transit make the real age higher.
     :param is_older: whether it last changed before the attempt began.
     """
 
@@ -88,8 +90,12 @@
 def is_older(*, slot_age_s: float, attempt_age_s: float) -> bool:
     """Whether a slot last changed before an attempt began.
 
-    Durations of two clocks are compared, never two clocks; on its way the
-    reply can only make the slot older than it says.
+    Two durations are compared, each measured by one clock, never times of
+    two clocks. The reply's transit time only makes the slot older than
+    reported.
+
+    :param slot_age_s: seconds since its last change by the holder's clock.
+    :param attempt_age_s: seconds since its start by the entry's clock.
     """
     return slot_age_s > attempt_age_s * (1 + CLOCK_DRIFT)
 
@@ -101,14 +107,16 @@
     seen_by_holder: abc.Mapping[str, SeenSlot],
     holder_set: HolderSet,
 ) -> frozenset[str]:
-    """Return the attempts that may have won a round; empty: it is dead.
+    """Return the attempts that may have won a round.
 
-    A slot never changes hands within a round, so an attempt that can't have
-    a majority of what is seen and what is unseen never had one and never
-    gets one. What nobody has seen counts for everybody, also for attempts
-    that no answer has shown, for which :data:`UNSEEN` stands.
+    If there are none, nobody can win the round any more. Within a round, a
+    slot is never reassigned. So an attempt that lacks a majority even if all
+    unseen slots are counted for it never had one and never gets one. Unseen
+    slots count for every attempt, also for attempts that no answer has
+    shown, which :data:`UNSEEN` represents.
 
-    :param attempt_id: the one that asks; it knows that it did not win.
+    :param attempt_id: the caller's own attempt, which has not won.
+    :param seen_by_holder: the slots that holders reported for the key.
     """
     shown = {
         holder: seen
@@ -143,12 +151,12 @@
 
 
 def is_withdrawn_before(seen: SeenSlot) -> bool:
-    """Whether an attempt was withdrawn before the asking one began.
+    """Whether an attempt was withdrawn before the current one began.
 
-    What goes wrong without the order: a caller's first send is slow in
-    taking its claim; the second is granted, withdrawn and answered "not
-    run"; then the first finds the key free and runs. One would notice a
-    booking whose caller was told that there is none.
+    Without the check of the order, a call could run after its caller got the
+    answer "not run": the caller's first request is slow to claim the key;
+    its retry is granted, withdrawn and answered "not run"; then the first
+    request finds the key free and runs.
     """
     return seen.slot.state is _State.WITHDRAWN and seen.is_older
 
@@ -156,12 +164,13 @@
 def merge(
     one: messages.ClaimSlot | None, other: messages.ClaimSlot
 ) -> messages.ClaimSlot:
-    """Return what a joining holder keeps when two holders differ.
+    """Return the slot that a joining holder stores if two copies differ.
 
-    An outcome proves that its attempt won. A higher round proves that the
-    lower one is dead. Two attempts in one round prove nothing: the lost
-    disk may have given either its majority. Keeping one of the two would
-    let it run a second time; so the slot is contested, for good.
+    An outcome proves that its attempt won. A higher round proves that nobody
+    can win the lower one. Two attempts in one round prove nothing: the lost
+    disk may have completed the majority of either. Keeping one of the two
+    could let the call run twice. So the slot is marked as contested, and
+    within the round only a recorded outcome replaces it.
     """
     if one is None or one == other:
         return other
--- a/dandeliongw/coordination/claim_withdrawals.py
+++ b/dandeliongw/coordination/claim_withdrawals.py
@@ -1,4 +1,4 @@
-"""The word that attempts never ran, on its way to the holders."""
+"""Sends withdrawals of attempts that did not run to the holders."""
 
 from collections import abc
 import typing
@@ -14,7 +14,7 @@
 
 
 class _Withdrawal(msgspec.Struct, kw_only=True):
-    """An attempt that ended, and the holders that have not confirmed it."""
+    """A withdrawn attempt and the holders that have not confirmed it."""
 
     slot: messages.ClaimSlot
     pending: set[str]
@@ -23,10 +23,13 @@
 
 
 class Withdrawals:
-    """Tells holders of ended attempts; a holder that hears nothing is safe.
+    """Sends withdrawals to holders until they confirm or a timeout passes.
 
-    It then keeps a slot for an attempt that never runs, and resends of the
-    key may be told that the outcome is not known.
+    A lost withdrawal is safe: the holder keeps a slot for an attempt that
+    never runs, and later requests with the key may be answered that the
+    outcome is unknown.
+
+    :param patience: timeout and resend interval.
     """
 
     def __init__(self, *, patience: claim_patience.Patience) -> None:
@@ -35,13 +38,13 @@
         self._withdrawals_by_id: dict[str, _Withdrawal] = {}
 
     def holders_changed(self, holder_set: claim_slots.HolderSet) -> None:
-        """Address the disks of this set from now on."""
+        """Send withdrawals to the disks of this set from now on."""
         self._holder_set = holder_set
 
     def withdraw(
         self, now: float, slot: messages.ClaimSlot, holders: abc.Set[str]
     ) -> Effects:
-        """Tell these holders that the attempt of a slot never runs."""
+        """Notify these holders that the slot's attempt never runs."""
         if not holders:
             return []
         withdrawal = _Withdrawal(
@@ -56,7 +59,7 @@
     def answered(
         self, sender: str, reply: messages.ClaimWithdrawReply
     ) -> Effects:
-        """Stop telling a holder that has understood."""
+        """Stop resending a withdrawal to a holder that confirmed it."""
         withdrawal = self._withdrawals_by_id.get(reply.attempt_id)
         if withdrawal is None:
             return []
@@ -66,7 +69,7 @@
         return []
 
     def ticked(self, now: float) -> Effects:
-        """Send again what has no answer; give up what had its time."""
+        """Resend unconfirmed withdrawals and drop those that timed out."""
         effects: Effects = []
         for withdrawal in list(self._withdrawals_by_id.values()):
             if now >= withdrawal.give_up_at:
--- a/dandeliongw/coordination/claims.py
+++ b/dandeliongw/coordination/claims.py
@@ -1,8 +1,9 @@
-"""Claims: a non-idempotent call runs at most once.
+"""Claims: at-most-once execution of non-idempotent calls.
 
-An attempt may run once a majority of the claim holders has synced that the
-key's slot is its own. ``docs/CLAIMS.md`` tells why this holds, and which
-transition of ``specs/claims_spec.py`` each function here stands for.
+The claim holders are the replicas that store claims on disk. An attempt may
+run once a majority of them has synced a slot that assigns the idempotency
+key to this attempt. ``docs/CLAIMS.md`` explains why this is safe, and which
+transition of ``specs/claims_spec.py`` each function implements.
 """
 
 from collections import abc
@@ -55,15 +56,20 @@
 
 
 class Claims:
-    """Takes claims for local callers; holds them where there is a disk.
-
-    :param instance_id: of this instance.
-    :param is_holder: whether this instance has a disk for claims.
-    :param disk_id: made once for an empty disk; ``None`` without one.
-    :param retention_s: seconds in which callers may resend a key.
-    :param max_records: keys a holder keeps; further ones are refused.
-    :param max_outcome_bytes: larger outcomes are noted but not kept.
-    :param round_trip_s: expected time to a holder and back with its sync.
+    """Claims keys for local callers; stores claims if it has a disk.
+
+    :param instance_id: id of this instance.
+    :param is_holder: whether this instance stores claims on its disk.
+    :param disk_id: generated once for each empty disk; ``None`` if this
+        instance is not a holder.
+    :param retention_s: seconds during which callers may resend a key.
+    :param max_records: most keys that a holder stores; when it is full, new
+        keys are refused.
+    :param max_outcome_bytes: of a larger outcome, only the fact that the
+        attempt ran is stored.
+    :param round_trip_s: expected seconds for a round trip to a holder,
+        including its disk sync.
+    :raises ValueError: if a holder has no ``disk_id``.
     """
 
     def __init__(
@@ -97,7 +103,10 @@
         )
 
     def handle(self, event: typing.Any) -> Effects:
-        """Change state by one event; return what is to be done."""
+        """Apply one event and return the effects to perform.
+
+        :raises TypeError: for an event or message of another part.
+        """
         if self._holder is not None:
             self._holder.start_clock(event.now)
         match event:
@@ -115,15 +124,17 @@
                 return self._attempts.abandon(event)
             case messages.HoldersChanged():
                 return self._holders_changed(event)
-        raise TypeError(f'claims take no {type(event).__name__}')
+        raise TypeError(
+            f'claims do not handle events of type {type(event).__name__}'
+        )
 
     def restore(self, record: typing.Any) -> None:
-        """Take one journal record back in."""
+        """Replay one journal record."""
         if self._holder is not None:
             self._holder.restore(record)
 
     def snapshot(self) -> abc.Sequence[typing.Any]:
-        """Return the records that rebuild this part."""
+        """Return the journal records that restore the current state."""
         if self._holder is None:
             return []
         return self._holder.snapshot()
@@ -165,7 +176,9 @@
                 return holder.copy_requested(now, sender, message)
             case messages.ClaimCopyPage():
                 return holder.copied(now, sender, message)
-        raise TypeError(f'claims take no {type(message).__name__}')
+        raise TypeError(
+            f'claims do not handle messages of type {type(message).__name__}'
+        )
 
     def _ticked(self, now: float) -> Effects:
         effects = self._attempts.ticked(now)
