--- a/dandeliongw/coordination/catchup.py
+++ b/dandeliongw/coordination/catchup.py
@@ -1,8 +1,8 @@
-"""How a grantor without memory becomes one that may grant.
+"""Catch-up of a grantor without records, before it may grant leases.
 
-A grantor whose disk was lost, or one that joins, knows none of the epochs
-that were granted. It waits, reads the others' epochs, waits again, and only
-then grants.
+A grantor that lost its disk, or that joins, has no record of the epochs
+granted. It waits, reads the other grantors' epochs, waits again, and only
+then grants leases.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 
 class Phase(enum.Enum):
-    """How far a catch-up has come."""
+    """Progress of a catch-up."""
 
     OFF = 'off'
     WAITING = 'waiting'
@@ -27,18 +27,18 @@
 
 
 class CatchUp:
-    """Reads enough other grantors to know every epoch ever granted.
+    """Reads enough other grantors to get every epoch ever granted.
 
-    The wait before the read: grants that this grantor gave before its disk
-    was lost may still be counted by a candidate that has not finished its
-    ask. Were the read earlier, the others would not have that epoch yet and
-    it could be granted twice. To a joining grantor the wait gives time for
-    the news of the change to spread.
+    Why it waits before the read: a candidate may still count a grant that
+    this grantor made before its disk was lost. If the read were earlier, the
+    others might not have that epoch yet, and it could be granted twice. For
+    a joining grantor, the wait lets the change of the set propagate.
 
-    The wait after it: the read fences grants under the replaced set, but
-    those given before it still run.
+    Why it waits after the read: the read fences new grants under the
+    replaced set, but earlier ones are still valid.
 
-    :param patience_s: pause before a read is sent again.
+    :param own_grantor: the grantor of this instance.
+    :param patience_s: seconds before an unfinished read is sent again.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
     def change_grantors(
         self, now: float, version: int, changed: quorum.Quorum
     ) -> None:
-        """Begin, begin again or stop, as the sets in force demand."""
+        """Start, restart or stop the catch-up, as the current sets require."""
         if version < self._version:
             return
         own_id = self._grantor.instance_id
@@ -75,11 +75,11 @@
         self._wait(now, Phase.WAITING)
 
     def stop(self) -> None:
-        """Forget the catch-up under way."""
+        """Cancel the current catch-up."""
         self.phase = Phase.OFF
 
     def on_tick(self, now: float, entropy: int) -> list[typing.Any]:
-        """Move on when a wait is over; read again what got no answer."""
+        """Enter the next phase after a wait; resend an unfinished read."""
         if self.phase is Phase.WAITING and now >= self._until:
             self.phase = Phase.READING
             self._reading = entropy
@@ -94,10 +94,10 @@
     def on_epochs(
         self, now: float, sender: str, epochs: messages.LeaseEpochs
     ) -> list[typing.Any]:
-        """Take one grantor's epochs in."""
+        """Handle one grantor's epochs."""
         if self.phase is not Phase.READING or epochs.reading != self._reading:
             return []
-        # One that is catching up itself doesn't know what it granted.
+        # The records of a grantor that is catching up are incomplete.
         if not epochs.ready or sender not in self._sources:
             return []
         self._epochs_by_source[sender] = epochs
@@ -108,12 +108,13 @@
         return []
 
     def _learn(self) -> None:
-        """Take the highest epoch of each name over.
+        """Adopt the highest epoch of each name.
 
-        Its holder may renew here only if a majority reports that grant.
-        Otherwise two candidates may have got the same epoch from one grantor
-        each, and taking either one's renewal could give it a majority for an
-        epoch that the other held with a grant this grantor has forgotten.
+        Its holder may renew at this grantor only if a majority reports that
+        grant. Otherwise two candidates may have got the same epoch from one
+        grantor each. Accepting one candidate's renewal could then give it a
+        majority for an epoch that the other held, with a grant that this
+        grantor has lost.
         """
         reports: collections.Counter[messages.LeaseGranted] = (
             collections.Counter()
--- a/dandeliongw/coordination/grantor.py
+++ b/dandeliongw/coordination/grantor.py
@@ -1,7 +1,8 @@
-"""The voter's side of leases: grants, and what it must remember of them.
+"""The grantor side of leases: a voter's grants and their records.
 
-Only epochs are on disk. How long a grant still stands is in memory alone,
-so that a renewal costs no sync; a restart pays for it by waiting.
+Only epochs are stored on disk. When a grant expires is kept in memory only,
+so that a renewal needs no disk sync. In return, a grantor has to wait after
+a restart.
 """
 
 import collections
@@ -15,14 +16,16 @@
 
 Outcome = messages.LeaseOutcome
 
-#: Subject of a sync of the version, beside the names of leases.
+#: Key of a version record among pending syncs; other keys are lease names.
 _VERSION = '\0version'
 
 
 class _Grant(msgspec.Struct, kw_only=True):
     """The last grant of one name.
 
-    :param wait_until_by_candidate: who was refused and is told of a release.
+    :param expires_at: end of the grant by this grantor's clock.
+    :param wait_until_by_candidate: refused candidates, and until when they
+        are to be notified of a release.
     """
 
     record: messages.LeaseGranted
@@ -40,7 +43,7 @@
 
 
 class _Withheld(msgspec.Struct, kw_only=True):
-    """An answer that waits until all that it promises is synced."""
+    """A reply that is sent once these syncs have finished."""
 
     to: str
     message: typing.Any
@@ -50,9 +53,9 @@
 class Grantor:
     """Grants leases by this instance's own clock.
 
-    :param instance_id: this instance.
-    :param duration_s: longest lease that it grants.
-    :param margin_s: added to each wait, for clocks that run apart.
+    :param instance_id: id of this instance.
+    :param duration_s: longest lease that it grants, in seconds.
+    :param margin_s: added to each wait, against clock drift, in seconds.
     """
 
     def __init__(
@@ -61,11 +64,12 @@
         self.instance_id = instance_id
         self.duration_s = duration_s
         self.margin_s = margin_s
-        #: Whether all epochs that this grantor ever granted are known to it.
+        #: Whether its records include every epoch that it has granted.
         self.ready = False
-        #: Claims under an older set of grantors are refused.
+        #: Version of the set of grantors; claims under an older one are
+        #: refused.
         self.version = 0
-        #: How often each outcome was answered, for the metrics.
+        #: Number of answers by outcome, for the metrics.
         self.outcomes_by_label: collections.Counter[str] = (
             collections.Counter()
         )
@@ -76,7 +80,7 @@
         self._token_count = 0
 
     def restore(self, record: typing.Any) -> None:
-        """Take one journal record back in; later records win."""
+        """Replay one journal record; the highest epoch of a name wins."""
         if isinstance(record, messages.LeaseReady):
             self.ready = True
             self.version = max(self.version, record.version)
@@ -84,20 +88,20 @@
             self.learn(record)
 
     def snapshot(self) -> list[typing.Any]:
-        """Return the records that rebuild this grantor, marker last."""
+        """Return the records that restore this grantor, ready marker last."""
         records: list[typing.Any] = list(self.records())
         if self.ready:
             records.append(messages.LeaseReady(version=self.version))
         return records
 
     def records(self) -> tuple[messages.LeaseGranted, ...]:
-        """Return the highest grant of each name."""
+        """Return the grant with the highest epoch of each name."""
         return tuple(grant.record for grant in self._grants_by_name.values())
 
     def learn(self, record: messages.LeaseGranted) -> None:
-        """Remember an epoch, from the journal or from another grantor.
+        """Record an epoch from the journal or from another grantor.
 
-        A grant of this grantor's own that still stands goes on standing.
+        A grant of this grantor that has not expired stays in force.
         """
         grant = self._grants_by_name.get(record.name)
         if grant is None:
@@ -109,30 +113,33 @@
                 grant.expires_at = float('-inf')
 
     def start(self, now: float) -> None:
-        """Begin the wait after a restart; does nothing the second time.
+        """Start the wait after a restart; later calls have no effect.
 
-        Without the wait a grantor that restarted would grant a name whose
-        lease, granted before the restart, still runs: two holders at once.
+        Without the wait, a restarted grantor could grant a name whose lease,
+        granted before the restart, is still valid: two holders at once.
         """
         if self._wait_until is None:
             self._wait_until = now + self.longest_wait_s()
 
     def form(self) -> list[typing.Any]:
-        """Become ready without epochs, as the first of a new system."""
+        """Become ready without epochs, as a first voter of a new system."""
         return self.become_ready(self.version)
 
     def become_ready(self, version: int) -> list[typing.Any]:
-        """Journal all epochs with the marker that they are complete."""
+        """Journal all epochs, with the marker that they are complete.
+
+        :param version: of the set of grantors.
+        """
         self.ready = True
         self.version = max(self.version, version)
         records = tuple(self.snapshot())
         return [parts.Persist(token=self.next_token(), records=records)]
 
     def longest_wait_s(self) -> float:
-        """Return how long any grant given until now can still be counted on.
+        """Return in how many seconds all present grants have expired.
 
-        The journal knows the longest duration, so that a shorter one in the
-        settings of the restarted process doesn't shorten the wait.
+        The durations come from the journal, so that a restart with a shorter
+        duration in the settings doesn't shorten the wait.
         """
         durations = [record.duration_s for record in self.records()]
         if not durations:
@@ -142,7 +149,7 @@
     def on_claims(
         self, now: float, sender: str, claims: messages.LeaseClaims
     ) -> list[typing.Any]:
-        """Answer every claim of one message with one message."""
+        """Answer all claims of a message in one reply."""
         granted: dict[str, messages.LeaseGranted] = {}
         answers = []
         for claim in claims.claims:
@@ -165,10 +172,10 @@
     def on_release(
         self, now: float, sender: str, release: messages.LeaseRelease
     ) -> list[typing.Any]:
-        """Free a name at once, if it is the sender's own grant.
+        """Free a name at once if it is granted to the sender.
 
-        The successor is told, or whoever was refused lately: candidates
-        need not poll often to notice a release.
+        The successor is notified, or else the candidates refused recently,
+        so that candidates need not poll often to notice a release.
         """
         grant = self._grants_by_name.get(release.name)
         if grant is None or grant.released:
@@ -191,7 +198,7 @@
         return [parts.Send(to=name, message=vacant) for name in told]
 
     def on_persisted(self, token: str) -> list[typing.Any]:
-        """Send the answers that waited for this sync alone."""
+        """Return the replies whose last pending sync this was."""
         self._tokens_by_subject = {
             subject: waiting
             for subject, waiting in self._tokens_by_subject.items()
@@ -213,11 +220,11 @@
     def on_epochs_wanted(
         self, sender: str, wanted: messages.LeaseEpochsWanted
     ) -> list[typing.Any]:
-        """Let another grantor read the epochs, and fence older sets.
+        """Send the epochs to another grantor, and fence older sets.
 
-        A claim that counts on the replaced set must not get its majority
-        after this read, or the reader would miss its epoch. The fence is
-        synced first, as a restart would else forget it.
+        A claim under the replaced set must not get its majority after this
+        read, or the reader would miss its epoch. The fence is synced before
+        the reply; otherwise a restart would lose it.
         """
         epochs = messages.LeaseEpochs(
             reading=wanted.reading,
@@ -231,7 +238,7 @@
         return self._reply(sender, epochs, {_VERSION}, {_VERSION: marker})
 
     def next_token(self) -> str:
-        """Return a token for ``Persist`` that no other part uses."""
+        """Return a new token for ``Persist``, unique among all parts."""
         self._token_count += 1
         return f'lease:{self._token_count}'
 
@@ -242,7 +249,7 @@
         claims: messages.LeaseClaims,
         claim: messages.LeaseClaim,
     ) -> Outcome:
-        """Decide on one claim; the order of the checks matters."""
+        """Return the outcome of a claim; the order of the checks matters."""
         if not self.ready:
             return Outcome.NOT_CAUGHT_UP
         if claims.version < self.version:
@@ -258,8 +265,9 @@
             return Outcome.WAITING_OUT
         if grant is None or not grant.stands(now):
             return Outcome.GRANTED
-        # A candidate holds nothing while it asks, so a higher ask of the
-        # same life gives up the lower one.
+        # A candidate that requests a lease holds none. So a request with a
+        # higher epoch, from the same start of the instance, replaces its
+        # request with the lower one.
         if grant.is_to(sender, claims.life):
             return Outcome.GRANTED
         wait_s = self.duration_s + self.margin_s
@@ -269,10 +277,10 @@
     def _judge_renewal(
         self, sender: str, claims: messages.LeaseClaims, grant: _Grant
     ) -> Outcome:
-        """Decide on a claim for the highest epoch.
+        """Return the outcome of a claim for the highest epoch granted.
 
-        It is granted during the wait after a restart too: had this grantor
-        granted anything since, the highest epoch would be another one.
+        A renewal is granted during the wait after a restart too: if another
+        grant had been made since, the highest epoch would be a later one.
         """
         if not grant.is_to(sender, claims.life):
             return Outcome.OLD_EPOCH
@@ -289,7 +297,7 @@
         claims: messages.LeaseClaims,
         claim: messages.LeaseClaim,
     ) -> dict[str, messages.LeaseGranted]:
-        """Note a grant; return the record to sync if the epoch is new."""
+        """Record a grant; return the record to sync if the epoch is new."""
         expires_at = now + claims.duration_s
         grant = self._grants_by_name.get(claim.name)
         if grant is not None and grant.record.epoch == claim.epoch:
@@ -340,11 +348,15 @@
         subjects: abc.Set[str],
         records_by_subject: abc.Mapping[str, typing.Any],
     ) -> list[typing.Any]:
-        """Answer now, or once every record behind the answer is synced.
+        """Reply now, or once all records that the reply depends on are synced.
+
+        If the reply were sent before the sync, the holder could count a
+        grant that this grantor loses in a crash, and the same epoch could be
+        granted to another instance.
 
-        An answer that ran ahead of the sync would let the holder count a
-        grant that a crash of this grantor forgets, and the same epoch be
-        granted to another.
+        :param subjects: names of leases, or ``_VERSION``, that the message
+            depends on.
+        :param records_by_subject: records to sync first.
         """
         effects: list[typing.Any] = []
         if records_by_subject:
--- a/dandeliongw/coordination/holder.py
+++ b/dandeliongw/coordination/holder.py
@@ -1,9 +1,9 @@
-"""The candidate's and holder's side of leases.
+"""The candidate and holder side of leases.
 
-A candidate first probes, which changes nothing at the grantors, and asks
-only when a majority would grant. Without the probe a candidate that is cut
-off from some grantors would keep raising epochs at the others, and a healthy
-holder's renewals would be refused there.
+A candidate first probes, which changes no state at the grantors. It requests
+the lease only if a majority would grant it. Without the probe, a candidate
+that is cut off from some grantors would keep raising the epoch at the
+others, and they would refuse the renewals of a healthy holder.
 """
 
 import enum
@@ -18,19 +18,22 @@
 _NEVER = float('-inf')
 _GRANTED = messages.LeaseOutcome.GRANTED
 
-#: Shortest pause before another try; spreads candidates that collided.
+#: Base of the randomized backoff between attempts, in seconds. It spreads
+#: candidates whose requests collided.
 SHORTEST_RETRY_S = 0.02
-#: Part of the usual patience with a try that was refused by some grantor.
+#: Initial timeout, as a fraction of ``renew_s``, of an attempt that a grantor
+#: refused.
 SHORT_PATIENCE = 1 / 8
-#: Part of a lease's time without a word of any grantor after which they count
-#: as silent; several renewals fall into it.
+#: Fraction of a lease's duration without a confirmation by any grantor after
+#: which all of them count as unreachable. It spans several renewals.
 UNHEARD_PART = 0.5
-#: The pause doubles with each split ask in a row, up to this many times.
+#: The backoff doubles with each consecutive failed request, up to this many
+#: times.
 LONGEST_BACKOFF = 4
 
 
 class Phase(enum.Enum):
-    """What a candidate is doing about one name."""
+    """State of one name at a candidate or holder."""
 
     IDLE = 'idle'
     PROBING = 'probing'
@@ -39,13 +42,20 @@
 
 
 class _Lease(msgspec.Struct, kw_only=True):
-    """One name, as this instance sees it.
-
-    :param highest: highest epoch heard of; the next ask is above it.
-    :param asked_at: when the probe or ask under way was sent.
+    """State of the lease of one name at this instance.
+
+    :param epoch: of the held lease or current request; 0 during a probe.
+    :param highest: highest epoch seen; the next request uses a higher one.
+    :param holder: last holder reported by a grantor.
+    :param asked_at: when the current probe or request was sent.
+    :param next_try_at: earliest time of the next probe.
+    :param failures: consecutive requests that failed.
     :param confirmed_at_by_grantor: send time of the latest claim for
         ``epoch`` that each grantor granted.
+    :param refusals_by_grantor: refusals since the current request was sent.
     :param valid_until: end of the lease by this instance's clock.
+    :param vacated_by: grantors that reported the release of epoch
+        ``highest``.
     """
 
     name: str
@@ -68,13 +78,14 @@
 
 
 class Holder:
-    """Tries for the wanted names, and renews those it holds.
-
-    :param instance_id: this instance.
-    :param duration_s: length of a lease at the grantors.
-    :param margin_s: the holder stops this much earlier, for clocks that run
-        apart.
-    :param renew_s: pause between renewals, and patience with one try.
+    """Acquires leases of the wanted names and renews those held.
+
+    :param instance_id: id of this instance.
+    :param duration_s: length of a lease at the grantors, in seconds.
+    :param margin_s: the holder stops this many seconds earlier, against
+        clock drift.
+    :param renew_s: seconds between renewals; also the timeout of one
+        attempt.
     """
 
     def __init__(
@@ -99,12 +110,12 @@
         self._renewed_at = _NEVER
 
     def epoch_if_held(self, name: str, now: float) -> int | None:
-        """Return the epoch if the lease still runs at ``now``."""
+        """Return the epoch if the lease is still valid at ``now``."""
         lease = self._leases_by_name.get(name)
         if lease is None or lease.phase is not Phase.HELD:
             return None
-        # Asked at each send: a process that was frozen past its lease wakes
-        # up here before any event has told it so.
+        # Checked before each send: a process that was suspended until after
+        # its lease expired may get here before any event is handled.
         return lease.epoch if now < lease.valid_until else None
 
     def may_order(
@@ -112,9 +123,9 @@
     ) -> int | None:
         """Return the epoch if no predecessor's order can still take effect.
 
-        For engines that ignore fencing numbers: a predecessor that froze
-        after its last check may have handed an order to a socket, and the
-        engine would carry it out after the newer one.
+        Needed for engines that ignore fencing tokens: a predecessor that was
+        suspended after its last check may have written an order to a
+        socket, and the engine would execute it after the newer one.
         """
         epoch = self.epoch_if_held(name, now)
         if epoch is None:
@@ -124,7 +135,7 @@
         return epoch if now >= lease.gained_at + wait_s else None
 
     def known_holder(self, name: str) -> str | None:
-        """Return who held the lease when it was last heard of, a hint."""
+        """Return the last known holder; it may be out of date."""
         lease = self._leases_by_name.get(name)
         if lease is None:
             return None
@@ -133,10 +144,10 @@
         return lease.holder
 
     def change_quorum(self, version: int, changed: quorum.Quorum) -> None:
-        """Count majorities of other sets from now on.
+        """Use other sets of grantors from now on.
 
-        A lease that is held keeps the time it was granted; grantors of a
-        new set wait until such time has run out.
+        A held lease stays valid for the time granted; the grantors of a new
+        set wait until that time has passed.
         """
         if version < self.version:
             return
@@ -144,7 +155,7 @@
         self.quorum = changed
 
     def want(self, names: frozenset[str]) -> list[typing.Any]:
-        """Try for these names from now on; release what is not among them."""
+        """Try to hold these names from now on; release all others."""
         self._wanted = names
         effects: list[typing.Any] = []
         for name in sorted(names - self._leases_by_name.keys()):
@@ -154,7 +165,7 @@
         return effects
 
     def release(self, name: str, successor: str) -> list[typing.Any]:
-        """Give a name up and stop trying for it."""
+        """Release a name and stop requesting it."""
         self._wanted -= {name}
         lease = self._leases_by_name.get(name)
         if lease is None:
@@ -162,10 +173,10 @@
         return self._give_up(lease, successor)
 
     def on_tick(self, now: float, entropy: int) -> list[typing.Any]:
-        """Renew, start what is due, and end what has run too long."""
+        """Renew leases, start due attempts and end those that timed out."""
         self._entropy = entropy
         if not self._life:
-            # Zero means that no tick has brought entropy yet.
+            # Zero means that no tick has supplied entropy yet.
             self._life = entropy or 1
         effects = self.expire(now)
         claims = self._renewals(now)
@@ -177,7 +188,7 @@
         return effects + self._send_claims(now, claims)
 
     def expire(self, now: float) -> list[typing.Any]:
-        """Note every lease that has run out by ``now``."""
+        """End every lease that has expired by ``now``."""
         effects: list[typing.Any] = []
         for lease in self._leases_by_name.values():
             if lease.phase is Phase.HELD and now >= lease.valid_until:
@@ -189,7 +200,7 @@
     def on_answers(
         self, now: float, sender: str, answers: messages.LeaseAnswers
     ) -> list[typing.Any]:
-        """Count one grantor's answers to a probe, an ask or a renewal."""
+        """Count one grantor's answers to a probe, request or renewal."""
         if answers.life != self._life:
             return []
         effects: list[typing.Any] = []
@@ -211,9 +222,9 @@
     def on_vacant(
         self, now: float, sender: str, vacant: messages.LeaseVacant
     ) -> list[typing.Any]:
-        """Ask at once when a majority says that the holder released.
+        """Request the lease once a majority reports its release.
 
-        One word is not enough: the others would still refuse the ask.
+        After a single report, the other grantors would refuse the request.
         """
         lease = self._leases_by_name.get(vacant.name)
         if lease is None or vacant.name not in self._wanted:
@@ -231,7 +242,7 @@
             return []
         return self._send_claims(now, [self._ask(now, lease)])
 
-    # Starting and ending tries
+    # Starting and ending attempts
 
     def _is_due(self, now: float, lease: _Lease) -> bool:
         if lease.phase is not Phase.IDLE or lease.name not in self._wanted:
@@ -263,11 +274,12 @@
         return self._fail(now, lease)
 
     def _patience_s(self, lease: _Lease) -> float:
-        """Return how long a try may take.
+        """Return the timeout of the current attempt in seconds.
 
-        A refused ask met another candidate's, and each holds up the other
-        while both wait for a grantor that is dead. Such a one is given up
-        soon, later if it happens again: the grantors' disks may be slow.
+        A refused request collided with another candidate's. Each blocks the
+        other while both wait for a grantor that is down. So it gets a short
+        timeout. That grows with each failure, because the grantors' disks
+        may be slow.
         """
         if not lease.refusals_by_grantor:
             return self.renew_s
@@ -275,7 +287,7 @@
         return min(short_s, self.renew_s)
 
     def _fail(self, now: float, lease: _Lease) -> list[typing.Any]:
-        """End a try; free what a split ask was granted."""
+        """End an attempt; release what a failed request was granted."""
         effects: list[typing.Any] = []
         if lease.phase is Phase.ASKING:
             effects += self._send_release(lease, '')
@@ -286,14 +298,17 @@
         return effects
 
     def _free_in_s(self, lease: _Lease) -> float:
-        """Return after how long a majority might grant, as they told us."""
-        # The quorum looks for the highest value that a majority reaches, so
-        # waits are counted negative: the shortest wait is the highest.
+        """Return after how many seconds a majority may grant the lease.
+
+        The grantors reported these times in their answers.
+        """
+        # The quorum returns the highest value that a majority reaches. So
+        # the waits are negated: the shortest wait is the highest value.
         waits = dict.fromkeys(lease.confirmed_at_by_grantor, 0.0)
         for grantor, answer in lease.refusals_by_grantor.items():
             waits[grantor] = -answer.remaining_s
         wait_s = -self.quorum.agreed(waits)
-        # Too few have answered to tell: try again after the usual pause.
+        # Too few grantors have answered: wait for the renewal interval.
         return self.renew_s if wait_s == -_NEVER else max(wait_s, 0.0)
 
     def _backoff_s(self, lease: _Lease) -> float:
@@ -301,7 +316,7 @@
         return SHORTEST_RETRY_S * scale * (0.5 + self._draw())
 
     def _draw(self) -> float:
-        """Return the next number in [0, 1) that the tick's entropy yields."""
+        """Return a pseudorandom number in [0, 1) from the tick's entropy."""
         self._draws += 1
         mixed = (self._entropy ^ self._life) + self._draws * 0x9E3779B97F4A7C15
         mixed = (mixed ^ (mixed >> 31)) * 0xBF58476D1CE4E5B9
@@ -340,8 +355,8 @@
             return []
         self._note(sender, lease, answer, asked_at)
         agreed = self.quorum.agreed(lease.confirmed_at_by_grantor)
-        # Counted from the send of the claim, not from the answer: the
-        # grantor's own count began somewhere between the two.
+        # Counted from the send of the claim, not from the receipt of the
+        # answer: the grantor's own time starts somewhere between the two.
         valid_until = agreed + self.duration_s - self.margin_s
         lease.valid_until = max(lease.valid_until, valid_until)
         if lease.phase is Phase.HELD:
@@ -366,7 +381,7 @@
         lease.confirmed_at_by_grantor[sender] = max(before, asked_at)
 
     def _is_hopeless(self, lease: _Lease) -> bool:
-        """Return whether no majority can be had any more from this try."""
+        """Return whether this attempt can no longer get a majority."""
         hoped = {
             grantor: 0.0
             for grantor in self.quorum.everyone()
@@ -392,7 +407,7 @@
         )
 
     def _is_unheard(self, now: float, lease: _Lease) -> bool:
-        """Return whether no grantor confirmed the latest renewals."""
+        """Return whether no grantor answered the latest renewals."""
         if lease.refusals_by_grantor:
             return False
         last = max(lease.confirmed_at_by_grantor.values(), default=_NEVER)
--- a/dandeliongw/coordination/lease.py
+++ b/dandeliongw/coordination/lease.py
@@ -1,8 +1,8 @@
-"""Leases with epochs: at most one instance acts for a name at a time.
+"""Leases with epochs: at most one instance holds a name at a time.
 
-A lease is granted by a majority of the voters for a short time, and renewed
-while its holder lives. Each new holder gets a higher epoch, which it sends
-along as the fencing number. docs/LEASES.md tells why this is safe, and
+A majority of the voters grants a lease for a short time; its holder renews
+it. Each new holder gets a higher epoch, which it sends with its orders as
+the fencing token. docs/LEASES.md explains why this is safe, and
 specs/lease_spec.py checks it.
 """
 
@@ -38,12 +38,13 @@
 class Leases:
     """The lease part of one instance: holder, and grantor if a voter.
 
-    :param instance_id: this instance.
+    :param instance_id: id of this instance.
     :param is_grantor: whether it has a journal and grants leases.
-    :param duration_s: length of a lease; the same on all instances.
-    :param margin_s: how much earlier a holder stops and how much longer
-        everyone else waits, for clocks that run apart.
-    :param renew_s: pause between renewals.
+    :param duration_s: length of a lease in seconds; the same on all
+        instances.
+    :param margin_s: safety margin for clock drift, in seconds: a holder
+        stops this much earlier, and others wait this much longer.
+    :param renew_s: seconds between renewals.
     """
 
     def __init__(
@@ -74,44 +75,44 @@
 
     @property
     def outcomes_by_label(self) -> abc.Mapping[str, int]:
-        """How often this grantor gave each answer, for the metrics."""
+        """Number of answers of this grantor by outcome, for the metrics."""
         return self._grantor.outcomes_by_label
 
     def epoch_if_held(self, name: str, now: float) -> int | None:
         """Return the epoch if this instance holds the lease at ``now``.
 
         Call it with a fresh reading of the monotonic clock just before each
-        send that only the holder may do.
+        send that only the holder may make.
         """
         return self._holder.epoch_if_held(name, now)
 
     def may_order(
         self, name: str, now: float, longest_order_s: float
     ) -> int | None:
-        """Return the epoch if an engine that ignores it may get an order.
+        """Return the epoch if engines without fencing may get an order.
 
-        :param longest_order_s: no order takes effect later than this after
-            the check that went before its send.
+        :param longest_order_s: most seconds from the check before an order's
+            send until the order takes effect.
         """
         return self._holder.may_order(name, now, longest_order_s)
 
     def known_holder(self, name: str) -> str | None:
-        """Return the last known holder of a name, a hint that may be old."""
+        """Return the last known holder of a name; it may be out of date."""
         return self._holder.known_holder(name)
 
     def restore(self, record: typing.Any) -> None:
-        """Take one journal record back in at a start."""
+        """Replay one journal record at startup."""
         if self.is_grantor:
             self._grantor.restore(record)
 
     def snapshot(self) -> list[typing.Any]:
-        """Return the records from which :meth:`restore` rebuilds the part."""
+        """Return the records from which :meth:`restore` restores the state."""
         return self._grantor.snapshot()
 
     def handle(self, event: typing.Any) -> list[typing.Any]:
-        """Take one event in and return the effects.
+        """Apply one event and return the effects to perform.
 
-        :raises TypeError: for an event that the part doesn't know.
+        :raises TypeError: for an event of another part.
         """
         if isinstance(event, parts.Persisted):
             return self._grantor.on_persisted(event.token)
@@ -130,7 +131,7 @@
             return effects + self._on_grantors_changed(event)
         if isinstance(event, GrantorsFormed):
             return effects + self._on_grantors_formed()
-        raise TypeError(f'not an event of leases: {event!r}')
+        raise TypeError(f'leases do not handle this event: {event!r}')
 
     def _on_ticked(self, event: parts.Ticked) -> list[typing.Any]:
         effects = self._catch_up.on_tick(event.now, event.entropy)
--- a/dandeliongw/coordination/lease_messages.py
+++ b/dandeliongw/coordination/lease_messages.py
@@ -1,7 +1,7 @@
-"""What the lease part says to its peers, to its journal and to its owner.
+"""Messages, journal records, events and effects of the lease part.
 
-Times are seconds of the sender's own monotonic clock. A receiver only ever
-echoes another instance's time; it never compares it with its own.
+Times are seconds of the sender's monotonic clock. A receiver only returns
+another instance's times; it never compares them with its own clock.
 """
 
 import enum
@@ -12,41 +12,43 @@
 class LeaseOutcome(enum.IntEnum):
     """A grantor's answer to a claim; all but the first are refusals.
 
-    Granted is zero, which takes no byte on the wire. The names are the
-    labels of the refusal counter.
+    ``GRANTED`` is zero, which takes no bytes on the wire. The names are the
+    labels of the answer counter.
     """
 
     GRANTED = 0
-    #: Another holder's grant stands.
+    #: Another holder's grant has not expired.
     HELD = 1
-    #: The epoch is not above the highest one granted; the answer names it.
+    #: A higher epoch was granted, or this one to another holder; the answer
+    #: has the highest epoch granted.
     OLD_EPOCH = 2
-    #: The claim counts on a set of grantors that has been replaced.
+    #: The claim is made under a set of grantors that has been replaced.
     OLD_VERSION = 3
-    #: The grantor restarted and can't know which grants still stand.
+    #: The grantor restarted, and earlier grants may not have expired.
     WAITING_OUT = 4
-    #: The grantor has no disk contents and hasn't read the others' epochs.
+    #: The grantor has no records and has not read the others' epochs.
     NOT_CAUGHT_UP = 5
-    #: The claim asks for more time than the grantor would wait out.
+    #: The claimed duration is longer than the grantor would wait out.
     TOO_LONG = 6
-    #: The claim crossed the release of the same lease.
+    #: The holder has released this lease; the claim arrived late.
     RELEASED = 7
 
 
 class LeaseClaim(msgspec.Struct, frozen=True, kw_only=True):
-    """An ask, a renewal, or with epoch 0 a probe that changes nothing."""
+    """A request, a renewal, or with epoch 0 a probe without effect."""
 
     name: str
     epoch: int
 
 
 class LeaseClaims(msgspec.Struct, frozen=True, kw_only=True):
-    """All that one instance claims from one grantor at one time.
+    """All claims that an instance sends to a grantor at one time.
 
-    :param version: of the set of grantors whose majority the sender counts.
+    :param version: of the set of grantors that the sender uses.
     :param life: random number of this start of the sender; two starts of
         one instance are two holders.
-    :param asked_at: the sender's clock; the answer carries it back.
+    :param asked_at: send time by the sender's clock; returned in the answer.
+    :param duration_s: length of the lease in seconds.
     """
 
     version: int
@@ -59,9 +61,11 @@
 class LeaseAnswer(msgspec.Struct, frozen=True, kw_only=True):
     """The outcome of one claim.
 
-    :param highest: highest epoch granted; 0 in an answer to a renewal.
-    :param holder: whose grant was the last, in a refusal; else empty.
-    :param remaining_s: how long the cause of a refusal will last.
+    :param highest: highest epoch granted; 0 if a request or renewal is
+        granted.
+    :param holder: holder of the last grant, in a refusal or an answer to a
+        probe; otherwise empty.
+    :param remaining_s: seconds until the cause of a refusal ends.
     """
 
     name: str
@@ -82,9 +86,9 @@
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, kw_only=True):
-    """The sender no longer uses this epoch and never will again.
+    """The sender has permanently stopped using this epoch.
 
-    :param successor: instance to tell, or empty.
+    :param successor: instance to notify, or empty.
     """
 
     life: int
@@ -94,17 +98,18 @@
 
 
 class LeaseVacant(msgspec.Struct, frozen=True, kw_only=True):
-    """A grantor tells a named successor that ``epoch`` was released."""
+    """A grantor notifies a candidate that ``epoch`` was released."""
 
     name: str
     epoch: int
 
 
 class LeaseEpochsWanted(msgspec.Struct, frozen=True, kw_only=True):
-    """A grantor without memory reads another's epochs.
+    """A grantor that catches up reads another grantor's epochs.
 
-    :param version: the receiver refuses claims under an older one from now
-        on, so that no grant can slip in behind the read.
+    :param version: the receiver refuses claims under an older version from
+        now on, so that the read misses no later grant.
+    :param reading: id of this read; returned in the answer.
     """
 
     version: int
@@ -114,7 +119,7 @@
 class LeaseGranted(msgspec.Struct, frozen=True, kw_only=True):
     """Journal record: the highest epoch granted for a name, and to whom.
 
-    :param duration_s: longest time that the grant may be renewed for.
+    :param duration_s: longest renewal of the grant, in seconds.
     """
 
     name: str
@@ -127,14 +132,15 @@
 class LeaseReady(msgspec.Struct, frozen=True, kw_only=True):
     """Journal record: this journal's epochs are complete.
 
-    A journal without it is new or was lost, and grants nothing.
+    A journal without this record is new or was lost; its grantor refuses all
+    claims.
     """
 
     version: int
 
 
 class LeaseEpochs(msgspec.Struct, frozen=True, kw_only=True):
-    """A grantor's records, read by one that catches up.
+    """A grantor's records, sent to a grantor that catches up.
 
     :param ready: whether the sender's own records are complete.
     """
@@ -145,9 +151,9 @@
 
 
 class Wanted(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: the names that this instance should hold or try to hold.
+    """Event: the names that this instance is to hold or try to hold.
 
-    A held name that is missing is released.
+    A held name that is not among them is released.
     """
 
     now: float
@@ -155,9 +161,9 @@
 
 
 class Release(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: give a lease up, quickly, to ``successor`` if one is named.
+    """Event: release a lease at once, to ``successor`` if one is given.
 
-    The name is no longer wanted until a :class:`Wanted` says so again.
+    The name is not requested again until a :class:`Wanted` includes it.
     """
 
     now: float
@@ -168,10 +174,10 @@
 class GrantorsChanged(msgspec.Struct, frozen=True, kw_only=True):
     """Event: the voters that grant leases.
 
-    :param grantors: instance ids of the set in force.
-    :param joining: the whole set that is to replace it, while a change runs;
-        a claim then needs a majority of both.
-    :param version: grows with each change of either set.
+    :param grantors: instance ids of the current set.
+    :param joining: the whole set that is to replace it during a change; a
+        claim then needs a majority of both sets.
+    :param version: increases with each change of either set.
     """
 
     now: float
@@ -183,25 +189,25 @@
 class GrantorsFormed(msgspec.Struct, frozen=True, kw_only=True):
     """Event: the first voters of a new system start with empty journals.
 
-    Only for a set that has never granted anything. Telling it to a grantor
-    whose disk was lost would let an epoch be granted twice.
+    Only for a set that has never granted a lease. If a grantor that lost its
+    disk handled this event, an epoch could be granted twice.
     """
 
     now: float
 
 
 class LeaseGained(msgspec.Struct, frozen=True, kw_only=True):
-    """Effect: this instance holds the lease from now on."""
+    """Effect: this instance now holds the lease."""
 
     name: str
     epoch: int
 
 
 class LeaseLost(msgspec.Struct, frozen=True, kw_only=True):
-    """Effect: this instance stopped holding the lease, for any cause.
+    """Effect: this instance no longer holds the lease, for any reason.
 
-    :param is_unheard: it ran out while no grantor at all was heard, so that
-        nobody else is likely to hold it.
+    :param is_unheard: it expired while no grantor answered, so another
+        instance is unlikely to hold it.
     """
 
     name: str
@@ -213,13 +219,13 @@
     """Effect: this grantor is ready under the set of this version.
 
     A change of voters may finish only when a majority of the new set has
-    said so.
+    produced this effect.
     """
 
     version: int
 
 
-#: What goes between instances.
+#: Messages between instances.
 MESSAGES = (
     LeaseClaims,
     LeaseAnswers,
@@ -228,5 +234,5 @@
     LeaseEpochsWanted,
     LeaseEpochs,
 )
-#: What goes to the journal.
+#: Journal records.
 RECORDS = (LeaseGranted, LeaseReady)
--- a/dandeliongw/coordination/quorum.py
+++ b/dandeliongw/coordination/quorum.py
@@ -1,4 +1,4 @@
-"""Majorities of the set of grantors, and of both sets during a change."""
+"""Majorities of the set of grantors; during a change, of both sets."""
 
 from collections import abc
 
@@ -6,23 +6,25 @@
 
 
 class Quorum(msgspec.Struct, frozen=True, kw_only=True):
-    """Who grants, and what counts as enough of them.
+    """The grantors whose majority grants a lease.
 
-    :param grantors: the set in force.
-    :param joining: the set that is to replace it, or empty.
+    :param grantors: instance ids of the current set.
+    :param joining: the set that is to replace it; empty without a change.
     """
 
     grantors: tuple[str, ...] = ()
     joining: tuple[str, ...] = ()
 
     def everyone(self) -> tuple[str, ...]:
-        """Return each instance once, those in force first."""
+        """Return all instances of both sets once, the current set first."""
         return tuple(dict.fromkeys(self.grantors + self.joining))
 
     def agreed(self, values_by_grantor: abc.Mapping[str, float]) -> float:
         """Return the highest value that a majority has reached.
 
-        :param values_by_grantor: a grantor that is missing has reached none.
+        During a change, that is a majority of each set.
+
+        :param values_by_grantor: a missing grantor counts as minus infinity.
         :returns: minus infinity without a majority of each set.
         """
         if not self.grantors:
@@ -35,12 +37,12 @@
 
 
 def majority(count: int) -> int:
-    """Return how many of ``count`` make a majority."""
+    """Return the size of the smallest majority of ``count`` members."""
     return count // 2 + 1
 
 
 def intersecting(count: int) -> int:
-    """Return how many of ``count`` meet every majority of them."""
+    """Return how many of ``count`` members intersect every majority."""
     return count - majority(count) + 1
 
 
