--- a/tests/claims_network.py
+++ b/tests/claims_network.py
@@ -1,7 +1,7 @@
 """A fake network for claims: losses, crashes, lost disks and repairs.
 
-Nothing waits: the network delivers what a test lets it deliver, and time is
-a number that a test moves.
+Time is virtual: a test decides which packets are delivered and advances the
+clock.
 """
 
 from collections import abc
@@ -19,9 +19,9 @@
 ROUND_TRIP_S = 0.01
 RETENTION_S = 1000.0
 DEADLINE_S = 10.0
-#: Longer than any piece of work at an entry takes.
+#: Longer than the timeout of any operation at an entry.
 GIVE_UP_S = 1.0
-#: More than any test needs; a protocol that never rests passes it.
+#: More than any test needs; only messages in an endless loop exceed it.
 MAX_PACKETS = 5000
 DIGEST = b'body'
 CODEC = codec.Codec(
@@ -38,10 +38,14 @@
 
 
 class Network:
-    """Instances, their disks, and what is on its way between them.
+    """Instances, their disks, and the packets in transit between them.
 
-    :param journals_by_id: what each disk has synced, as encoded records.
-    :param cut: instances that nothing reaches or leaves.
+    :param holders: ids of the first claim holders.
+    :param max_records: most keys that a holder stores.
+    :param first_epoch: of the first set of holders.
+
+    ``journals_by_id`` has the synced, encoded records of each disk. ``cut``
+    has the instances that are cut off from all others.
     """
 
     def __init__(
@@ -61,8 +65,8 @@
         self.results_by_ticket: dict[str, typing.Any] = {}
         self.begun: set[str] = set()
         self.abandoned: set[str] = set()
-        #: Whether news of holders travel like messages.
-        self.tells_by_packet = False
+        #: Whether changes of the holders are sent as packets.
+        self.notifies_by_packet = False
         self.caught_up: list[messages.CaughtUp] = []
         self.syncs = 0
         self.epoch = first_epoch - 1
@@ -80,7 +84,7 @@
         self.start(holder)
 
     def start(self, instance: str) -> None:
-        """Start anew: only what the disk has synced is left."""
+        """Start an instance with the records that its disk has synced."""
         disk_id = self.disk_ids_by_id.get(instance)
         part = claims.Claims(
             instance_id=instance,
@@ -95,7 +99,7 @@
             part.restore(CODEC.decode(kind, body))
         self.parts_by_id[instance] = part
         if self.epoch:
-            self.tell_set(instance)
+            self.notify_holders(instance)
 
     def change(
         self, current: dict[str, str], joining: dict[str, str] | None = None
@@ -103,14 +107,16 @@
         self.epoch += 1
         self.sets = (current, joining or {})
         for instance in self.parts_by_id:
-            if self.tells_by_packet:
+            if self.notifies_by_packet:
                 self.packets.append(
-                    Packet(sender='', to=instance, message=self.news())
+                    Packet(
+                        sender='', to=instance, message=self.holders_changed()
+                    )
                 )
             elif instance not in self.cut:
-                self.tell_set(instance)
+                self.notify_holders(instance)
 
-    def news(self) -> messages.HoldersChanged:
+    def holders_changed(self) -> messages.HoldersChanged:
         return messages.HoldersChanged(
             now=self.now,
             disk_ids_by_holder=self.sets[0],
@@ -118,11 +124,11 @@
             epoch=self.epoch,
         )
 
-    def tell_set(self, instance: str) -> None:
-        self.handle(instance, self.news())
+    def notify_holders(self, instance: str) -> None:
+        self.handle(instance, self.holders_changed())
 
     def replace(self, holder: str, disk_id: str) -> None:
-        """Give a holder an empty disk and repair it to the end."""
+        """Replace a holder's disk by an empty one; complete the repair."""
         current = self.sets[0]
         self.add_disk(holder, disk_id)
         self.change(current, {holder: disk_id})
@@ -184,7 +190,9 @@
                 return
             self.packets.remove(ready[0])
             self.deliver(ready[0])
-        raise AssertionError('messages without end')
+        raise AssertionError(
+            f'still sending messages after {MAX_PACKETS} packets'
+        )
 
     def step(self, count: int) -> None:
         """Deliver this many packets, in order."""
@@ -198,7 +206,7 @@
             self.step(1)
 
     def granted(self) -> set[str]:
-        """Return the tickets that were granted."""
+        """Return the tickets whose result is a grant."""
         return {
             ticket
             for ticket, result in self.results_by_ticket.items()
@@ -206,7 +214,7 @@
         }
 
     def crash(self, instance: str) -> None:
-        """Lose memory, unsynced records and what is on its way in."""
+        """Lose memory, unsynced records and packets in transit to it."""
         del self.parts_by_id[instance]
         self.packets = [p for p in self.packets if p.to != instance]
 
@@ -240,7 +248,7 @@
     def claim(
         self, entry: str, attempt: str, *, digest: bytes = DIGEST
     ) -> typing.Any:
-        """Begin, and run to the answer; ticks as often as it takes."""
+        """Begin an attempt; run, with up to 50 ticks, until its result."""
         self.begin(entry, attempt, digest=digest)
         self.run()
         for _ in range(50):
--- a/tests/lease_network.py
+++ b/tests/lease_network.py
@@ -1,8 +1,8 @@
 """A fake network and journals for tests of leases; time is virtual.
 
-Every start of an instance has a monotonic clock with a base and a rate of
-its own. After each event the network looks for two holders and for an epoch
-that was gained twice.
+At every start, an instance's monotonic clock gets a new base; its rate may
+differ from other clocks. After each event, the network checks that there is
+at most one holder and that no epoch was gained by two instances.
 """
 
 from collections import abc
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Node:
-    """One instance: its part, its journal and its clock."""
+    """One instance: its part, journal records and clock rate."""
 
     name: str
     is_grantor: bool
@@ -47,7 +47,7 @@
 
 
 class Network(timeline.Timeline):
-    """Instances ``v1`` to ``v3``, which grant, and ``a`` and ``b``."""
+    """Grantors, by default ``v1`` to ``v3``, and other instances."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
             self.post(name, lease.GrantorsFormed(now=self.clock(name)))
         self.run(0.01)
 
-    # What a test does
+    # Operations for tests
 
     def clock(self, name: str) -> float:
         node = self.nodes_by_id[name]
@@ -87,7 +87,7 @@
         return base + self.now * node.rate
 
     def post(self, name: str, event: typing.Any) -> None:
-        """Hand an event to an instance and perform the effects."""
+        """Let an instance handle an event, and perform the effects."""
         node = self.nodes_by_id[name]
         for effect in node.part.handle(event):
             self._perform(node, effect)
@@ -96,11 +96,14 @@
     def run_until(
         self, is_done: abc.Callable[[], bool], limit: float
     ) -> float:
-        """Return how long it took in virtual time."""
+        """Run until the condition holds; return the virtual seconds.
+
+        :raises AssertionError: after ``limit`` seconds.
+        """
         begun = self.now
         while not is_done():
             if self.now - begun > limit:
-                raise AssertionError(f'not done within {limit} s')
+                raise AssertionError(f'condition not met within {limit} s')
             self.run(TICK_S / 4)
         return self.now - begun
 
@@ -117,7 +120,7 @@
     def change_grantors(self, **changed: typing.Any) -> None:
         self.quorum = changed
         for name in self.nodes_by_id:
-            self._tell_quorum(name)
+            self._notify_quorum(name)
 
     def freeze(self, name: str) -> None:
         self.nodes_by_id[name].is_frozen = True
@@ -130,7 +133,7 @@
             self._deliver(sender, effect)
 
     def start(self, name: str, *, loses_disk: bool = False) -> None:
-        """Start an instance, or start it again."""
+        """Start or restart an instance."""
         node = self.nodes_by_id[name]
         node.is_frozen = False
         if loses_disk:
@@ -139,7 +142,7 @@
         self._later(
             self.random.random() * TICK_S, self._tick, node, node.starts
         )
-        self._tell_quorum(name)
+        self._notify_quorum(name)
 
     def cut(self, name: str) -> None:
         """Lose all messages from and to an instance."""
@@ -156,16 +159,16 @@
         effects = self.nodes_by_id[name].effects
         return [effect for effect in effects if isinstance(effect, kind)]
 
-    # How it works
+    # Implementation
 
-    def _tell_quorum(self, name: str) -> None:
+    def _notify_quorum(self, name: str) -> None:
         changed = lease.GrantorsChanged(now=self.clock(name), **self.quorum)
         self.post(name, changed)
 
     def _check(self, node: Node) -> None:
         holders = self.holders()
         if len(holders) > 1:
-            self.violations.append(f'{self.now}: {holders} hold')
+            self.violations.append(f'{self.now}: {holders} hold the lease')
         for gained in self.effects(node.name, lease.LeaseGained)[-1:]:
             owner = (node.name, node.starts)
             first = self._gained_by_epoch.setdefault(gained.epoch, owner)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims over a fake network: each trap once, and all of them at random."""
+"""Claims over a fake network: known failures, and random sequences."""
 
 import unittest
 
@@ -25,10 +25,10 @@
         self.network = claims_network.Network()
 
     def test_the_first_epoch_may_be_0(self):
-        """Symptom: no claim is ever granted.
+        """The register numbers its sets of holders from 0.
 
-        Sequence: the register counts its sets from 0. Cause: entries take 0
-        for what they knew before there was a set.
+        If entries took epoch 0 for "no set yet", they would ignore the first
+        set and no claim would be granted.
         """
         network = claims_network.Network(first_epoch=0)
         self.assertEqual(messages.Granted(), network.claim('E', 'e1'))
@@ -54,14 +54,14 @@
         self.network.tick(1.0)
         self.assertEqual(messages.Granted(), self.network.claim('F', 'f1'))
 
-    def test_an_outcome_that_is_too_large_is_noted_without_it(self):
+    def test_of_a_too_large_outcome_only_the_fact_is_stored(self):
         self.network.claim('E', 'e1')
         self.network.record('E', 'e1', b'more than eight')
         self.assertEqual(
             messages.Replayed(outcome=None), self.network.claim('F', 'f1')
         )
 
-    def test_all_holders_restarted_still_replay(self):
+    def test_an_outcome_is_replayed_after_all_holders_restart(self):
         self.network.claim('E', 'e1')
         self.network.record('E', 'e1', b'done')
         for holder in 'ABC':
@@ -76,8 +76,8 @@
     def setUp(self):
         self.network = claims_network.Network()
 
-    def granted_while_cut(self, holder, *, attempt='e1'):
-        """Let E be granted by the other two holders only."""
+    def grant_with_one_cut_off(self, holder, *, attempt='e1'):
+        """Let E get a grant from the other two holders only."""
         self.network.cut.add(holder)
         result = self.network.claim('E', attempt)
         self.assertEqual(messages.Granted(), result)
@@ -112,10 +112,10 @@
         ('', 'contested', 'b', 'claimed', ('', 'contested')),
         ('', 'contested', 'b', 'recorded', ('b', 'recorded')),
     )
-    def test_a_joining_holder_takes_no_side(self, one, how, other, as_, kept):
-        """Symptom: a booking is made twice after a repair.
+    def test_merging_different_copies(self, one, how, other, as_, kept):
+        """If the copied holders differ, a joining holder picks neither slot.
 
-        Sequence: two holders that are copied differ. Cause: one is picked.
+        Otherwise a call could run twice after a repair.
         """
         for pair in ((slot(one, how), slot(other, as_)),):
             for first, second in (pair, pair[::-1]):
@@ -135,11 +135,11 @@
         ({'A': slot('a', 'withdrawn'), 'B': slot('me')}, set()),
         ({'A': slot('', 'contested'), 'B': slot('b')}, {'', 'b'}),
     )
-    def test_a_round_is_dead_when_nobody_can_have_won(self, shown, rivals):
-        """Symptom: a booking is made twice.
+    def test_possible_winners_of_a_round(self, shown, rivals):
+        """Unreachable holders and contested slots count for every attempt.
 
-        Sequence: the next round starts while an unreachable holder, or a
-        contested slot, may make a majority. Cause: it counts for nobody.
+        If they counted for none, the next round could start although an
+        attempt of this round has a majority, and a call could run twice.
         """
         holder_set = claim_slots.HolderSet(
             epoch=1,
@@ -162,26 +162,24 @@
 
 
 class HolderTest(ClaimsTest):
-    def test_nothing_is_told_of_an_unsynced_slot(self):
-        """Symptom: a booking is made twice after a crash.
+    def test_no_reply_reports_an_unsynced_slot(self):
+        """A refusal, like a grant, is sent only after the sync.
 
-        Sequence: A shows F that E has the slot; A crashes before its sync
-        and gives the slot to another. Cause: a refusal proves as much as a
-        grant, and was told before the sync.
+        Otherwise A could report to F that E has the slot, crash before its
+        sync and grant the slot to another attempt; a call could run twice.
         """
         self.network.begin('E', 'e1')
         self.network.begin('F', 'f1')
         self.network.run(
             lambda packet: isinstance(packet.message, messages.ClaimPut)
         )
-        told = [p for p in self.network.packets if p.sender != p.to]
-        self.assertEqual([], told)
+        replies = [p for p in self.network.packets if p.sender != p.to]
+        self.assertEqual([], replies)
 
-    def test_a_withdrawal_touches_no_other_attempt(self):
-        """Symptom: a booking is made twice.
+    def test_a_withdrawal_changes_no_other_attempt(self):
+        """F's withdrawal reaches holders that granted the slot to E.
 
-        Sequence: F's withdrawal reaches holders that granted E. Cause: they
-        take it for E's.
+        If they applied it to E's attempt, the call could run twice.
         """
         self.network.claim('E', 'e1')
         withdraw = messages.ClaimWithdraw(
@@ -197,11 +195,11 @@
         result = self.network.claim('F', 'f2')
         self.assertIsInstance(result, messages.InProgress)
 
-    def test_a_put_of_an_old_epoch_is_not_taken(self):
-        """Symptom: a booking is made twice after a repair.
+    def test_a_put_of_an_old_epoch_is_refused(self):
+        """A put sent before a repair arrives after the copy.
 
-        Sequence: a put from before the repair arrives behind the copy.
-        Cause: the holder grants what the joining one can't have copied.
+        If it were granted, the joining holder would not have the slot, and
+        the call could run twice.
         """
         self.network.begin('E', 'e1')
         late, self.network.packets = self.network.packets, []
@@ -212,13 +210,13 @@
         self.network.run()
         self.assertEqual(1, len(self.network.parts_by_id['B'].snapshot()))
 
-    def test_a_restarted_holder_remembers_its_epoch(self):
-        """Symptom: as above, after a crash.
+    def test_a_restarted_holder_keeps_its_epoch(self):
+        """B restarts and receives the set of holders from before a repair.
 
-        Sequence: B restarts and hears of the set from before the repair.
-        Cause: the epoch that it acted under was never synced.
+        If it had not synced the epoch of the repair, it would accept puts of
+        the older epoch, and a call could run twice.
         """
-        old = self.network.news()
+        old = self.network.holders_changed()
         self.network.replace('A', 'disk-A2')
         self.network.crash('B')
         self.network.epoch = 0
@@ -235,11 +233,10 @@
 
 
 class ResendTest(ClaimsTest):
-    def test_a_resend_while_the_first_works_is_told_to_come_back(self):
-        """Symptom: a booking is made twice.
+    def test_a_retry_during_the_first_attempt_is_in_progress(self):
+        """The caller loses its connection to E and retries through F.
 
-        Sequence: the caller loses its connection to E, which works on, and
-        sends again through F. Cause: F knows nothing of E's attempt.
+        E's attempt is still running, so F must not run the call as well.
         """
         self.network.claim('E', 'e1')
         result = self.network.claim('F', 'f1')
@@ -249,12 +246,11 @@
             messages.Replayed(outcome=b'done'), self.network.claim('F', 'f2')
         )
 
-    def test_a_dead_entrys_attempt_never_runs_again(self):
-        """Symptom: a booking is made twice, much later.
+    def test_the_attempt_of_a_crashed_entry_never_runs_again(self):
+        """E crashes after it sent its call; the caller retries later.
 
-        Sequence: E dies after its call went out; its deadline passes; the
-        caller sends again. Cause: the passed deadline is taken for a proof
-        that E did not run it.
+        An expired deadline does not prove that E's attempt did not run, so
+        the call must not run again.
         """
         self.network.claim('E', 'e1')
         self.network.crash('E')
@@ -265,11 +261,10 @@
         late = self.network.claim('F', 'f2')
         self.assertEqual(messages.OutcomeUnknown(), late)
 
-    def test_a_grant_that_nobody_uses_is_dropped(self):
-        """Symptom: an entry's memory grows for a day.
+    def test_an_unused_grant_is_evicted(self):
+        """Calls that break off are neither finished nor abandoned.
 
-        Sequence: calls break off, and nobody knows whether they ran. Cause:
-        their attempts are neither finished nor abandoned.
+        If their attempts were never evicted, the entry's memory would grow.
         """
         self.network.claim('E', 'e1')
         self.network.tick(3 * DEADLINE_S)
@@ -278,9 +273,9 @@
         )
 
     def test_a_lost_put_is_sent_again(self):
-        """Symptom: a call is refused though all holders work.
+        """All puts are lost once.
 
-        Sequence: all puts are lost once. Cause: nothing sends them again.
+        Without a resend, the call would be refused though all holders work.
         """
         self.network.begin('E', 'e1')
         self.network.packets.clear()
@@ -289,11 +284,10 @@
             messages.Granted(), self.network.results_by_ticket['e1']
         )
 
-    def test_a_begin_without_holders_ends(self):
-        """Symptom: a caller waits for ever.
+    def test_a_begin_without_a_majority_times_out(self):
+        """Two of three holders are unreachable.
 
-        Sequence: two holders are cut off. Cause: a begin waits for a
-        majority that doesn't come.
+        Without a timeout, the caller would wait for a majority for ever.
         """
         self.network.cut |= {'A', 'B'}
         result = self.network.claim('E', 'e1')
@@ -301,35 +295,35 @@
             messages.UnavailableReason.HOLDERS_UNREACHABLE, result.reason
         )
 
-    def test_told_not_run_an_earlier_send_never_runs(self):
-        """Symptom: told "not run", the caller finds its booking made.
+    def test_an_earlier_attempt_never_runs_after_not_run(self):
+        """A call must not run after its caller got the answer "not run".
 
-        Sequence: E's puts are slow; the caller sends again through F, which
-        is granted, abandons, and tells "not run"; then E's puts arrive.
-        Cause: to E the key looks free for a resend.
+        E's puts are delayed. The caller's retry through F is granted,
+        abandoned and answered "not run"; then E's puts arrive and find a
+        withdrawn slot.
         """
         self.network.begin('E', 'e1')
         self.network.now += 0.001
-        slow, self.network.packets = self.network.packets, []
+        delayed, self.network.packets = self.network.packets, []
         self.assertEqual(messages.Granted(), self.network.claim('F', 'f1'))
         self.network.abandon('F', 'f1')
         self.network.run()
-        self.network.packets = slow
+        self.network.packets = delayed
         self.network.run()
         self.network.tick(GIVE_UP_S)
         self.assertIsInstance(
             self.network.results_by_ticket['e1'], messages.InProgress
         )
 
-    def test_a_later_round_is_no_way_round_that(self):
-        """Symptom: as above.
+    def test_nor_does_an_earlier_attempt_run_in_a_later_round(self):
+        """E must not join a round that started after "not run" was answered.
 
-        Sequence: as above, but another send after "not run" has taken a
-        slot of the next round before E's puts arrive. Cause: E joins it.
+        As in the test above, but another retry has taken a slot of the next
+        round before E's puts arrive.
         """
         self.network.begin('E', 'e1')
         self.network.now += 0.001
-        slow, self.network.packets = self.network.packets, []
+        delayed, self.network.packets = self.network.packets, []
         self.network.claim('F', 'f1')
         self.network.abandon('F', 'f1')
         self.network.run()
@@ -337,7 +331,7 @@
         self.network.begin('F', 'f2')
         self.network.run(lambda packet: not is_put(packet, to='BC', round=1))
         self.network.crash('F')
-        self.network.packets = slow
+        self.network.packets = delayed
         self.network.run()
         self.network.tick(GIVE_UP_S)
         self.assertIsInstance(
@@ -345,26 +339,24 @@
         )
 
     def test_an_abandoned_begin_frees_the_key_and_never_runs(self):
-        """Symptom: a caller who left has its booking made later.
+        """The caller disconnects while its claim is being made.
 
-        Sequence: the caller leaves while the claim is on its way; the
-        grants, and doubles of the puts, arrive late. Cause: a late grant
-        counts for an attempt that was given up.
+        Late grants and duplicate puts must not let the abandoned attempt
+        run.
         """
         self.network.begin('E', 'e1')
-        doubles = list(self.network.packets)
+        duplicates = list(self.network.packets)
         self.network.abandon('E', 'e1')
         self.network.run()
-        self.network.packets = doubles
+        self.network.packets = duplicates
         self.network.tick(GIVE_UP_S)
         self.assertNotIn('e1', self.network.results_by_ticket)
         self.assertEqual(messages.Granted(), self.network.claim('F', 'f1'))
 
     def test_a_split_of_three_ends_with_one_grant(self):
-        """Symptom: a key is blocked though nobody ran; or two run.
+        """Three attempts at one call each get one of three holders.
 
-        Sequence: three sends of one call reach a holder each first. Cause:
-        no attempt can have a majority of that round any more.
+        No attempt can win that round; exactly one must win a later round.
         """
         self.network.start('G')
         for entry, holder in (('E', 'A'), ('F', 'B'), ('G', 'C')):
@@ -377,12 +369,11 @@
         results = [self.network.results_by_ticket[one] for one in 'EFG']
         self.assertEqual(1, results.count(messages.Granted()), results)
 
-    def test_another_body_is_refused_only_where_that_is_proved(self):
-        """Symptom: told "another call, not run", the caller's own had run.
+    def test_another_body_is_refused_only_with_proof(self):
+        """A mismatch is reported only if a majority stores the other body.
 
-        Sequence: C has the slot of another body, whose entry died; A and B
-        are full and say nothing of the key. Cause: one slot is taken for a
-        majority.
+        C has the slot of another body, whose entry crashed; A and B are full
+        and do not report on the key. The caller's own call may have run.
         """
         network = claims_network.Network(max_records=1)
         network.cut.add('C')
@@ -397,23 +388,23 @@
 
 
 class LostDiskTest(ClaimsTest):
-    def test_an_empty_disk_does_not_answer_free(self):
-        """Symptom: a booking is made twice.
+    def test_an_empty_disk_grants_nothing(self):
+        """A and B grant a claim; A loses its disk; B is cut off.
 
-        Sequence: A and B grant, A comes back with an empty disk, B is cut
-        off. Cause: A finds no slot and grants anew.
+        A must not grant the key again from its empty disk, or the call could
+        run twice.
         """
-        self.granted_while_cut('C')
+        self.grant_with_one_cut_off('C')
         self.network.add_disk('A', 'disk-A2')
         self.network.cut.add('B')
         result = self.network.claim('F', 'f1')
         self.assertNotEqual(messages.Granted(), result)
 
-    def test_two_disks_lost_with_a_repair_between_lose_nothing(self):
-        """Symptom: a told outcome is gone and the call runs again.
+    def test_two_disk_losses_with_a_repair_between_lose_no_outcome(self):
+        """A and B store an outcome; A's disk is replaced, then B's.
 
-        Sequence: A and B keep the outcome; A's disk is lost and repaired,
-        then B's. Cause: the repair counts A before it has copied.
+        If A counted before it had copied the slots, the outcome would be
+        lost and the call would run again.
         """
         self.network.cut.add('C')
         self.network.claim('E', 'e1')
@@ -429,23 +420,23 @@
 
     @params('A', 'B', 'C')
     def test_a_claim_survives_the_loss_of_any_disk(self, lost):
-        """Symptom: a booking is made twice after a repair.
+        """E is granted by A and B; one disk is lost and replaced.
 
-        Sequence: E is granted by A and B; a disk is lost and repaired.
-        Cause: the repaired holder misses what the lost disk knew.
+        The replaced disk must not make the key claimable again, or the call
+        could run twice.
         """
-        self.granted_while_cut('C')
+        self.grant_with_one_cut_off('C')
         self.network.replace(lost, 'disk-new')
         result = self.network.claim('F', 'f1')
         self.assertIsInstance(result, messages.InProgress)
 
     def test_a_joining_holder_grants_nothing(self):
-        """Symptom: a booking is made twice.
+        """A and B grant E; A's disk is lost; while A joins, B is cut off.
 
-        Sequence: A and B grant E; A's disk is lost; while A joins, B is cut
-        off. Cause: A has no slot yet and grants anew.
+        A does not have the slot yet. If it granted the key, the call could
+        run twice.
         """
-        self.granted_while_cut('C')
+        self.grant_with_one_cut_off('C')
         self.network.add_disk('A', 'disk-A2')
         current = self.network.sets[0]
         self.network.change(current, {'A': 'disk-A2'})
@@ -456,16 +447,16 @@
 
     @params('cut off', 'behind')
     def test_a_copy_needs_a_majority_under_the_new_epoch(self, how):
-        """Symptom: a booking is made twice after a repair.
+        """B is unreachable, or still in the old epoch, while A joins.
 
-        Sequence: A joins; B can't be copied, or hasn't heard of the change
-        and may still grant as before. Cause: A counts as caught up.
+        A may miss slots of B, or slots that B grants after the copy. So A
+        must not count as caught up, or a call could run twice.
         """
-        self.granted_while_cut('C')
+        self.grant_with_one_cut_off('C')
         self.network.add_disk('A', 'disk-A2')
         if how == 'cut off':
             self.network.cut.add('B')
-        self.network.tells_by_packet = True
+        self.network.notifies_by_packet = True
         self.network.change(self.network.sets[0], {'A': 'disk-A2'})
         self.network.packets = [
             packet for packet in self.network.packets if packet.to != 'B'
@@ -475,12 +466,12 @@
         self.assertEqual([], self.network.caught_up)
 
     def test_caught_up_waits_for_the_sync(self):
-        """Symptom: an outcome is gone after a repair and a crash.
+        """A joining holder reports the end of its copy after the sync.
 
-        Sequence: A has copied, tells so, crashes before its sync. Cause: it
-        counts for what it has lost.
+        Otherwise A could report it, crash and lose the copied slots, but
+        still count as a holder that stores them.
         """
-        self.granted_while_cut('C')
+        self.grant_with_one_cut_off('C')
         self.network.add_disk('A', 'disk-A2')
         self.network.change(self.network.sets[0], {'A': 'disk-A2'})
         self.network.run()
@@ -496,11 +487,11 @@
         self.network.run()
         self.assertNotEqual([], self.network.caught_up)
 
-    def test_a_working_attempt_gains_nothing_from_a_repair(self):
-        """Symptom: a booking is made twice after a repair.
+    def test_a_repair_grants_nothing_to_a_claiming_attempt(self):
+        """A and B grant E; C granted F, which is still claiming.
 
-        Sequence: A and B grant E, C has granted F, which still asks; A's
-        disk is lost and repaired. Cause: the repaired A takes F's side.
+        When A's disk is replaced, A must not grant its slot to F, or both
+        attempts would run.
         """
         self.network.begin('F', 'f1')
         self.network.run(lambda packet: packet.to in 'CF')
@@ -514,9 +505,9 @@
         self.assertEqual({'e1'}, self.network.granted())
 
     def test_many_claims_are_copied_in_pages(self):
-        """Symptom: after two repairs some outcomes are gone.
+        """A copy of more slots than fit into a page must be complete.
 
-        Sequence: more slots than a page holds. Cause: a copy ends early.
+        Otherwise outcomes would be lost after two repairs.
         """
         for number in range(150):
             key = f'key-{number}'
@@ -527,24 +518,24 @@
         self.assertEqual(151, len(copied))
 
     def test_grants_of_two_epochs_do_not_add_up(self):
-        """Symptom: a booking is made twice.
+        """A grants E, loses its disk and is repaired; A and C grant F.
 
-        Sequence: A grants E and loses its disk; A is repaired; F is granted
-        by A and C; then B grants E. Cause: E counts a disk that is gone.
+        If E then added B's grant to the one of A's lost disk, both attempts
+        would run.
         """
         self.network.begin('E', 'e1')
         self.network.run(
             lambda packet: {packet.sender, packet.to} <= set('AE')
         )
-        slow, self.network.packets = self.network.packets, []
+        delayed, self.network.packets = self.network.packets, []
         self.network.cut.add('E')
         self.network.replace('A', 'disk-A2')
         self.network.cut.add('B')
         self.assertEqual(messages.Granted(), self.network.claim('F', 'f1'))
         self.network.cut.clear()
-        self.network.packets = slow
+        self.network.packets = delayed
         self.network.run()
-        self.network.tell_set('E')
+        self.network.notify_holders('E')
         self.network.run()
         self.network.tick(GIVE_UP_S)
         self.assertNotEqual(
@@ -552,17 +543,17 @@
         )
 
     def test_holders_that_disagree_leave_a_contested_slot(self):
-        """Symptom: a booking is made twice after a repair.
+        """A and B grant E, C granted F before; A's disk is lost.
 
-        Sequence: A and B grant E while C had granted F; A's disk is lost.
-        Cause: the repaired A takes F's side, and F is granted.
+        If the repaired A assigned its slot to F, F would be granted too, and
+        the call could run twice.
         """
         self.network.begin('F', 'f1')
         self.network.run(lambda packet: packet.to == 'C')
         self.network.packets.clear()
         self.network.crash('F')
         self.network.start('F')
-        self.granted_while_cut('C')
+        self.grant_with_one_cut_off('C')
         self.network.replace('A', 'disk-A2')
         self.network.tick(DEADLINE_S + GIVE_UP_S)
         for attempt in ('f2', 'f3'):
@@ -574,10 +565,10 @@
         )
 
     def test_an_outcome_is_on_a_majority_before_it_is_replayed(self):
-        """Symptom: a caller is told an outcome, the next one another thing.
+        """Only A stores the outcome; F replays it; A's disk is lost.
 
-        Sequence: only A keeps the outcome; F is told; A's disk is lost.
-        Cause: F tells what one holder says.
+        If F replayed it before a majority stored it, the next caller would
+        get a different answer.
         """
         self.network.claim('E', 'e1')
         self.network.cut |= {'B', 'C'}
@@ -585,19 +576,18 @@
             messages.NotRecorded(), self.network.record('E', 'e1', b'done')
         )
         self.network.cut.clear()
-        told = self.network.claim('F', 'f1')
-        self.assertEqual(messages.Replayed(outcome=b'done'), told)
+        replayed = self.network.claim('F', 'f1')
+        self.assertEqual(messages.Replayed(outcome=b'done'), replayed)
         self.network.replace('A', 'disk-A2')
-        self.assertEqual(told, self.network.claim('F', 'f2'))
+        self.assertEqual(replayed, self.network.claim('F', 'f2'))
 
 
-class KilledTest(ClaimsTest):
+class CrashTest(ClaimsTest):
     @params(*range(0, 26, 2))
-    def test_holders_killed_at_any_step(self, step):
-        """Symptom: a booking is made twice after a power cut.
+    def test_holders_crash_at_any_step(self, step):
+        """E begins; all holders crash after some steps; F begins.
 
-        Sequence: E begins; after some steps all holders lose what was not
-        synced; F begins. Cause: something was told before its sync.
+        If any reply were sent before its sync, the call could run twice.
         """
         self.network.begin('E', 'e1')
         self.network.step(step)
@@ -608,32 +598,32 @@
         self.assertLessEqual(len(self.network.granted()), 1)
 
     @params(*range(0, 30, 3))
-    def test_an_entry_killed_at_any_step(self, step):
-        """Symptom: a call runs twice, or its key is blocked for nothing.
+    def test_an_entry_crashes_at_any_step(self, step):
+        """E is granted, finishes and crashes after some steps.
 
-        Sequence: E begins, is granted, finishes; it dies after some steps;
-        F begins, and again after E's deadline. Cause: F can't ask E.
+        F begins then, and again after E's deadline. F can't query E, but must
+        not run the call; it replays an outcome that E has reported.
         """
         self.network.begin('E', 'e1')
         self.network.run_until('e1')
         self.network.finish('E', 'e1', b'done')
         self.network.step(step)
-        told = 'finish e1' in self.network.results_by_ticket
+        is_answered = 'finish e1' in self.network.results_by_ticket
         self.network.crash('E')
         first = self.network.claim('F', 'f1')
         self.network.tick(DEADLINE_S + GIVE_UP_S)
         second = self.network.claim('F', 'f2')
         self.assertNotIn(messages.Granted(), (first, second))
-        if told:
+        if is_answered:
             self.assertEqual(messages.Replayed(outcome=b'done'), first)
 
 
 class RetentionTest(unittest.TestCase):
     def test_a_restarted_holder_counts_from_its_start(self):
-        """Symptom: an outcome is forgotten, or called lost, too early.
+        """All holders restart while E's attempt is running.
 
-        Sequence: holders restart while E works. Cause: the age of a slot
-        that was read back is taken from a clock that began elsewhere.
+        The restored slots' ages must not come from the clock of an earlier
+        start, or outcomes would be evicted or reported as unknown too early.
         """
         network = claims_network.Network()
         network.claim('E', 'e1')
@@ -644,10 +634,10 @@
         self.assertIsInstance(network.claim('F', 'f1'), messages.InProgress)
 
     def test_full_holders_refuse_new_keys_and_drop_none(self):
-        """Symptom: a resend within the retention runs again.
+        """Full holders receive a claim of a new key.
 
-        Sequence: holders are full; another key comes. Cause: the oldest
-        claim is dropped to make room.
+        If they evicted the oldest claim for it, a retry of that call within
+        the retention would run again.
         """
         network = claims_network.Network(max_records=1)
         network.claim('E', 'e1')
@@ -673,7 +663,7 @@
         result = network.results_by_ticket['f1']
         self.assertEqual(is_forgotten, result == messages.Granted())
 
-    def test_a_deadline_beyond_the_retention_is_a_mistake(self):
+    def test_a_deadline_beyond_half_the_retention_is_an_error(self):
         part = claims_network.Network().parts_by_id['E']
         begin = messages.Begin(
             now=0.0,
@@ -699,7 +689,7 @@
             )
 
 
-#: Who reaches each other; the rest is cut off for a while.
+#: Sides of a partition: instances that reach each other for a while.
 GROUPS = [
     entries + holders
     for entries in ('E', 'F', 'EF')
@@ -708,14 +698,17 @@
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """The real parts under losses, doubles, crossings, crashes, repairs."""
+    """The real parts under losses, duplicates, reorderings and crashes.
+
+    Disks are lost and repaired as well.
+    """
 
     def __init__(self):
         super().__init__()
         self.network = claims_network.Network()
-        self.network.tells_by_packet = True
+        self.network.notifies_by_packet = True
         self.begun = 0
-        self.barred = set()
+        self.reported_not_run = set()
         self.ended = set()
         self.outcome = None
 
@@ -736,7 +729,7 @@
             self.network.deliver(packets.pop(index % len(packets)))
 
     @stateful.rule(index=strategies.integers(0, 30))
-    def deliver_double(self, index):
+    def deliver_duplicate(self, index):
         packets = [
             packet
             for packet in self.network.packets
@@ -750,7 +743,7 @@
         self.run_among(group)
 
     def run_among(self, group):
-        """Deliver all that is on its way among these, as in a partition."""
+        """Deliver all packets among these instances, as in a partition."""
         self.network.run(
             lambda packet: (
                 packet.to in group
@@ -763,7 +756,7 @@
         is_crash=strategies.booleans(),
     )
     def lose(self, instance, is_crash):
-        """Lose an instance's memory, or what is on its way to it."""
+        """Lose an instance's memory, or all packets in transit to it."""
         if not is_crash:
             self.network.packets = [
                 packet
@@ -772,7 +765,7 @@
                 or isinstance(packet.message, parts.Persist)
             ]
             return
-        # What the dead entry had been granted may have run.
+        # Attempts that the crashed entry was granted may have run.
         self.ended |= {
             attempt
             for attempt in self.network.granted()
@@ -794,7 +787,7 @@
 
     @stateful.rule(holder=strategies.sampled_from('ABC'))
     def repair(self, holder):
-        """Lose a disk, or take the running repair a step further."""
+        """Lose a disk, or advance the repair under way by one step."""
         network = self.network
         current, joining = network.sets
         if not joining:
@@ -815,7 +808,9 @@
                 self.network.finish(attempt[0], attempt, b'done')
                 continue
             self.network.abandon(attempt[0], attempt)
-            self.barred |= self.network.begun - self.network.granted()
+            self.reported_not_run |= (
+                self.network.begun - self.network.granted()
+            )
             self.network.abandoned.add(attempt)
 
     @stateful.invariant()
@@ -823,17 +818,17 @@
         assert len(self.network.granted() - self.network.abandoned) <= 1
 
     @stateful.invariant()
-    def what_was_told_not_run_does_not(self):
-        assert not self.barred & self.network.granted()
+    def an_attempt_reported_as_not_run_is_not_granted(self):
+        assert not self.reported_not_run & self.network.granted()
 
     @stateful.invariant()
     def an_outcome_stays(self):
-        told = [
+        replayed = [
             result
             for result in self.network.results_by_ticket.values()
             if isinstance(result, messages.Replayed)
         ]
-        assert all(result.outcome == b'done' for result in told)
+        assert all(result.outcome == b'done' for result in replayed)
 
 
 MachineTest = Machine.TestCase
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: one holder at a time, through losses, freezes and restarts."""
+"""Leases: one holder at a time despite losses, freezes and restarts."""
 
 import contextlib
 import io
@@ -33,7 +33,7 @@
         self.assertEqual([], self.network.violations)
 
     def hold(self, name='a', rival='b'):
-        """Let one instance hold the lease and another one wait for it."""
+        """Let one instance acquire the lease and another one wait for it."""
         self.network.want(name)
         self.network.run(0.3)
         self.assertEqual([name], self.network.holders())
@@ -42,7 +42,7 @@
             self.network.run(0.6)
         return self.network.epoch(name)
 
-    def take(self, name='b', limit=2 * LEASE_S):
+    def acquire(self, name='b', limit=2 * LEASE_S):
         """Run until an instance holds the lease; return the seconds."""
         return self.network.run_until(
             lambda: self.network.holders() == [name], limit
@@ -60,38 +60,37 @@
         return self.network.nodes_by_id[name].part.known_holder(CELL)
 
     @params('b', None)
-    def test_a_released_lease_goes_to_who_waits_for_it_at_once(
+    def test_a_released_lease_goes_to_a_waiting_candidate_at_once(
         self, successor
     ):
-        """Symptom: a cell without an owner for two seconds at each change.
+        """Placement assigns a cell to another instance; the holder releases.
 
-        Sequence: placement gives it to another instance, and the holder
-        releases. Cause: the other one hears of it at its next probe only.
+        Without a notification, the other one would notice it at its next
+        probe only, and the cell would have no owner for two seconds.
         """
         epoch = self.hold()
         self.network.release('a', successor)
-        self.assertLess(self.take(), 0.01)
+        self.assertLess(self.acquire(), 0.01)
         self.assertGreater(self.network.epoch('b'), epoch)
         self.network.run(5)
         self.assertEqual(['b'], self.network.holders())
 
-    def test_a_dead_holder_is_followed_by_a_higher_epoch(self):
+    def test_the_successor_of_a_failed_holder_gets_a_higher_epoch(self):
         epoch = self.hold()
         self.network.freeze('a')
-        self.assertLess(self.take(), LEASE_S + 0.2)
+        self.assertLess(self.acquire(), LEASE_S + 0.2)
         self.assertGreater(self.network.epoch('b'), epoch)
 
-    def test_a_holder_frozen_past_its_lease_wakes_up_without_it(self):
-        """The check stands just before each send.
+    def test_a_holder_frozen_past_its_lease_no_longer_holds_it(self):
+        """A holder checks its lease by the clock just before each send.
 
-        Symptom: two instances spend the same slots. Sequence: the holder is
-        stopped (SIGSTOP), another one takes over, the first is continued and
-        sends before it hears anything. Cause: it trusts what it remembers
-        instead of its clock.
+        The holder is stopped (SIGSTOP), another instance takes over, and the
+        first one is continued. If it relied on its recorded state, it would
+        send before it handles any event, and both would use the same slots.
         """
         self.hold()
         self.network.freeze('a')
-        self.take()
+        self.acquire()
         self.assertIsNone(self.network.epoch('a'))
         self.network.wake('a')
         self.assertEqual(['b'], self.network.holders())
@@ -99,53 +98,54 @@
         self.assertEqual(1, len(self.network.effects('a', lease.LeaseLost)))
 
     def test_a_late_answer_counts_from_the_send_of_its_claim(self):
-        """Grantors count from the receipt of a claim, which was earlier.
+        """The answers to a claim take nearly the whole lease to arrive.
 
-        Symptom: two holders. Sequence: the grant's answers take nearly the
-        whole lease to arrive. Cause: the holder counts from their receipt.
+        The grantors count from the receipt of the claim. A holder that
+        counted from the receipt of the answers would hold the lease too
+        long, and there could be two holders.
         """
         self.network.delay_s = lambda *sent: 0.9
         self.network.nodes_by_id['a'].part._holder.renew_s = 10.0
         self.network.want('a')
         self.network.run(4 * 0.9 + lease_network.TICK_S * 2)
-        # Asked 1.8 s ago, of which 1.75 s may be used.
+        # Requested 1.8 s ago; the lease is valid for 1.75 s from then.
         self.assertEqual([], self.network.holders())
 
-    def test_clocks_that_run_apart_stay_within_the_margin(self):
-        """A margin covers the difference of two rates over one lease.
+    def test_the_margin_covers_clock_drift(self):
+        """The margin covers the difference of two clock rates over a lease.
 
-        Symptom: two holders for some milliseconds. Sequence: the holder's
-        clock is slow, the grantors' are fast, the holder is cut off. Cause:
-        both count the same number of seconds.
+        The holder's clock is slow, the grantors' clocks are fast, and the
+        holder is cut off. Without the margin, there would be two holders for
+        some milliseconds.
         """
         self.hold()
         for name, node in self.network.nodes_by_id.items():
             node.rate = 0.95 if name == 'a' else 1.05
         self.network.run(1)
         self.network.cut('a')
-        self.take()
+        self.acquire()
 
     @params(('v1', 'v2'), ('v1', 'v2', 'v3'))
     def test_restarted_grantors_wait_until_their_grants_have_run_out(
         self, *names
     ):
-        """Grants are in memory alone.
+        """The holder is cut off as grantors restart; a rival requests.
 
-        Symptom: two holders. Sequence: the holder is cut off just as the
-        grantors restart; a rival asks. Cause: a restarted grantor takes what
-        it can't remember for free. The clock starts at another value, too.
+        The times of grants are kept in memory only. A restarted grantor that
+        treated them as expired would allow two holders. Its clock starts at
+        another value, too.
         """
         self.hold()
         self.network.cut('a')
         for name in names:
             self.network.start(name)
-        self.assertGreater(self.take(), LEASE_S)
+        self.assertGreater(self.acquire(), LEASE_S)
 
-    def test_the_lease_outlives_a_rolling_restart_of_the_grantors(self):
-        """Symptom: cells lose their owner at every upgrade.
+    def test_a_lease_survives_a_rolling_restart_of_the_grantors(self):
+        """The grantors restart one after the other.
 
-        Sequence: the grantors restart one after the other. Cause: a
-        restarted grantor refuses the renewals of a holder that it knows.
+        If a restarted grantor refused the renewals of a holder in its
+        journal, cells would lose their owners at every upgrade.
         """
         epoch = self.hold()
         for name in ('v1', 'v2', 'v3'):
@@ -154,11 +154,11 @@
         self.assertEqual(epoch, self.network.epoch('a'))
 
     def test_a_second_disk_is_lost_right_after_the_first_came_back(self):
-        """Symptom: an epoch is granted again, so engines obey both holders.
+        """Two grantors lose their disks one after the other.
 
-        Sequence: one grantor loses its disk and catches up, then the next
-        one does, and the holder dies. Cause: a grantor counted before it had
-        read the others' epochs.
+        Each catches up; then the holder fails. If a grantor granted leases
+        before it had read the others' epochs, an epoch could be granted
+        twice, and engines would accept orders of both holders.
         """
         epoch = self.hold()
         for name in ('v1', 'v2'):
@@ -167,14 +167,14 @@
                 lambda: self.network.effects(name, lease.GrantorCaughtUp), 6
             )
         self.network.freeze('a')
-        self.take()
+        self.acquire()
         self.assertGreater(self.network.epoch('b'), epoch)
 
     def test_two_lost_disks_at_once_grant_nothing(self):
-        """Symptom: an epoch is granted again.
+        """Two of three grantors lose their disks at the same time.
 
-        Sequence: two of three grantors lose their disks. Cause: they learn
-        from each other that nothing was ever granted.
+        If they caught up from each other's empty records, an epoch could be
+        granted twice.
         """
         self.hold()
         self.network.start('v1', loses_disk=True)
@@ -182,21 +182,20 @@
         self.network.run(20)
         self.assertEqual([], self.network.holders())
 
-    def test_a_split_ask_is_freed_at_once_and_asked_again(self):
-        """Symptom: no owner for a whole lease after an election.
+    def test_a_split_request_is_released_at_once_and_repeated(self):
+        """Two candidates get one grantor each; the third grantor is down.
 
-        Sequence: two candidates ask at one moment and get one grantor each;
-        the third is dead. Cause: the losers' grants stand until they expire,
-        or both ask again at the same moment.
+        If they did not release these grants, or both retried at the same
+        time, there would be no owner for a whole lease.
         """
         self.network.freeze('v3')
 
         def delay_s(sender, to, message):
             if not isinstance(message, messages.LeaseClaims):
                 return lease_network.HOP_S
-            is_ask = message.claims[0].epoch > 0
+            is_request = message.claims[0].epoch > 0
             is_crossing = (sender, to) in (('a', 'v2'), ('b', 'v1'))
-            return 0.006 * is_ask + 0.006 * (is_ask and is_crossing)
+            return 0.006 * is_request + 0.006 * (is_request and is_crossing)
 
         self.network.delay_s = delay_s
         self.network.want('a')
@@ -211,11 +210,11 @@
         self.assertLess(waited, LEASE_S / 5)
 
     def test_a_candidate_cut_off_from_some_does_not_unseat_the_holder(self):
-        """Symptom: a healthy holder loses its lease again and again.
+        """A rival and the holder each can't reach one grantor.
 
-        Sequence: a rival and the holder each can't reach one grantor. Cause:
-        the rival's asks raise the epoch where the holder's grant has run
-        out, and its renewals are refused there from then on.
+        If the rival's requests raised the epoch where the holder's grant has
+        expired, renewals would be refused there, and a healthy holder would
+        lose its lease repeatedly.
         """
         epoch = self.hold()
         self.network.loses = lambda sender, to, message: (
@@ -225,27 +224,27 @@
         self.assertEqual(epoch, self.network.epoch('a'))
 
     def test_a_second_start_of_one_instance_is_another_holder(self):
-        """Symptom: two starts of an instance order under one epoch.
+        """A holder restarts and requests the lease again.
 
-        Sequence: the holder restarts and asks with the epoch it had. Cause:
-        the grantors take it for a renewal.
+        If the grantors took the request for a renewal, two starts of an
+        instance could send orders under one epoch.
         """
         epoch = self.hold(rival=None)
         self.network.start('a')
         self.network.want('a')
-        self.assertGreater(self.take('a'), LEASE_S / 2)
+        self.assertGreater(self.acquire('a'), LEASE_S / 2)
         self.assertGreater(self.network.epoch('a'), epoch)
 
     def test_an_engine_that_ignores_epochs_gets_orders_after_the_wait(self):
-        """A predecessor's last order must have settled.
+        """A successor waits until a predecessor's last order is over.
 
-        Symptom: an old order undoes a new one. Sequence: the holder hands an
-        order to a socket and freezes; its successor orders; the old one
-        arrives. Cause: the successor doesn't wait out the longest order.
+        The holder writes an order to a socket and freezes. If the successor
+        sent its order before the old one has arrived, the old one could undo
+        the new one.
         """
         epoch = self.hold()
         self.network.freeze('a')
-        self.take()
+        self.acquire()
         part = self.network.nodes_by_id['b'].part
         begun = self.network.clock('b')
         wait_s = LEASE_S + MARGIN_S + 5.0
@@ -256,11 +255,11 @@
         self.assertIsNone(part.may_order(CELL, now, 6.0))
 
     def test_the_grantors_are_replaced_under_a_held_lease(self):
-        """Symptom: two holders, granted by the old and by the new voters.
+        """v3 is replaced by v4; an older update of the set arrives late.
 
-        Sequence: v3 is replaced by v4; an instance that has not heard of it
-        asks the old ones. Cause: a change without a majority of both sets,
-        or grantors that still take claims under the old set.
+        The old and the new voters could grant the lease to two holders if a
+        change needed no majority of both sets, or if grantors still accepted
+        claims under the old set.
         """
         network = self.network = lease_network.Network(
             grantors=('v1', 'v2', 'v3'), others=('a', 'b', 'v4')
@@ -283,7 +282,7 @@
         network.run(5)
         self.assertEqual(epoch, network.epoch('a'))
         network.freeze('a')
-        self.take()
+        self.acquire()
 
 
 def claim(epoch, *, life=1, version=0, duration_s=LEASE_S):
@@ -307,7 +306,7 @@
 
 
 def make_grantor(*records):
-    """Return a grantor as it starts from a journal, at time 0."""
+    """Return a grantor that is restored from records at time 0."""
     part = grantor.Grantor(
         instance_id='v1', duration_s=LEASE_S, margin_s=MARGIN_S
     )
@@ -348,11 +347,10 @@
         self.assertEqual(expected, self.outcome(part, now, sender, claims))
 
     def test_an_answer_waits_until_the_epoch_is_synced(self):
-        """Symptom: one epoch has two holders.
+        """A grantor that answers before the sync could crash in between.
 
-        Sequence: a grantor answers, crashes before the sync, and grants the
-        epoch to another. Cause: the answer ran ahead of the journal. A
-        resend of the ask must not be answered early either.
+        It could then grant the same epoch to another holder. A repeated
+        request must not be answered early either.
         """
         part = make_grantor()
         persist, *early = part.on_claims(0.0, 'a', claim(1))
@@ -362,10 +360,10 @@
         self.assertEqual(2, len(sends(part.on_persisted(persist.token))))
 
     def test_a_renewal_that_crosses_the_release_does_not_revive_it(self):
-        """Symptom: a handover takes a whole lease instead of milliseconds.
+        """The release of a lease overtakes its last renewal.
 
-        Sequence: the holder renews, then releases; the release overtakes the
-        renewal. Cause: the grantor extends a grant that was given up.
+        If the grantor renewed the released grant, a handover would take a
+        whole lease instead of milliseconds.
         """
         part = make_grantor()
         self.outcome(part, 0.0, 'a', claim(1))
@@ -379,10 +377,10 @@
         self.assertEqual(Outcome.HELD, self.outcome(part, 0.2, 'b', claim(3)))
 
     def test_a_shorter_setting_does_not_shorten_the_wait(self):
-        """Symptom: two holders after a change of settings and a restart.
+        """A lease of 8 s is granted; the grantor restarts with 2 s.
 
-        Sequence: a lease of 8 s is granted, the grantor restarts with 2 s.
-        Cause: it waits out its own setting instead of what it granted.
+        If it waited for the new duration instead of the one granted, there
+        could be two holders.
         """
         part = make_grantor(record(5, 'a', duration_s=8.0))
         waiting = self.outcome(part, 8.2, 'b', claim(6))
@@ -392,11 +390,10 @@
         )
 
     def test_a_read_of_epochs_fences_claims_under_older_grantors(self):
-        """Symptom: an epoch is granted by the old and by the new voters.
+        """A grantor whose epochs were read refuses claims of older sets.
 
-        Sequence: a joining grantor reads the epochs, the one that answered
-        restarts, and takes an ask by the old set. Cause: the fence was not
-        there, or not synced.
+        It must still do so after a restart, so the fence is synced first.
+        Otherwise the old and the new voters could grant the same epoch.
         """
         part = make_grantor()
         wanted = messages.LeaseEpochsWanted(version=3, reading=9)
@@ -408,10 +405,10 @@
             self.assertEqual(Outcome.OLD_VERSION, old)
 
     def test_a_read_epoch_never_ends_a_grant_that_stands(self):
-        """Symptom: two holders during a change of grantors.
+        """A grantor has granted epoch 4 and reads that another granted 5.
 
-        Sequence: a grantor in both sets has granted epoch 4, and reads that
-        another one granted 5. Cause: it forgets its own grant over it.
+        If its own grant ended by that, there could be two holders during a
+        change of grantors.
         """
         part = make_grantor()
         self.outcome(part, 0.0, 'a', claim(4))
@@ -452,13 +449,14 @@
         ('v2', 0, {}, False),
         ('v2', 1, {'life': 2, 'asked_at': 99.0}, False),
     )
-    def test_only_answers_to_the_own_ask_count(
+    def test_only_answers_to_the_own_request_count(
         self, sender, epoch, more, is_held
     ):
-        """Symptom: a lease that nobody granted, or with a wrong end.
+        """Duplicate answers and answers to other requests don't count.
 
-        Sequence: an answer comes twice, from elsewhere, to another epoch, or
-        to an earlier start with another clock. Cause: it is counted.
+        They come from another instance, or are for another epoch, a probe or
+        an earlier start with another clock. If they counted, a lease would
+        be held without a majority or for too long.
         """
         self.answer('v1', 0, asked_at=0.0)
         self.answer('v2', 0, asked_at=0.0)
@@ -471,13 +469,13 @@
         self.answer('v1', 0, asked_at=0.0)
         self.assertEqual([], self.answer('v2', 0, asked_at=-5.0))
 
-    def test_one_word_of_a_release_does_not_start_an_ask(self):
+    def test_one_report_of_a_release_does_not_start_a_request(self):
         vacant = messages.LeaseVacant(name=CELL, epoch=4)
         self.assertEqual([], self.receive('v1', vacant))
         self.assertEqual([], self.receive('v1', vacant))
-        asks = [send.message.claims for send in self.receive('v2', vacant)]
+        claims = [send.message.claims for send in self.receive('v2', vacant)]
         self.assertEqual(
-            [(messages.LeaseClaim(name=CELL, epoch=5),)] * 3, asks
+            [(messages.LeaseClaim(name=CELL, epoch=5),)] * 3, claims
         )
 
 
@@ -520,11 +518,11 @@
     def test_a_renewal_counts_only_if_a_majority_reports_its_grant(
         self, first, second, expected
     ):
-        """Symptom: one epoch has two holders; the specification found it.
+        """A grant that a grantor only read must not be renewed there.
 
-        Sequence: v1 and v2 grant epoch 2 to b, v1 loses its disk, v3 grants
-        epoch 2 to a, v1 reads both and takes a renewal of a's. Cause: a
-        grant that was only read counts like one that was given.
+        v1 and v2 grant epoch 2 to b, v1 loses its disk, v3 grants epoch 2 to
+        a, and v1 reads both. If v1 accepted a's renewal, epoch 2 would have
+        two holders. A grant that a majority reports may be renewed.
         """
         part = lease.Leases(instance_id='v1', is_grantor=True)
         grantors = ('v1', 'v2', 'v3')
@@ -541,8 +539,8 @@
         persist, caught_up = done
         self.assertEqual(messages.LeaseReady(version=0), persist.records[-1])
         self.assertEqual(lease.GrantorCaughtUp(version=0), caught_up)
-        asked = parts.Received(now=9.0, sender='a', message=claim(2))
-        (answer,) = part.handle(asked)[0].message.answers
+        received = parts.Received(now=9.0, sender='a', message=claim(2))
+        (answer,) = part.handle(received)[0].message.answers
         self.assertEqual(expected, answer.outcome)
         self.assertEqual(persist.records, tuple(part.snapshot()))
 
@@ -587,7 +585,7 @@
 
 
 class LossyLeases(stateful.RuleBasedStateMachine):
-    """The real reducers under losses, delays, freezes and restarts."""
+    """The real parts under losses, delays, freezes and restarts."""
 
     @stateful.initialize(seed=strategies.integers(0, 2**32))
     def begin(self, seed):
@@ -608,9 +606,9 @@
     )
     def run(self, seconds, loss, longest_delay_s, cuts_holder):
         chance = self.network.random.random
-        lonely = self.network.holders() if cuts_holder else []
+        isolated = self.network.holders() if cuts_holder else []
         self.network.loses = lambda sender, to, message: (
-            chance() < loss or sender in lonely or to in lonely
+            chance() < loss or sender in isolated or to in isolated
         )
         self.network.delay_s = lambda *sent: chance() ** 4 * longest_delay_s
         self.network.run(seconds)
