--- a/tests/claims_network.py
+++ b/tests/claims_network.py
@@ -110,13 +110,13 @@
             if self.notifies_by_packet:
                 self.packets.append(
                     Packet(
-                        sender='', to=instance, message=self.holders_changed()
+                        sender='', to=instance, message=self.holders_event()
                     )
                 )
             elif instance not in self.cut:
                 self.notify_holders(instance)
 
-    def holders_changed(self) -> messages.HoldersChanged:
+    def holders_event(self) -> messages.HoldersChanged:
         return messages.HoldersChanged(
             now=self.now,
             disk_ids_by_holder=self.sets[0],
@@ -125,7 +125,7 @@
         )
 
     def notify_holders(self, instance: str) -> None:
-        self.handle(instance, self.holders_changed())
+        self.handle(instance, self.holders_event())
 
     def replace(self, holder: str, disk_id: str) -> None:
         """Replace a holder's disk by an empty one; complete the repair."""
@@ -190,9 +190,7 @@
                 return
             self.packets.remove(ready[0])
             self.deliver(ready[0])
-        raise AssertionError(
-            f'still sending messages after {MAX_PACKETS} packets'
-        )
+        raise AssertionError('messages still sent after the packet limit')
 
     def step(self, count: int) -> None:
         """Deliver this many packets, in order."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -216,7 +216,7 @@
         If it had not synced the epoch of the repair, it would accept puts of
         the older epoch, and a call could run twice.
         """
-        old = self.network.holders_changed()
+        old = self.network.holders_event()
         self.network.replace('A', 'disk-A2')
         self.network.crash('B')
         self.network.epoch = 0
