--- a/dandeliongw/coordination/catchup.py
+++ b/dandeliongw/coordination/catchup.py
@@ -38,19 +38,19 @@
     replaced set, but earlier ones are still valid.
 
     :param own_grantor: the grantor of this instance.
-    :param patience_s: seconds before an unfinished read is sent again.
+    :param resend_s: seconds before an unfinished read is sent again.
     """
 
     def __init__(
-        self, *, own_grantor: grantor.Grantor, patience_s: float
+        self, *, own_grantor: grantor.Grantor, resend_s: float
     ) -> None:
-        self.patience_s = patience_s
+        self.resend_s = resend_s
         self.phase = Phase.OFF
         self._grantor = own_grantor
         self._version = 0
         self._sources: tuple[str, ...] = ()
-        self._enough = 0
-        self._until = float('-inf')
+        self._sources_needed = 0
+        self._wait_until = float('-inf')
         self._reading = 0
         self._read_sent_at = float('-inf')
         self._epochs_by_source: dict[str, messages.LeaseEpochs] = {}
@@ -63,15 +63,17 @@
             return
         own_id = self._grantor.instance_id
         is_joining = own_id in changed.joining
-        is_lost = own_id in changed.grantors and not self._grantor.ready
-        if not is_joining and not is_lost:
+        has_lost_records = (
+            own_id in changed.grantors and not self._grantor.ready
+        )
+        if not is_joining and not has_lost_records:
             self.phase = Phase.OFF
             return
         if self.phase is not Phase.OFF and version == self._version:
             return
         self._version = version
         self._sources = changed.grantors
-        self._enough = quorum.intersecting(len(changed.grantors))
+        self._sources_needed = quorum.intersecting_size(len(changed.grantors))
         self._wait(now, Phase.WAITING)
 
     def stop(self) -> None:
@@ -80,14 +82,14 @@
 
     def on_tick(self, now: float, entropy: int) -> list[typing.Any]:
         """Enter the next phase after a wait; resend an unfinished read."""
-        if self.phase is Phase.WAITING and now >= self._until:
+        if self.phase is Phase.WAITING and now >= self._wait_until:
             self.phase = Phase.READING
             self._reading = entropy
             self._read_sent_at = float('-inf')
             self._epochs_by_source.clear()
         if self.phase is Phase.READING:
             return self._read(now)
-        if self.phase is Phase.SETTLING and now >= self._until:
+        if self.phase is Phase.SETTLING and now >= self._wait_until:
             return self._finish()
         return []
 
@@ -101,13 +103,13 @@
         if not epochs.ready or sender not in self._sources:
             return []
         self._epochs_by_source[sender] = epochs
-        if len(self._epochs_by_source) < self._enough:
+        if len(self._epochs_by_source) < self._sources_needed:
             return []
-        self._learn()
+        self._merge_records()
         self._wait(now, Phase.SETTLING)
         return []
 
-    def _learn(self) -> None:
+    def _merge_records(self) -> None:
         """Adopt the highest epoch of each name.
 
         Its holder may renew at this grantor only if a majority reports that
@@ -129,11 +131,13 @@
 
     def _wait(self, now: float, phase: Phase) -> None:
         self.phase = phase
-        own_s = self._grantor.duration_s + self._grantor.margin_s
-        self._until = now + max(own_s, self._grantor.longest_wait_s())
+        own_wait_s = self._grantor.duration_s + self._grantor.margin_s
+        self._wait_until = now + max(
+            own_wait_s, self._grantor.longest_wait_s()
+        )
 
     def _read(self, now: float) -> list[typing.Any]:
-        if now - self._read_sent_at < self.patience_s:
+        if now - self._read_sent_at < self.resend_s:
             return []
         self._read_sent_at = now
         wanted = messages.LeaseEpochsWanted(
--- a/dandeliongw/coordination/claim_attempts.py
+++ b/dandeliongw/coordination/claim_attempts.py
@@ -12,19 +12,19 @@
 
 from . import claim_messages as messages
 from . import claim_outcomes
-from . import claim_patience
 from . import claim_slots
+from . import claim_timeouts
 from . import claim_withdrawals
 from . import parts
 
 #: Upper bound of ``retry_after_s`` in :class:`InProgress` results.
 MAX_RETRY_AFTER_S = 5.0
 #: A granted attempt can be finished for this many times its deadline.
-KEEP_DEADLINES = 2
+GRANT_RETENTION_DEADLINES = 2
 
 Effects = list[typing.Any]
 Result = typing.Any
-UNSEEN = claim_slots.UNSEEN
+UNSEEN_ATTEMPT = claim_slots.UNSEEN_ATTEMPT
 _State = messages.SlotState
 _Answer = messages.PutAnswer
 _Reason = messages.UnavailableReason
@@ -52,7 +52,7 @@
         default_factory=dict
     )
 
-    def forget_answers(self) -> None:
+    def clear_answers(self) -> None:
         """Discard answers, which are valid for one round and epoch only."""
         self.granted.clear()
         self.full.clear()
@@ -81,7 +81,7 @@
 class Attempts:
     """Claims keys for the callers of this instance.
 
-    :param patience: timeout and resend interval of requests to holders.
+    :param timeouts: timeout and resend interval of requests to holders.
     :param max_outcome_bytes: of a larger outcome, only the fact that the
         attempt ran is stored.
     :param retention_s: seconds for which holders keep a slot; the deadline
@@ -91,18 +91,18 @@
     def __init__(
         self,
         *,
-        patience: claim_patience.Patience,
+        timeouts: claim_timeouts.ClaimTimeouts,
         max_outcome_bytes: int,
         retention_s: float,
     ) -> None:
-        self.patience = patience
+        self.timeouts = timeouts
         self.max_outcome_bytes = max_outcome_bytes
         self.retention_s = retention_s
         self._holder_set = claim_slots.NO_HOLDERS
         self._attempts_by_id: dict[str, _Attempt] = {}
         self._granted_by_id: dict[str, _Attempt] = {}
-        self._outcomes = claim_outcomes.Outcomes(patience=patience)
-        self._withdrawals = claim_withdrawals.Withdrawals(patience=patience)
+        self._outcomes = claim_outcomes.Outcomes(timeouts=timeouts)
+        self._withdrawals = claim_withdrawals.Withdrawals(timeouts=timeouts)
 
     # Local requests.
 
@@ -119,16 +119,16 @@
             )
         if not self._holder_set.holders:
             refused = messages.ClaimsUnavailable(
-                retry_after_s=self.patience.resend_s, reason=_Reason.NO_HOLDERS
+                retry_after_s=self.timeouts.resend_s, reason=_Reason.NO_HOLDERS
             )
             return [parts.Complete(ticket=begin.ticket, result=refused)]
         attempt = _Attempt(
             begin=begin,
-            give_up_at=begin.now + self.patience.give_up_s,
-            resend_at=begin.now + self.patience.resend_s,
+            give_up_at=begin.now + self.timeouts.give_up_s,
+            resend_at=begin.now + self.timeouts.resend_s,
         )
         self._attempts_by_id[begin.attempt_id] = attempt
-        return self._puts(attempt)
+        return self._put_requests(attempt)
 
     def finish(self, finish: messages.Finish) -> Effects:
         """Record the outcome of a granted attempt on the holders."""
@@ -174,8 +174,8 @@
         self._holder_set = holder_set
         effects: Effects = []
         for attempt in self._attempts_by_id.values():
-            attempt.forget_answers()
-            effects += self._puts(attempt)
+            attempt.clear_answers()
+            effects += self._put_requests(attempt)
         self._withdrawals.holders_changed(holder_set)
         return effects + self._outcomes.holders_changed(holder_set)
 
@@ -198,7 +198,7 @@
             effects += self._attempt_ticked(now, attempt)
         effects += self._outcomes.ticked(now)
         effects += self._withdrawals.ticked(now)
-        self._drop_old(now)
+        self._evict_expired_grants(now)
         return effects
 
     # Claiming a key.
@@ -210,7 +210,9 @@
         attempt = self._attempts_by_id.get(reply.attempt_id)
         if attempt is None or reply.round != attempt.round:
             return []
-        if not self._holder_set.speaks(sender, reply.epoch, reply.disk_id):
+        if not self._holder_set.is_current_reply(
+            sender, reply.epoch, reply.disk_id
+        ):
             return []
         if reply.answer is _Answer.GRANTED:
             attempt.granted.add(sender)
@@ -225,19 +227,19 @@
                     attempt_age_s=now - attempt.begin.now,
                 ),
             )
-        return self._settle(now, attempt, final=False)
+        return self._evaluate(now, attempt, final=False)
 
     def _attempt_ticked(self, now: float, attempt: _Attempt) -> Effects:
         if now >= attempt.give_up_at:
-            return self._settle(now, attempt, final=True)
-        effects = self._settle(now, attempt, final=False)
+            return self._evaluate(now, attempt, final=True)
+        effects = self._evaluate(now, attempt, final=False)
         is_open = attempt.begin.attempt_id in self._attempts_by_id
         if is_open and now >= attempt.resend_at:
-            attempt.resend_at = now + self.patience.resend_s
-            effects += self._puts(attempt)
+            attempt.resend_at = now + self.timeouts.resend_s
+            effects += self._put_requests(attempt)
         return effects
 
-    def _settle(
+    def _evaluate(
         self, now: float, attempt: _Attempt, *, final: bool
     ) -> Effects:
         """Act on the answers received so far, or wait for more.
@@ -253,16 +255,16 @@
         if self._later_rounds(attempt):
             return self._join_round(now, attempt)
         if self._holder_set.is_majority(
-            attempt.granted | self._silent(attempt)
+            attempt.granted | self._unanswered(attempt)
         ):
-            return self._lose(now, attempt) if final else []
-        rivals = self._rivals(attempt)
-        if rivals:
-            if not final and not self._is_settled(attempt, rivals):
+            return self._end_without_grant(now, attempt) if final else []
+        possible_winners = self._possible_winners(attempt)
+        if possible_winners:
+            if not final and not self._is_decided(attempt, possible_winners):
                 return []
-            return self._lose(now, attempt, rivals)
-        if final or self._is_other_call(attempt):
-            return self._lose(now, attempt)
+            return self._end_without_grant(now, attempt, possible_winners)
+        if final or self._is_digest_mismatch(attempt):
+            return self._end_without_grant(now, attempt)
         return self._advance(now, attempt)
 
     def _grant(self, attempt: _Attempt) -> Effects:
@@ -289,20 +291,20 @@
             return self._end(now, attempt, messages.DigestMismatch())
         outcome = seen.slot.outcome if seen.slot.kept else None
         replayed = messages.Replayed(outcome=outcome)
-        having = {
+        storing = {
             holder
             for holder, other in attempt.seen_by_holder.items()
             if other.slot.state is _State.RECORDED
         }
-        if self._holder_set.is_majority(having):
+        if self._holder_set.is_majority(storing):
             return self._end(now, attempt, replayed)
-        return self._close(now, attempt) + self._outcomes.record(
+        return self._remove_and_withdraw(now, attempt) + self._outcomes.record(
             now,
             attempt.begin.ticket,
             seen.slot,
             result=replayed,
             failure=messages.ClaimsUnavailable(
-                retry_after_s=self.patience.resend_s,
+                retry_after_s=self.timeouts.resend_s,
                 reason=_Reason.HOLDERS_UNREACHABLE,
             ),
         )
@@ -320,14 +322,14 @@
         Otherwise end: a call already answered as not run could then run.
         """
         later = self._later_rounds(attempt)
-        top = max(seen.slot.round for seen in later)
+        latest_round = max(seen.slot.round for seen in later)
         for seen in later:
-            if seen.slot.round == top and seen.is_older:
-                return self._enter_round(attempt, top)
+            if seen.slot.round == latest_round and seen.is_older:
+                return self._enter_round(attempt, latest_round)
         return self._end(now, attempt, self._blocked(later))
 
-    def _rivals(self, attempt: _Attempt) -> frozenset[str]:
-        return claim_slots.rivals(
+    def _possible_winners(self, attempt: _Attempt) -> frozenset[str]:
+        return claim_slots.possible_winners(
             attempt_id=attempt.begin.attempt_id,
             round=attempt.round,
             seen_by_holder={
@@ -344,28 +346,30 @@
             for holder in attempt.granted
         }
 
-    def _is_settled(self, attempt: _Attempt, rivals: frozenset[str]) -> bool:
+    def _is_decided(
+        self, attempt: _Attempt, possible_winners: frozenset[str]
+    ) -> bool:
         """Whether outstanding answers can no longer change the result.
 
         This is so if all holders have answered, or if one possible winner
         certainly has a majority.
         """
-        if not self._silent(attempt):
+        if not self._unanswered(attempt):
             return True
         counts: dict[str, set[str]] = {}
         for holder, seen in attempt.seen_by_holder.items():
             counts.setdefault(seen.slot.attempt_id, set()).add(holder)
         return any(
-            self._holder_set.is_majority(counts.get(rival, set()))
-            for rival in rivals
+            self._holder_set.is_majority(counts.get(winner, set()))
+            for winner in possible_winners
         )
 
-    def _is_other_call(self, attempt: _Attempt) -> bool:
+    def _is_digest_mismatch(self, attempt: _Attempt) -> bool:
         """Whether a majority of holders stores the key with another digest."""
         others = {
             holder
             for holder, seen in attempt.seen_by_holder.items()
-            if _is_of_other_call(attempt, seen)
+            if _has_other_digest(attempt, seen)
         }
         return self._holder_set.may_be_majority(others)
 
@@ -381,37 +385,37 @@
         ]
         if min(live, default='~') < attempt.begin.attempt_id:
             if attempt.advance_at is None:
-                attempt.advance_at = now + self.patience.round_trip_s
+                attempt.advance_at = now + self.timeouts.round_trip_s
             if now < attempt.advance_at:
                 return []
         return self._enter_round(attempt, attempt.round + 1)
 
     def _enter_round(self, attempt: _Attempt, round: int) -> Effects:
         attempt.round = round
-        attempt.forget_answers()
-        return self._puts(attempt)
+        attempt.clear_answers()
+        return self._put_requests(attempt)
 
-    def _lose(
+    def _end_without_grant(
         self,
         now: float,
         attempt: _Attempt,
-        rivals: abc.Set[str] = frozenset(),
+        possible_winners: abc.Set[str] = frozenset(),
     ) -> Effects:
         """End without a grant; the result depends on the blocking slots."""
-        if self._is_other_call(attempt):
+        if self._is_digest_mismatch(attempt):
             return self._end(now, attempt, messages.DigestMismatch())
-        blockers = _slots_of(attempt, rivals)
-        if not blockers:
+        blocking = _slots_of(attempt, possible_winners)
+        if not blocking:
             return self._end(now, attempt, self._unavailable(attempt))
         # An attempt that no answer has shown may belong to the same call,
         # and may have run.
-        is_other = all(_is_of_other_call(attempt, one) for one in blockers)
-        if is_other and UNSEEN not in rivals:
+        is_other = all(_has_other_digest(attempt, one) for one in blocking)
+        if is_other and UNSEEN_ATTEMPT not in possible_winners:
             return self._end(now, attempt, messages.DigestMismatch())
-        return self._end(now, attempt, self._blocked(blockers))
+        return self._end(now, attempt, self._blocked(blocking))
 
-    def _blocked(self, blockers: abc.Sequence[claim_slots.SeenSlot]) -> Result:
-        remaining_s = max(self._remaining_s(seen) for seen in blockers)
+    def _blocked(self, blocking: abc.Sequence[claim_slots.SeenSlot]) -> Result:
+        remaining_s = max(self._remaining_s(seen) for seen in blocking)
         if remaining_s <= 0:
             return messages.OutcomeUnknown()
         return messages.InProgress(
@@ -420,7 +424,7 @@
 
     def _unavailable(self, attempt: _Attempt) -> messages.ClaimsUnavailable:
         return messages.ClaimsUnavailable(
-            retry_after_s=self.patience.resend_s,
+            retry_after_s=self.timeouts.resend_s,
             reason=self._unavailable_reason(attempt),
         )
 
@@ -429,41 +433,43 @@
     ) -> messages.UnavailableReason:
         if attempt.full:
             return _Reason.HOLDERS_FULL
-        if self._silent(attempt):
+        if self._unanswered(attempt):
             return _Reason.HOLDERS_UNREACHABLE
         return _Reason.CONTENDED
 
     def _remaining_s(self, seen: claim_slots.SeenSlot) -> float:
         """Return for how many seconds the slot's attempt may still run."""
         if seen.slot.state is _State.WITHDRAWN:
-            return self.patience.round_trip_s
+            return self.timeouts.round_trip_s
         if seen.slot.state is _State.CONTESTED:
             return 0.0
-        return seen.slot.deadline_s + self.patience.give_up_s - seen.age_s
+        return seen.slot.deadline_s + self.timeouts.give_up_s - seen.age_s
 
     def _end(
         self, now: float, attempt: _Attempt, result: typing.Any
     ) -> Effects:
-        closing = self._close(now, attempt)
+        closing = self._remove_and_withdraw(now, attempt)
         return [self._complete(attempt, result), *closing]
 
-    def _close(self, now: float, attempt: _Attempt) -> Effects:
+    def _remove_and_withdraw(self, now: float, attempt: _Attempt) -> Effects:
         """Remove an attempt and withdraw slots that it may have got."""
         del self._attempts_by_id[attempt.begin.attempt_id]
         return self._withdrawals.withdraw(
             now,
             attempt.slot(_State.WITHDRAWN),
-            attempt.granted | self._silent(attempt),
+            attempt.granted | self._unanswered(attempt),
         )
 
     # Helpers.
 
-    def _silent(self, attempt: _Attempt) -> frozenset[str]:
+    def _unanswered(self, attempt: _Attempt) -> frozenset[str]:
         """Return the holders without a valid answer in this round."""
-        told = attempt.granted | attempt.full | attempt.seen_by_holder.keys()
-        return self._holder_set.holders - told
+        answered = (
+            attempt.granted | attempt.full | attempt.seen_by_holder.keys()
+        )
+        return self._holder_set.holders - answered
 
-    def _puts(self, attempt: _Attempt) -> Effects:
+    def _put_requests(self, attempt: _Attempt) -> Effects:
         begin = attempt.begin
         return [
             parts.Send(
@@ -478,13 +484,13 @@
                     disk_id=self._holder_set.disk_id_of(holder),
                 ),
             )
-            for holder in sorted(self._silent(attempt))
+            for holder in sorted(self._unanswered(attempt))
         ]
 
     def _complete(self, attempt: _Attempt, result: typing.Any) -> typing.Any:
         return parts.Complete(ticket=attempt.begin.ticket, result=result)
 
-    def _drop_old(self, now: float) -> None:
+    def _evict_expired_grants(self, now: float) -> None:
         """Evict granted attempts that were neither finished nor abandoned.
 
         Without this, calls whose outcome never becomes known would stay in
@@ -494,32 +500,32 @@
         old = [
             attempt_id
             for attempt_id, attempt in self._granted_by_id.items()
-            if now - attempt.begin.now > self._keep_s(attempt)
+            if now - attempt.begin.now > self._grant_retention_s(attempt)
         ]
         for attempt_id in old:
             del self._granted_by_id[attempt_id]
 
-    def _keep_s(self, attempt: _Attempt) -> float:
-        deadlines_s = KEEP_DEADLINES * attempt.begin.deadline_s
-        return deadlines_s + self.patience.give_up_s
+    def _grant_retention_s(self, attempt: _Attempt) -> float:
+        deadlines_s = GRANT_RETENTION_DEADLINES * attempt.begin.deadline_s
+        return deadlines_s + self.timeouts.give_up_s
 
 
 def _slots_of(
-    attempt: _Attempt, rivals: abc.Set[str]
+    attempt: _Attempt, possible_winners: abc.Set[str]
 ) -> list[claim_slots.SeenSlot]:
-    """Return the reported slots of possible winners.
+    """Return the reported slots of possible possible_winners.
 
     Contested slots have no attempt id; they are included if an unseen
-    attempt is among the possible winners.
+    attempt is among the possible possible_winners.
     """
     return [
         seen
         for seen in attempt.seen_by_holder.values()
-        if seen.slot.attempt_id in rivals
+        if seen.slot.attempt_id in possible_winners
     ]
 
 
-def _is_of_other_call(attempt: _Attempt, seen: claim_slots.SeenSlot) -> bool:
+def _has_other_digest(attempt: _Attempt, seen: claim_slots.SeenSlot) -> bool:
     if seen.slot.state is _State.CONTESTED:
         return False
     return seen.slot.digest != attempt.begin.digest
--- a/dandeliongw/coordination/claim_holder.py
+++ b/dandeliongw/coordination/claim_holder.py
@@ -23,11 +23,11 @@
 _Answer = messages.PutAnswer
 
 
-class _Held(msgspec.Struct, kw_only=True):
+class _HeldSlot(msgspec.Struct, kw_only=True):
     """A stored slot and when it last changed, in monotonic seconds."""
 
     slot: messages.ClaimSlot
-    since: float
+    changed_at: float
 
 
 class _Batch(msgspec.Struct, kw_only=True):
@@ -89,14 +89,14 @@
         self.resend_s = resend_s
         #: Ordered by last change, so that eviction stops at the first slot
         #: that is still retained.
-        self._held_by_key: dict[str, _Held] = {}
+        self._held_by_key: dict[str, _HeldSlot] = {}
         self._keys: list[str] = []
         self._clock_started = False
         self._holder_set: claim_slots.HolderSet | None = None
         #: The highest epoch written to the journal, and the highest synced.
         self._journaled_epoch = 0
         self._synced_epoch = 0
-        self._waiting = _Batch()
+        self._pending = _Batch()
         self._syncing: _Batch | None = None
         self._syncs = 0
         self._copy: _Copy | None = None
@@ -114,7 +114,7 @@
             self._clear()
         elif isinstance(record, messages.ClaimsForgotten):
             for key in record.keys:
-                self._forget(key)
+                self._remove(key)
 
     def snapshot(self) -> abc.Sequence[typing.Any]:
         """Return the journal records that restore this holder."""
@@ -133,9 +133,9 @@
 
     def flush(self) -> Effects:
         """Start a sync if records are pending and none is under way."""
-        if self._syncing is not None or not self._waiting.records:
+        if self._syncing is not None or not self._pending.records:
             return []
-        self._syncing, self._waiting = self._waiting, _Batch()
+        self._syncing, self._pending = self._pending, _Batch()
         self._syncs += 1
         return [
             parts.Persist(
@@ -161,11 +161,11 @@
             return
         self._clock_started = True
         for held in self._held_by_key.values():
-            held.since = now
+            held.changed_at = now
 
     def ticked(self, now: float) -> Effects:
         """Evict slots past their retention; request lost pages again."""
-        self._forget_old(now)
+        self._evict_expired(now)
         effects: Effects = []
         copy = self._copy
         if copy is not None and now >= copy.resend_at:
@@ -185,25 +185,25 @@
         """
         if holder_set.epoch < self._journaled_epoch:
             return []
-        known = self._holder_set
-        if known is not None and known.epoch == holder_set.epoch:
+        previous = self._holder_set
+        if previous is not None and previous.epoch == holder_set.epoch:
             return []
         self._holder_set = holder_set
         if holder_set.epoch > self._journaled_epoch:
             self._journaled_epoch = holder_set.epoch
-            self._waiting.epoch = holder_set.epoch
-            self._waiting.records.append(
+            self._pending.epoch = holder_set.epoch
+            self._pending.records.append(
                 messages.ClaimEpoch(epoch=holder_set.epoch)
             )
         return self._start_copy(now, holder_set)
 
-    def _counts(self) -> bool:
+    def _is_active(self) -> bool:
         """Whether this disk is in the current set, under a synced epoch."""
         holder_set = self._holder_set
         if holder_set is None or holder_set.epoch != self._synced_epoch:
             return False
-        counted = holder_set.disk_ids_by_holder.get(self.instance_id)
-        return counted == self.disk_id
+        current_disk_id = holder_set.disk_ids_by_holder.get(self.instance_id)
+        return current_disk_id == self.disk_id
 
     # Claims.
 
@@ -214,16 +214,16 @@
         held = self._held_by_key.get(put.key)
         if held is None and len(self._held_by_key) >= self.max_records:
             return [self._put_reply(sender, put, _Answer.FULL)]
-        if held is None or _gives_way(held.slot, put.round):
+        if held is None or _is_superseded(held.slot, put.round):
             self._write(now, _claimed(put))
-            return self._tell(
+            return self._send_after_sync(
                 put.key, self._put_reply(sender, put, _Answer.GRANTED)
             )
         if _is_granted(held.slot, put):
             reply = self._put_reply(sender, put, _Answer.GRANTED)
         else:
             reply = self._put_reply(sender, put, _Answer.TAKEN, held, now)
-        return self._tell(put.key, reply)
+        return self._send_after_sync(put.key, reply)
 
     def withdraw(
         self, now: float, sender: str, withdraw: messages.ClaimWithdraw
@@ -235,18 +235,20 @@
         free slot is marked as well, so that a late duplicate of the attempt's
         put is refused.
         """
-        if withdraw.disk_id != self.disk_id or not self._counts():
+        if withdraw.disk_id != self.disk_id or not self._is_active():
             return []
         if self._withdrawal_changes(withdraw):
             self._write(now, _withdrawn(withdraw))
         reply = messages.ClaimWithdrawReply(attempt_id=withdraw.attempt_id)
-        return self._tell(withdraw.key, parts.Send(to=sender, message=reply))
+        return self._send_after_sync(
+            withdraw.key, parts.Send(to=sender, message=reply)
+        )
 
     def _withdrawal_changes(self, withdraw: messages.ClaimWithdraw) -> bool:
         held = self._held_by_key.get(withdraw.key)
         if held is None:
             return len(self._held_by_key) < self.max_records
-        if _gives_way(held.slot, withdraw.round):
+        if _is_superseded(held.slot, withdraw.round):
             return True
         return (
             held.slot.state is _State.CLAIMED
@@ -267,7 +269,7 @@
             disk_id=self.disk_id,
             stored=stored,
         )
-        return self._tell(
+        return self._send_after_sync(
             outcome.slot.key, parts.Send(to=sender, message=reply)
         )
 
@@ -289,14 +291,14 @@
         """
         if disk_id != self.disk_id or epoch != self._synced_epoch:
             return False
-        return self._counts()
+        return self._is_active()
 
     def _put_reply(
         self,
         sender: str,
         put: messages.ClaimPut,
         answer: messages.PutAnswer,
-        held: _Held | None = None,
+        held: _HeldSlot | None = None,
         now: float = 0.0,
     ) -> parts.Send:
         reply = messages.ClaimPutReply(
@@ -307,7 +309,7 @@
             disk_id=self.disk_id,
             answer=answer,
             slot=held.slot if held else None,
-            age_s=now - held.since if held else 0.0,
+            age_s=now - held.changed_at if held else 0.0,
         )
         return parts.Send(to=sender, message=reply)
 
@@ -317,10 +319,10 @@
         self, now: float, sender: str, request: messages.ClaimCopyRequest
     ) -> Effects:
         """Send a joining holder a page of synced slots, in key order."""
-        if request.epoch != self._synced_epoch or not self._counts():
+        if request.epoch != self._synced_epoch or not self._is_active():
             return []
         page = self._page(now, request)
-        return self._tell(None, parts.Send(to=sender, message=page))
+        return self._send_after_sync(None, parts.Send(to=sender, message=page))
 
     def _page(
         self, now: float, request: messages.ClaimCopyRequest
@@ -330,7 +332,7 @@
         size = 0
         for key in self._keys[first : first + PAGE_SLOTS]:
             held = self._held_by_key[key]
-            age_s = now - held.since
+            age_s = now - held.changed_at
             copies.append(messages.ClaimCopied(slot=held.slot, age_s=age_s))
             size += len(held.slot.outcome)
             if size >= PAGE_BYTES:
@@ -346,12 +348,12 @@
         self, now: float, holder_set: claim_slots.HolderSet
     ) -> Effects:
         self._copy = None
-        counted = holder_set.disk_ids_by_holder.get(self.instance_id)
+        current_disk_id = holder_set.disk_ids_by_holder.get(self.instance_id)
         joins = holder_set.joining.get(self.instance_id) == self.disk_id
-        if not joins or counted == self.disk_id:
+        if not joins or current_disk_id == self.disk_id:
             return self.flush()
         self._clear()
-        self._waiting.records.append(
+        self._pending.records.append(
             messages.ClaimCopyStarted(epoch=holder_set.epoch)
         )
         sources = set(holder_set.disk_ids_by_holder) - {self.instance_id}
@@ -400,11 +402,11 @@
     def _merge(self, now: float, copied: messages.ClaimCopied) -> None:
         held = self._held_by_key.get(copied.slot.key)
         slot = claim_slots.merge(held.slot if held else None, copied.slot)
-        since = now - copied.age_s
+        changed_at = now - copied.age_s
         if held is not None:
-            since = max(since, held.since)
+            changed_at = max(changed_at, held.changed_at)
         if held is None or held.slot != slot:
-            self._write(since, slot)
+            self._write(changed_at, slot)
 
     def _caught_up(self) -> Effects:
         copy = self._copy
@@ -414,21 +416,23 @@
         effect = messages.CaughtUp(
             epoch=copy.holder_set.epoch, disk_id=self.disk_id
         )
-        return self._tell(None, effect)
+        return self._send_after_sync(None, effect)
 
     # Slots.
 
-    def _write(self, since: float, slot: messages.ClaimSlot) -> None:
-        self._store(slot, since)
-        self._waiting.records.append(slot)
-        self._waiting.keys.add(slot.key)
+    def _write(self, changed_at: float, slot: messages.ClaimSlot) -> None:
+        self._store(slot, changed_at)
+        self._pending.records.append(slot)
+        self._pending.keys.add(slot.key)
 
-    def _store(self, slot: messages.ClaimSlot, since: float) -> None:
+    def _store(self, slot: messages.ClaimSlot, changed_at: float) -> None:
         if self._held_by_key.pop(slot.key, None) is None:
             bisect.insort(self._keys, slot.key)
-        self._held_by_key[slot.key] = _Held(slot=slot, since=since)
+        self._held_by_key[slot.key] = _HeldSlot(
+            slot=slot, changed_at=changed_at
+        )
 
-    def _tell(self, key: str | None, effect: typing.Any) -> Effects:
+    def _send_after_sync(self, key: str | None, effect: typing.Any) -> Effects:
         """Release an effect once the state that it reports is synced.
 
         :param key: of the slot that the effect reports; ``None`` if it
@@ -438,7 +442,7 @@
         crash, it would be granted to the next attempt, although the refused
         one may have concluded from it that nobody can win this round.
         """
-        for batch in (self._waiting, self._syncing):
+        for batch in (self._pending, self._syncing):
             if batch is None or not batch.records:
                 continue
             if key is None or key in batch.keys:
@@ -447,31 +451,33 @@
         return [*self.flush(), effect]
 
     def _sort_by_age(self) -> None:
-        by_age = sorted(self._held_by_key.items(), key=lambda i: i[1].since)
+        by_age = sorted(
+            self._held_by_key.items(), key=lambda i: i[1].changed_at
+        )
         self._held_by_key = dict(by_age)
 
     def _clear(self) -> None:
         self._held_by_key.clear()
         self._keys.clear()
 
-    def _forget(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         if self._held_by_key.pop(key, None) is not None:
             del self._keys[bisect.bisect_left(self._keys, key)]
 
-    def _forget_old(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         old = []
         for key, held in self._held_by_key.items():
-            if now - held.since < self.retention_s:
+            if now - held.changed_at < self.retention_s:
                 break
             old.append(key)
         if not old:
             return
         for key in old:
-            self._forget(key)
-        self._waiting.records.append(messages.ClaimsForgotten(keys=tuple(old)))
+            self._remove(key)
+        self._pending.records.append(messages.ClaimsForgotten(keys=tuple(old)))
 
 
-def _gives_way(slot: messages.ClaimSlot, round: int) -> bool:
+def _is_superseded(slot: messages.ClaimSlot, round: int) -> bool:
     """Whether a put of this round may overwrite a slot.
 
     A later round proves that no attempt can win the slot's round any more.
--- a/dandeliongw/coordination/claim_outcomes.py
+++ b/dandeliongw/coordination/claim_outcomes.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from . import claim_messages as messages
-from . import claim_patience
 from . import claim_slots
+from . import claim_timeouts
 from . import parts
 
 Effects = list[typing.Any]
@@ -33,11 +33,11 @@
 class Outcomes:
     """Sends outcomes to the holders until a majority has synced them.
 
-    :param patience: timeout and resend interval.
+    :param timeouts: timeout and resend interval.
     """
 
-    def __init__(self, *, patience: claim_patience.Patience) -> None:
-        self._patience = patience
+    def __init__(self, *, timeouts: claim_timeouts.ClaimTimeouts) -> None:
+        self._timeouts = timeouts
         self._holder_set = claim_slots.NO_HOLDERS
         self._recordings_by_ticket: dict[str, _Recording] = {}
         #: Several tickets may wait for the same outcome to be written back.
@@ -64,15 +64,15 @@
             slot=slot,
             result=result,
             failure=failure,
-            give_up_at=now + self._patience.give_up_s,
-            resend_at=now + self._patience.resend_s,
+            give_up_at=now + self._timeouts.give_up_s,
+            resend_at=now + self._timeouts.resend_s,
         )
         self._recordings_by_ticket[ticket] = recording
         tickets = self._tickets_by_attempt_id.setdefault(
             slot.attempt_id, set()
         )
         tickets.add(ticket)
-        return self._sends(recording)
+        return self._requests(recording)
 
     def answered(
         self, sender: str, reply: messages.ClaimOutcomeReply
@@ -80,7 +80,9 @@
         """Count a holder that has stored an outcome."""
         if not reply.stored:
             return []
-        if not self._holder_set.speaks(sender, reply.epoch, reply.disk_id):
+        if not self._holder_set.is_current_reply(
+            sender, reply.epoch, reply.disk_id
+        ):
             return []
         effects: Effects = []
         tickets = self._tickets_by_attempt_id.get(reply.attempt_id, ())
@@ -100,7 +102,7 @@
         effects: Effects = []
         for recording in self._recordings_by_ticket.values():
             recording.stored.clear()
-            effects += self._sends(recording)
+            effects += self._requests(recording)
         return effects
 
     def ticked(self, now: float) -> Effects:
@@ -110,8 +112,8 @@
             if now >= recording.give_up_at:
                 effects += self._end(recording, recording.failure)
             elif now >= recording.resend_at:
-                recording.resend_at = now + self._patience.resend_s
-                effects += self._sends(recording)
+                recording.resend_at = now + self._timeouts.resend_s
+                effects += self._requests(recording)
         return effects
 
     def _end(self, recording: _Recording, result: Result) -> Effects:
@@ -123,7 +125,7 @@
         del self._recordings_by_ticket[recording.ticket]
         return [parts.Complete(ticket=recording.ticket, result=result)]
 
-    def _sends(self, recording: _Recording) -> Effects:
+    def _requests(self, recording: _Recording) -> Effects:
         return [
             parts.Send(
                 to=holder,
--- a/dandeliongw/coordination/claim_slots.py
+++ b/dandeliongw/coordination/claim_slots.py
@@ -14,7 +14,7 @@
 CLOCK_DRIFT = 0.001
 
 #: Attempt id that stands for attempts that no answer has shown.
-UNSEEN = ''
+UNSEEN_ATTEMPT = ''
 
 _State = messages.SlotState
 
@@ -50,7 +50,7 @@
         old = self.disk_ids_by_holder.get(holder)
         return self.joining.get(holder) or old or ''
 
-    def speaks(self, holder: str, epoch: int, disk_id: str) -> bool:
+    def is_current_reply(self, holder: str, epoch: int, disk_id: str) -> bool:
         """Whether a reply is from this epoch and a disk of this set."""
         return epoch == self.epoch and disk_id == self.disk_id_of(holder)
 
@@ -100,7 +100,7 @@
     return slot_age_s > attempt_age_s * (1 + CLOCK_DRIFT)
 
 
-def rivals(
+def possible_winners(
     *,
     attempt_id: str,
     round: int,
@@ -113,7 +113,7 @@
     slot is never reassigned. So an attempt that lacks a majority even if all
     unseen slots are counted for it never had one and never gets one. Unseen
     slots count for every attempt, also for attempts that no answer has
-    shown, which :data:`UNSEEN` represents.
+    shown, which :data:`UNSEEN_ATTEMPT` represents.
 
     :param attempt_id: the caller's own attempt, which has not won.
     :param seen_by_holder: the slots that holders reported for the key.
@@ -130,12 +130,14 @@
         if is_withdrawn_before(seen)
     }
     never_ran.add(attempt_id)
-    suspects = {seen.slot.attempt_id for seen in shown.values()} | {UNSEEN}
+    candidates = {seen.slot.attempt_id for seen in shown.values()} | {
+        UNSEEN_ATTEMPT
+    }
     return frozenset(
-        suspect
-        for suspect in suspects - never_ran
+        candidate
+        for candidate in candidates - never_ran
         if holder_set.may_be_majority(
-            unseen | _holders_of(suspect, shown, round)
+            unseen | _holders_of(candidate, shown, round)
         )
     )
 
--- a/dandeliongw/coordination/claim_patience.py
+++ b/dandeliongw/coordination/claim_timeouts.py
@@ -9,7 +9,7 @@
 RESEND_ROUND_TRIPS = 2
 
 
-class Patience(msgspec.Struct, frozen=True, kw_only=True):
+class ClaimTimeouts(msgspec.Struct, frozen=True, kw_only=True):
     """Timeouts in seconds, derived from the round-trip time.
 
     :param round_trip_s: expected seconds for a round trip to a holder,
--- a/dandeliongw/coordination/claim_withdrawals.py
+++ b/dandeliongw/coordination/claim_withdrawals.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from . import claim_messages as messages
-from . import claim_patience
 from . import claim_slots
+from . import claim_timeouts
 from . import parts
 
 Effects = list[typing.Any]
@@ -29,11 +29,11 @@
     never runs, and later requests with the key may be answered that the
     outcome is unknown.
 
-    :param patience: timeout and resend interval.
+    :param timeouts: timeout and resend interval.
     """
 
-    def __init__(self, *, patience: claim_patience.Patience) -> None:
-        self._patience = patience
+    def __init__(self, *, timeouts: claim_timeouts.ClaimTimeouts) -> None:
+        self._timeouts = timeouts
         self._holder_set = claim_slots.NO_HOLDERS
         self._withdrawals_by_id: dict[str, _Withdrawal] = {}
 
@@ -50,11 +50,11 @@
         withdrawal = _Withdrawal(
             slot=slot,
             pending=set(holders),
-            give_up_at=now + self._patience.give_up_s,
-            resend_at=now + self._patience.resend_s,
+            give_up_at=now + self._timeouts.give_up_s,
+            resend_at=now + self._timeouts.resend_s,
         )
         self._withdrawals_by_id[slot.attempt_id] = withdrawal
-        return self._sends(withdrawal)
+        return self._requests(withdrawal)
 
     def answered(
         self, sender: str, reply: messages.ClaimWithdrawReply
@@ -75,11 +75,11 @@
             if now >= withdrawal.give_up_at:
                 del self._withdrawals_by_id[withdrawal.slot.attempt_id]
             elif now >= withdrawal.resend_at:
-                withdrawal.resend_at = now + self._patience.resend_s
-                effects += self._sends(withdrawal)
+                withdrawal.resend_at = now + self._timeouts.resend_s
+                effects += self._requests(withdrawal)
         return effects
 
-    def _sends(self, withdrawal: _Withdrawal) -> Effects:
+    def _requests(self, withdrawal: _Withdrawal) -> Effects:
         slot = withdrawal.slot
         return [
             parts.Send(
--- a/dandeliongw/coordination/claims.py
+++ b/dandeliongw/coordination/claims.py
@@ -12,8 +12,8 @@
 from . import claim_attempts
 from . import claim_holder
 from . import claim_messages as messages
-from . import claim_patience
 from . import claim_slots
+from . import claim_timeouts
 from . import parts
 from .claim_messages import Abandon
 from .claim_messages import Begin
@@ -83,9 +83,9 @@
         max_outcome_bytes: int,
         round_trip_s: float,
     ) -> None:
-        patience = claim_patience.Patience(round_trip_s=round_trip_s)
+        timeouts = claim_timeouts.ClaimTimeouts(round_trip_s=round_trip_s)
         self._attempts = claim_attempts.Attempts(
-            patience=patience,
+            timeouts=timeouts,
             max_outcome_bytes=max_outcome_bytes,
             retention_s=retention_s,
         )
@@ -99,7 +99,7 @@
             disk_id=disk_id,
             retention_s=retention_s,
             max_records=max_records,
-            resend_s=patience.resend_s,
+            resend_s=timeouts.resend_s,
         )
 
     def handle(self, event: typing.Any) -> Effects:
--- a/dandeliongw/coordination/grantor.py
+++ b/dandeliongw/coordination/grantor.py
@@ -35,14 +35,14 @@
         default_factory=dict
     )
 
-    def stands(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         return not self.released and now < self.expires_at
 
     def is_to(self, holder: str, life: int) -> bool:
         return (self.record.holder, self.record.life) == (holder, life)
 
 
-class _Withheld(msgspec.Struct, kw_only=True):
+class _PendingReply(msgspec.Struct, kw_only=True):
     """A reply that is sent once these syncs have finished."""
 
     to: str
@@ -75,7 +75,7 @@
         )
         self._grants_by_name: dict[str, _Grant] = {}
         self._wait_until: float | None = None
-        self._withheld: list[_Withheld] = []
+        self._pending_replies: list[_PendingReply] = []
         self._tokens_by_subject: dict[str, str] = {}
         self._token_count = 0
 
@@ -153,7 +153,7 @@
         granted: dict[str, messages.LeaseGranted] = {}
         answers = []
         for claim in claims.claims:
-            outcome = self._judge(now, sender, claims, claim)
+            outcome = self._decide(now, sender, claims, claim)
             self.outcomes_by_label[outcome.name.lower()] += 1
             answers.append(self._answer(now, claim, outcome))
             if outcome is Outcome.GRANTED and claim.epoch:
@@ -185,7 +185,7 @@
         if not grant.is_to(sender, release.life):
             return []
         grant.released = True
-        told = (
+        recipients = (
             [release.successor]
             if release.successor
             else [
@@ -195,7 +195,7 @@
             ]
         )
         vacant = messages.LeaseVacant(name=release.name, epoch=release.epoch)
-        return [parts.Send(to=name, message=vacant) for name in told]
+        return [parts.Send(to=name, message=vacant) for name in recipients]
 
     def on_persisted(self, token: str) -> list[typing.Any]:
         """Return the replies whose last pending sync this was."""
@@ -205,16 +205,16 @@
             if waiting != token
         }
         effects: list[typing.Any] = []
-        still_withheld = []
-        for withheld in self._withheld:
-            withheld.tokens.discard(token)
-            if withheld.tokens:
-                still_withheld.append(withheld)
+        still_pending = []
+        for pending in self._pending_replies:
+            pending.tokens.discard(token)
+            if pending.tokens:
+                still_pending.append(pending)
             else:
                 effects.append(
-                    parts.Send(to=withheld.to, message=withheld.message)
+                    parts.Send(to=pending.to, message=pending.message)
                 )
-        self._withheld = still_withheld
+        self._pending_replies = still_pending
         return effects
 
     def on_epochs_wanted(
@@ -242,7 +242,7 @@
         self._token_count += 1
         return f'lease:{self._token_count}'
 
-    def _judge(
+    def _decide(
         self,
         now: float,
         sender: str,
@@ -258,12 +258,12 @@
             return Outcome.TOO_LONG
         grant = self._grants_by_name.get(claim.name)
         if grant is not None and claim.epoch == grant.record.epoch:
-            return self._judge_renewal(sender, claims, grant)
+            return self._decide_renewal(sender, claims, grant)
         if grant is not None and 0 < claim.epoch < grant.record.epoch:
             return Outcome.OLD_EPOCH
         if self._wait_until is None or now < self._wait_until:
             return Outcome.WAITING_OUT
-        if grant is None or not grant.stands(now):
+        if grant is None or not grant.is_active(now):
             return Outcome.GRANTED
         # A candidate that requests a lease holds none. So a request with a
         # higher epoch, from the same start of the instance, replaces its
@@ -274,7 +274,7 @@
         grant.wait_until_by_candidate[sender] = now + wait_s
         return Outcome.HELD
 
-    def _judge_renewal(
+    def _decide_renewal(
         self, sender: str, claims: messages.LeaseClaims, grant: _Grant
     ) -> Outcome:
         """Return the outcome of a claim for the highest epoch granted.
@@ -371,8 +371,8 @@
             if subject in self._tokens_by_subject
         }
         if tokens:
-            withheld = _Withheld(to=sender, message=message, tokens=tokens)
-            self._withheld.append(withheld)
+            pending = _PendingReply(to=sender, message=message, tokens=tokens)
+            self._pending_replies.append(pending)
         else:
             effects.append(parts.Send(to=sender, message=message))
         return effects
--- a/dandeliongw/coordination/holder.py
+++ b/dandeliongw/coordination/holder.py
@@ -20,16 +20,16 @@
 
 #: Base of the randomized backoff between attempts, in seconds. It spreads
 #: candidates whose requests collided.
-SHORTEST_RETRY_S = 0.02
+BASE_BACKOFF_S = 0.02
 #: Initial timeout, as a fraction of ``renew_s``, of an attempt that a grantor
 #: refused.
-SHORT_PATIENCE = 1 / 8
+SHORT_TIMEOUT_FRACTION = 1 / 8
 #: Fraction of a lease's duration without a confirmation by any grantor after
 #: which all of them count as unreachable. It spans several renewals.
-UNHEARD_PART = 0.5
+SILENCE_FRACTION = 0.5
 #: The backoff doubles with each consecutive failed request, up to this many
 #: times.
-LONGEST_BACKOFF = 4
+MAX_BACKOFF_DOUBLINGS = 4
 
 
 class Phase(enum.Enum):
@@ -48,13 +48,13 @@
     :param highest: highest epoch seen; the next request uses a higher one.
     :param holder: last holder reported by a grantor.
     :param asked_at: when the current probe or request was sent.
-    :param next_try_at: earliest time of the next probe.
+    :param next_attempt_at: earliest time of the next probe.
     :param failures: consecutive requests that failed.
     :param confirmed_at_by_grantor: send time of the latest claim for
         ``epoch`` that each grantor granted.
     :param refusals_by_grantor: refusals since the current request was sent.
     :param valid_until: end of the lease by this instance's clock.
-    :param vacated_by: grantors that reported the release of epoch
+    :param released_by: grantors that reported the release of epoch
         ``highest``.
     """
 
@@ -64,7 +64,7 @@
     highest: int = 0
     holder: str | None = None
     asked_at: float = _NEVER
-    next_try_at: float = _NEVER
+    next_attempt_at: float = _NEVER
     failures: int = 0
     valid_until: float = _NEVER
     gained_at: float = _NEVER
@@ -74,7 +74,7 @@
     refusals_by_grantor: dict[str, messages.LeaseAnswer] = msgspec.field(
         default_factory=dict
     )
-    vacated_by: set[str] = msgspec.field(default_factory=set)
+    released_by: set[str] = msgspec.field(default_factory=set)
 
 
 class Holder:
@@ -161,7 +161,7 @@
         for name in sorted(names - self._leases_by_name.keys()):
             self._leases_by_name[name] = _Lease(name=name)
         for name in sorted(self._leases_by_name.keys() - names):
-            effects += self._give_up(self._leases_by_name[name], '')
+            effects += self._abandon(self._leases_by_name[name], '')
         return effects
 
     def release(self, name: str, successor: str) -> list[typing.Any]:
@@ -170,7 +170,7 @@
         lease = self._leases_by_name.get(name)
         if lease is None:
             return []
-        return self._give_up(lease, successor)
+        return self._abandon(lease, successor)
 
     def on_tick(self, now: float, entropy: int) -> list[typing.Any]:
         """Renew leases, start due attempts and end those that timed out."""
@@ -182,7 +182,7 @@
         claims = self._renewals(now)
         for lease in self._leases_by_name.values():
             if lease.phase in (Phase.PROBING, Phase.ASKING):
-                effects += self._check_patience(now, lease)
+                effects += self._check_timeout(now, lease)
             if self._is_due(now, lease):
                 claims.append(self._probe(now, lease))
         return effects + self._send_claims(now, claims)
@@ -194,7 +194,7 @@
             if lease.phase is Phase.HELD and now >= lease.valid_until:
                 is_unheard = self._is_unheard(now, lease)
                 effects.append(self._lose(lease, is_unheard=is_unheard))
-                lease.next_try_at = now + self._backoff_s(lease)
+                lease.next_attempt_at = now + self._backoff_s(lease)
         return effects
 
     def on_answers(
@@ -209,7 +209,7 @@
             lease = self._leases_by_name.get(answer.name)
             if lease is None:
                 continue
-            self._learn(lease, answer)
+            self._update_from(lease, answer)
             if lease.phase is Phase.PROBING and answer.epoch == 0:
                 if answers.asked_at == lease.asked_at:
                     claims += self._count_probe(now, sender, lease, answer)
@@ -232,48 +232,48 @@
         if vacant.epoch < lease.highest or lease.phase is Phase.HELD:
             return []
         if vacant.epoch > lease.highest:
-            lease.vacated_by.clear()
+            lease.released_by.clear()
         lease.highest = vacant.epoch
-        lease.vacated_by.add(sender)
-        vacated = dict.fromkeys(lease.vacated_by, 0.0)
+        lease.released_by.add(sender)
+        released = dict.fromkeys(lease.released_by, 0.0)
         if lease.phase is Phase.ASKING or not self._life:
             return []
-        if self.quorum.agreed(vacated) == _NEVER:
+        if self.quorum.majority_value(released) == _NEVER:
             return []
-        return self._send_claims(now, [self._ask(now, lease)])
+        return self._send_claims(now, [self._request(now, lease)])
 
     # Starting and ending attempts
 
     def _is_due(self, now: float, lease: _Lease) -> bool:
         if lease.phase is not Phase.IDLE or lease.name not in self._wanted:
             return False
-        return bool(self.quorum.grantors) and now >= lease.next_try_at
+        return bool(self.quorum.grantors) and now >= lease.next_attempt_at
 
     def _probe(self, now: float, lease: _Lease) -> messages.LeaseClaim:
         lease.phase = Phase.PROBING
         lease.epoch = 0
-        self._begin_try(now, lease)
+        self._start_attempt(now, lease)
         return messages.LeaseClaim(name=lease.name, epoch=0)
 
-    def _ask(self, now: float, lease: _Lease) -> messages.LeaseClaim:
+    def _request(self, now: float, lease: _Lease) -> messages.LeaseClaim:
         lease.phase = Phase.ASKING
         lease.highest += 1
         lease.epoch = lease.highest
-        self._begin_try(now, lease)
+        self._start_attempt(now, lease)
         return messages.LeaseClaim(name=lease.name, epoch=lease.epoch)
 
-    def _begin_try(self, now: float, lease: _Lease) -> None:
+    def _start_attempt(self, now: float, lease: _Lease) -> None:
         lease.asked_at = now
         lease.confirmed_at_by_grantor.clear()
         lease.refusals_by_grantor.clear()
-        lease.vacated_by.clear()
+        lease.released_by.clear()
 
-    def _check_patience(self, now: float, lease: _Lease) -> list[typing.Any]:
-        if now - lease.asked_at < self._patience_s(lease):
+    def _check_timeout(self, now: float, lease: _Lease) -> list[typing.Any]:
+        if now - lease.asked_at < self._timeout_s(lease):
             return []
         return self._fail(now, lease)
 
-    def _patience_s(self, lease: _Lease) -> float:
+    def _timeout_s(self, lease: _Lease) -> float:
         """Return the timeout of the current attempt in seconds.
 
         A refused request collided with another candidate's. Each blocks the
@@ -283,7 +283,7 @@
         """
         if not lease.refusals_by_grantor:
             return self.renew_s
-        short_s = self.renew_s * SHORT_PATIENCE * 2.0**lease.failures
+        short_s = self.renew_s * SHORT_TIMEOUT_FRACTION * 2.0**lease.failures
         return min(short_s, self.renew_s)
 
     def _fail(self, now: float, lease: _Lease) -> list[typing.Any]:
@@ -293,11 +293,11 @@
             effects += self._send_release(lease, '')
             lease.failures += 1
         lease.phase = Phase.IDLE
-        pause_s = self._free_in_s(lease) + self._backoff_s(lease)
-        lease.next_try_at = now + pause_s
+        pause_s = self._expected_wait_s(lease) + self._backoff_s(lease)
+        lease.next_attempt_at = now + pause_s
         return effects
 
-    def _free_in_s(self, lease: _Lease) -> float:
+    def _expected_wait_s(self, lease: _Lease) -> float:
         """Return after how many seconds a majority may grant the lease.
 
         The grantors reported these times in their answers.
@@ -307,13 +307,13 @@
         waits = dict.fromkeys(lease.confirmed_at_by_grantor, 0.0)
         for grantor, answer in lease.refusals_by_grantor.items():
             waits[grantor] = -answer.remaining_s
-        wait_s = -self.quorum.agreed(waits)
+        wait_s = -self.quorum.majority_value(waits)
         # Too few grantors have answered: wait for the renewal interval.
         return self.renew_s if wait_s == -_NEVER else max(wait_s, 0.0)
 
     def _backoff_s(self, lease: _Lease) -> float:
-        scale = 2.0 ** min(lease.failures, LONGEST_BACKOFF)
-        return SHORTEST_RETRY_S * scale * (0.5 + self._draw())
+        scale = 2.0 ** min(lease.failures, MAX_BACKOFF_DOUBLINGS)
+        return BASE_BACKOFF_S * scale * (0.5 + self._draw())
 
     def _draw(self) -> float:
         """Return a pseudorandom number in [0, 1) from the tick's entropy."""
@@ -324,7 +324,9 @@
 
     # Counting answers
 
-    def _learn(self, lease: _Lease, answer: messages.LeaseAnswer) -> None:
+    def _update_from(
+        self, lease: _Lease, answer: messages.LeaseAnswer
+    ) -> None:
         lease.highest = max(lease.highest, answer.highest)
         if answer.holder:
             lease.holder = answer.holder
@@ -336,10 +338,10 @@
         lease: _Lease,
         answer: messages.LeaseAnswer,
     ) -> list[messages.LeaseClaim]:
-        self._note(sender, lease, answer, now)
-        if self.quorum.agreed(lease.confirmed_at_by_grantor) > _NEVER:
-            return [self._ask(now, lease)]
-        if self._is_hopeless(lease):
+        self._record_answer(sender, lease, answer, now)
+        if self.quorum.majority_value(lease.confirmed_at_by_grantor) > _NEVER:
+            return [self._request(now, lease)]
+        if self._cannot_win(lease):
             self._fail(now, lease)
         return []
 
@@ -353,21 +355,23 @@
     ) -> list[typing.Any]:
         if lease.phase not in (Phase.ASKING, Phase.HELD):
             return []
-        self._note(sender, lease, answer, asked_at)
-        agreed = self.quorum.agreed(lease.confirmed_at_by_grantor)
+        self._record_answer(sender, lease, answer, asked_at)
+        confirmed_at = self.quorum.majority_value(
+            lease.confirmed_at_by_grantor
+        )
         # Counted from the send of the claim, not from the receipt of the
         # answer: the grantor's own time starts somewhere between the two.
-        valid_until = agreed + self.duration_s - self.margin_s
+        valid_until = confirmed_at + self.duration_s - self.margin_s
         lease.valid_until = max(lease.valid_until, valid_until)
         if lease.phase is Phase.HELD:
             return []
         if now < valid_until:
             return [self._gain(now, lease)]
-        if self._is_hopeless(lease):
+        if self._cannot_win(lease):
             return self._fail(now, lease)
         return []
 
-    def _note(
+    def _record_answer(
         self,
         sender: str,
         lease: _Lease,
@@ -380,14 +384,14 @@
         before = lease.confirmed_at_by_grantor.get(sender, _NEVER)
         lease.confirmed_at_by_grantor[sender] = max(before, asked_at)
 
-    def _is_hopeless(self, lease: _Lease) -> bool:
+    def _cannot_win(self, lease: _Lease) -> bool:
         """Return whether this attempt can no longer get a majority."""
-        hoped = {
+        not_refused = {
             grantor: 0.0
-            for grantor in self.quorum.everyone()
+            for grantor in self.quorum.all_grantors()
             if grantor not in lease.refusals_by_grantor
         }
-        return self.quorum.agreed(hoped) == _NEVER
+        return self.quorum.majority_value(not_refused) == _NEVER
 
     # Holding
 
@@ -411,9 +415,9 @@
         if lease.refusals_by_grantor:
             return False
         last = max(lease.confirmed_at_by_grantor.values(), default=_NEVER)
-        return last <= now - UNHEARD_PART * self.duration_s
+        return last <= now - SILENCE_FRACTION * self.duration_s
 
-    def _give_up(self, lease: _Lease, successor: str) -> list[typing.Any]:
+    def _abandon(self, lease: _Lease, successor: str) -> list[typing.Any]:
         effects: list[typing.Any] = []
         if lease.phase is Phase.HELD:
             effects.append(self._lose(lease))
@@ -449,7 +453,7 @@
         )
         return [
             parts.Send(to=grantor, message=message)
-            for grantor in self.quorum.everyone()
+            for grantor in self.quorum.all_grantors()
         ]
 
     def _send_release(self, lease: _Lease, successor: str) -> list[typing.Any]:
@@ -461,5 +465,5 @@
         )
         return [
             parts.Send(to=grantor, message=message)
-            for grantor in self.quorum.everyone()
+            for grantor in self.quorum.all_grantors()
         ]
--- a/dandeliongw/coordination/lease.py
+++ b/dandeliongw/coordination/lease.py
@@ -70,7 +70,7 @@
             margin_s=margin_s,
         )
         self._catch_up = catchup.CatchUp(
-            own_grantor=self._grantor, patience_s=renew_s
+            own_grantor=self._grantor, resend_s=renew_s
         )
 
     @property
--- a/dandeliongw/coordination/quorum.py
+++ b/dandeliongw/coordination/quorum.py
@@ -15,11 +15,13 @@
     grantors: tuple[str, ...] = ()
     joining: tuple[str, ...] = ()
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_grantors(self) -> tuple[str, ...]:
         """Return all instances of both sets once, the current set first."""
         return tuple(dict.fromkeys(self.grantors + self.joining))
 
-    def agreed(self, values_by_grantor: abc.Mapping[str, float]) -> float:
+    def majority_value(
+        self, values_by_grantor: abc.Mapping[str, float]
+    ) -> float:
         """Return the highest value that a majority has reached.
 
         During a change, that is a majority of each set.
@@ -29,11 +31,13 @@
         """
         if not self.grantors:
             return float('-inf')
-        agreed = _majority_value(self.grantors, values_by_grantor)
+        value = _majority_value_of_set(self.grantors, values_by_grantor)
         if self.joining:
-            joined = _majority_value(self.joining, values_by_grantor)
-            agreed = min(agreed, joined)
-        return agreed
+            joining_value = _majority_value_of_set(
+                self.joining, values_by_grantor
+            )
+            value = min(value, joining_value)
+        return value
 
 
 def majority(count: int) -> int:
@@ -41,12 +45,12 @@
     return count // 2 + 1
 
 
-def intersecting(count: int) -> int:
+def intersecting_size(count: int) -> int:
     """Return how many of ``count`` members intersect every majority."""
     return count - majority(count) + 1
 
 
-def _majority_value(
+def _majority_value_of_set(
     grantors: abc.Sequence[str], values_by_grantor: abc.Mapping[str, float]
 ) -> float:
     values = [
--- a/specs/claims_spec.py
+++ b/specs/claims_spec.py
@@ -313,7 +313,7 @@
     def may_have_winner(
         self, number: int, attempt: Attempt, seen: list[Slot]
     ) -> bool:
-        """The rule of ``claim_slots.rivals``."""
+        """The rule of ``claim_slots.possible_winners``."""
         shown = [one for one in seen if one[2] != CONTESTED]
         unseen = HOLDERS - len(shown)
         if self.lacks('unseen_holders_feared'):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -135,7 +135,7 @@
         ({'A': slot('a', 'withdrawn'), 'B': slot('me')}, set()),
         ({'A': slot('', 'contested'), 'B': slot('b')}, {'', 'b'}),
     )
-    def test_possible_winners_of_a_round(self, shown, rivals):
+    def test_possible_winners_of_a_round(self, shown, expected):
         """Unreachable holders and contested slots count for every attempt.
 
         If they counted for none, the next round could start although an
@@ -147,7 +147,7 @@
             joining={},
             leaving=frozenset(),
         )
-        found = claim_slots.rivals(
+        found = claim_slots.possible_winners(
             attempt_id='me',
             round=0,
             seen_by_holder={
@@ -158,7 +158,7 @@
             },
             holder_set=holder_set,
         )
-        self.assertEqual(rivals, found)
+        self.assertEqual(expected, found)
 
 
 class HolderTest(ClaimsTest):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -505,8 +505,8 @@
         self, grantors, joining, agreeing, is_enough
     ):
         both = quorum.Quorum(grantors=tuple(grantors), joining=tuple(joining))
-        agreed = both.agreed(dict.fromkeys(agreeing, 1.0))
-        self.assertEqual(is_enough, agreed == 1.0)
+        value = both.majority_value(dict.fromkeys(agreeing, 1.0))
+        self.assertEqual(is_enough, value == 1.0)
 
 
 class CatchUpTest(unittest.TestCase):
