--- a/dandeliongw/coordination/claim_holder.py
+++ b/dandeliongw/coordination/claim_holder.py
@@ -47,17 +47,20 @@
     """Progress of a joining holder's copy from the other holders.
 
     :param cursors_by_source: the last key received from each source.
-    :param done: sources that were read to the end.
+    :param finished_sources: sources that were read to the end.
     """
 
     holder_set: claim_slots.HolderSet
     resend_at: float
     cursors_by_source: dict[str, str]
-    done: set[str] = msgspec.field(default_factory=set)
+    finished_sources: set[str] = msgspec.field(default_factory=set)
 
     def has_majority(self) -> bool:
         """Whether a majority of the current set was read to the end."""
-        return len(self.done) > len(self.holder_set.disk_ids_by_holder) // 2
+        return (
+            len(self.finished_sources)
+            > len(self.holder_set.disk_ids_by_holder) // 2
+        )
 
 
 class Holder:
@@ -369,7 +372,7 @@
         return [
             self._request_page(source)
             for source in self._copy.cursors_by_source
-            if source not in self._copy.done
+            if source not in self._copy.finished_sources
         ]
 
     def _request_page(self, source: str) -> parts.Send:
@@ -380,7 +383,7 @@
         )
         return parts.Send(to=source, message=request)
 
-    def copied(
+    def page_received(
         self, now: float, sender: str, page: messages.ClaimCopyPage
     ) -> Effects:
         """Merge a page; request the next one or finish the copy."""
@@ -389,12 +392,12 @@
             return []
         if copy.cursors_by_source.get(sender) != page.after_key:
             return []
-        if sender in copy.done:
+        if sender in copy.finished_sources:
             return []
         for one in page.copies:
             self._merge(now, one)
         if page.last:
-            copy.done.add(sender)
+            copy.finished_sources.add(sender)
             return self.flush() + self._caught_up()
         copy.cursors_by_source[sender] = page.copies[-1].slot.key
         return self.flush() + [self._request_page(sender)]
@@ -478,7 +481,7 @@
 
 
 def _is_superseded(slot: messages.ClaimSlot, round: int) -> bool:
-    """Whether a put of this round may overwrite a slot.
+    """Whether a put or withdrawal of this round may overwrite a slot.
 
     A later round proves that no attempt can win the slot's round any more.
     """
--- a/dandeliongw/coordination/claims.py
+++ b/dandeliongw/coordination/claims.py
@@ -175,7 +175,7 @@
             case messages.ClaimCopyRequest():
                 return holder.copy_requested(now, sender, message)
             case messages.ClaimCopyPage():
-                return holder.copied(now, sender, message)
+                return holder.page_received(now, sender, message)
         raise TypeError(
             f'claims do not handle messages of type {type(message).__name__}'
         )
--- a/dandeliongw/coordination/grantor.py
+++ b/dandeliongw/coordination/grantor.py
@@ -38,7 +38,7 @@
     def is_active(self, now: float) -> bool:
         return not self.released and now < self.expires_at
 
-    def is_to(self, holder: str, life: int) -> bool:
+    def is_held_by(self, holder: str, life: int) -> bool:
         return (self.record.holder, self.record.life) == (holder, life)
 
 
@@ -182,7 +182,7 @@
             return []
         if grant.record.epoch != release.epoch:
             return []
-        if not grant.is_to(sender, release.life):
+        if not grant.is_held_by(sender, release.life):
             return []
         grant.released = True
         recipients = (
@@ -268,7 +268,7 @@
         # A candidate that requests a lease holds none. So a request with a
         # higher epoch, from the same start of the instance, replaces its
         # request with the lower one.
-        if grant.is_to(sender, claims.life):
+        if grant.is_held_by(sender, claims.life):
             return Outcome.GRANTED
         wait_s = self.duration_s + self.margin_s
         grant.wait_until_by_candidate[sender] = now + wait_s
@@ -282,7 +282,7 @@
         A renewal is granted during the wait after a restart too: if another
         grant had been made since, the highest epoch would be a later one.
         """
-        if not grant.is_to(sender, claims.life):
+        if not grant.is_held_by(sender, claims.life):
             return Outcome.OLD_EPOCH
         if grant.released:
             return Outcome.RELEASED
--- a/dandeliongw/coordination/holder.py
+++ b/dandeliongw/coordination/holder.py
@@ -33,7 +33,10 @@
 
 
 class Phase(enum.Enum):
-    """State of one name at a candidate or holder."""
+    """State of one name at a candidate or holder.
+
+    In phase ``ASKING``, a request is under way.
+    """
 
     IDLE = 'idle'
     PROBING = 'probing'
