--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -129,7 +129,7 @@
     def test_restarted_grantors_wait_until_their_grants_have_run_out(
         self, *names
     ):
-        """The holder is cut off as grantors restart; a rival requests.
+        """Grantors restart while the holder is cut off and a rival waits.
 
         The times of grants are kept in memory only. A restarted grantor that
         treated them as expired would allow two holders. Its clock starts at
