--- a/dandeliongw/coordination/catchup.py
+++ b/dandeliongw/coordination/catchup.py
@@ -1,8 +1,8 @@
-"""How a grantor without memory becomes one that may grant.
+"""Catch-up of a grantor without records, before it may grant leases.
 
-A grantor whose disk was lost, or one that joins, knows none of the epochs
-that were granted. It waits, reads the others' epochs, waits again, and only
-then grants.
+A grantor that lost its disk, or that joins, has no record of the epochs
+granted. It waits, reads the other grantors' epochs, waits again, and only
+then grants leases.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 
 class Phase(enum.Enum):
-    """How far a catch-up has come."""
+    """Progress of a catch-up."""
 
     OFF = 'off'
     WAITING = 'waiting'
@@ -27,30 +27,30 @@
 
 
 class CatchUp:
-    """Reads enough other grantors to know every epoch ever granted.
+    """Reads enough other grantors to get every epoch ever granted.
 
-    The wait before the read: grants that this grantor gave before its disk
-    was lost may still be counted by a candidate that has not finished its
-    ask. Were the read earlier, the others would not have that epoch yet and
-    it could be granted twice. To a joining grantor the wait gives time for
-    the news of the change to spread.
+    Why it waits before the read: a candidate may still count a grant that
+    this grantor made before its disk was lost. If the read were earlier, the
+    others might not have that epoch yet, and it could be granted twice. For
+    a joining grantor, the wait lets the change of the set propagate.
 
-    The wait after it: the read fences grants under the replaced set, but
-    those given before it still run.
+    Why it waits after the read: the read fences new grants under the
+    replaced set, but earlier ones are still valid.
 
-    :param patience_s: pause before a read is sent again.
+    :param own_grantor: the grantor of this instance.
+    :param resend_s: seconds before an unfinished read is sent again.
     """
 
     def __init__(
-        self, *, own_grantor: grantor.Grantor, patience_s: float
+        self, *, own_grantor: grantor.Grantor, resend_s: float
     ) -> None:
-        self.patience_s = patience_s
+        self.resend_s = resend_s
         self.phase = Phase.OFF
         self._grantor = own_grantor
         self._version = 0
         self._sources: tuple[str, ...] = ()
-        self._enough = 0
-        self._until = float('-inf')
+        self._sources_needed = 0
+        self._wait_until = float('-inf')
         self._reading = 0
         self._read_sent_at = float('-inf')
         self._epochs_by_source: dict[str, messages.LeaseEpochs] = {}
@@ -58,62 +58,65 @@
     def change_grantors(
         self, now: float, version: int, changed: quorum.Quorum
     ) -> None:
-        """Begin, begin again or stop, as the sets in force demand."""
+        """Start, restart or stop the catch-up, as the current sets require."""
         if version < self._version:
             return
         own_id = self._grantor.instance_id
         is_joining = own_id in changed.joining
-        is_lost = own_id in changed.grantors and not self._grantor.ready
-        if not is_joining and not is_lost:
+        has_lost_records = (
+            own_id in changed.grantors and not self._grantor.ready
+        )
+        if not is_joining and not has_lost_records:
             self.phase = Phase.OFF
             return
         if self.phase is not Phase.OFF and version == self._version:
             return
         self._version = version
         self._sources = changed.grantors
-        self._enough = quorum.intersecting(len(changed.grantors))
+        self._sources_needed = quorum.intersecting_size(len(changed.grantors))
         self._wait(now, Phase.WAITING)
 
     def stop(self) -> None:
-        """Forget the catch-up under way."""
+        """Cancel the current catch-up."""
         self.phase = Phase.OFF
 
     def on_tick(self, now: float, entropy: int) -> list[typing.Any]:
-        """Move on when a wait is over; read again what got no answer."""
-        if self.phase is Phase.WAITING and now >= self._until:
+        """Enter the next phase after a wait; resend an unfinished read."""
+        if self.phase is Phase.WAITING and now >= self._wait_until:
             self.phase = Phase.READING
             self._reading = entropy
             self._read_sent_at = float('-inf')
             self._epochs_by_source.clear()
         if self.phase is Phase.READING:
             return self._read(now)
-        if self.phase is Phase.SETTLING and now >= self._until:
+        if self.phase is Phase.SETTLING and now >= self._wait_until:
             return self._finish()
         return []
 
     def on_epochs(
         self, now: float, sender: str, epochs: messages.LeaseEpochs
     ) -> list[typing.Any]:
-        """Take one grantor's epochs in."""
+        """Handle one grantor's epochs."""
         if self.phase is not Phase.READING or epochs.reading != self._reading:
             return []
-        # One that is catching up itself doesn't know what it granted.
+        # The records of a grantor that is catching up are incomplete.
         if not epochs.ready or sender not in self._sources:
             return []
         self._epochs_by_source[sender] = epochs
-        if len(self._epochs_by_source) < self._enough:
+        if len(self._epochs_by_source) < self._sources_needed:
             return []
-        self._learn()
+        self._merge_records()
         self._wait(now, Phase.SETTLING)
         return []
 
-    def _learn(self) -> None:
-        """Take the highest epoch of each name over.
+    def _merge_records(self) -> None:
+        """Adopt the highest epoch of each name.
 
-        Its holder may renew here only if a majority reports that grant.
-        Otherwise two candidates may have got the same epoch from one grantor
-        each, and taking either one's renewal could give it a majority for an
-        epoch that the other held with a grant this grantor has forgotten.
+        Its holder may renew at this grantor only if a majority reports that
+        grant. Otherwise two candidates may have got the same epoch from one
+        grantor each. Accepting one candidate's renewal could then give it a
+        majority for an epoch that the other held, with a grant that this
+        grantor has lost.
         """
         reports: collections.Counter[messages.LeaseGranted] = (
             collections.Counter()
@@ -128,11 +131,13 @@
 
     def _wait(self, now: float, phase: Phase) -> None:
         self.phase = phase
-        own_s = self._grantor.duration_s + self._grantor.margin_s
-        self._until = now + max(own_s, self._grantor.longest_wait_s())
+        own_wait_s = self._grantor.duration_s + self._grantor.margin_s
+        self._wait_until = now + max(
+            own_wait_s, self._grantor.longest_wait_s()
+        )
 
     def _read(self, now: float) -> list[typing.Any]:
-        if now - self._read_sent_at < self.patience_s:
+        if now - self._read_sent_at < self.resend_s:
             return []
         self._read_sent_at = now
         wanted = messages.LeaseEpochsWanted(
--- a/dandeliongw/coordination/claim_holder.py
+++ b/dandeliongw/coordination/claim_holder.py
@@ -1,7 +1,7 @@
-"""The holder's half of claims: slots on a disk that are given away once.
+"""The holder side of claims: durable slots, granted once per round.
 
-All answers wait until what they tell is synced, and everything that arrives
-while one sync is under way goes into the next: one sync for many records.
+A reply is sent only after the state that it reports is synced. Records that
+arrive during a sync are batched into the next one (group commit).
 """
 
 import bisect
@@ -14,7 +14,7 @@
 from . import claim_slots
 from . import parts
 
-#: A page of a copy ends after so many slots or bytes of outcomes.
+#: A page of a copy ends after this many slots or bytes of outcomes.
 PAGE_SLOTS = 64
 PAGE_BYTES = 256 * 1024
 
@@ -23,15 +23,19 @@
 _Answer = messages.PutAnswer
 
 
-class _Held(msgspec.Struct, kw_only=True):
-    """A slot and when it last changed (monotonic seconds)."""
+class _HeldSlot(msgspec.Struct, kw_only=True):
+    """A stored slot and when it last changed, in monotonic seconds."""
 
     slot: messages.ClaimSlot
-    since: float
+    changed_at: float
 
 
 class _Batch(msgspec.Struct, kw_only=True):
-    """Records for one sync, and what may be told after it."""
+    """Records for one sync, and the effects that wait for it.
+
+    :param keys: of the slots among the records.
+    :param epoch: the epoch that becomes synced, if it is journaled here.
+    """
 
     records: list[typing.Any] = msgspec.field(default_factory=list)
     keys: set[str] = msgspec.field(default_factory=set)
@@ -40,25 +44,35 @@
 
 
 class _Copy(msgspec.Struct, kw_only=True):
-    """What a joining holder has asked for and got."""
+    """Progress of a joining holder's copy from the other holders.
+
+    :param cursors_by_source: the last key received from each source.
+    :param finished_sources: sources that were read to the end.
+    """
 
     holder_set: claim_slots.HolderSet
     resend_at: float
     cursors_by_source: dict[str, str]
-    done: set[str] = msgspec.field(default_factory=set)
+    finished_sources: set[str] = msgspec.field(default_factory=set)
 
     def has_majority(self) -> bool:
-        """Whether a majority of the set that counts was read to the end."""
-        return len(self.done) > len(self.holder_set.disk_ids_by_holder) // 2
+        """Whether a majority of the current set was read to the end."""
+        return (
+            len(self.finished_sources)
+            > len(self.holder_set.disk_ids_by_holder) // 2
+        )
 
 
 class Holder:
-    """Keeps the slots of all keys on this instance's disk.
-
-    :param disk_id: made when the disk was first used; a disk that comes
-        back empty has another one, so that it can't speak for the old.
-    :param retention_s: seconds a slot is kept after its last change.
-    :param max_records: keys held at once; further new ones are refused.
+    """Stores the slots of all keys on this instance's disk.
+
+    :param disk_id: generated when the disk was first used. A disk that comes
+        back empty gets a new one, so that its replies are not counted as
+        replies of the old disk.
+    :param retention_s: seconds for which a slot is kept after its last
+        change.
+    :param max_records: most keys stored at once; when it is full, new keys
+        are refused.
     :param resend_s: seconds between requests of an unfinished copy.
     """
 
@@ -76,15 +90,16 @@
         self.retention_s = retention_s
         self.max_records = max_records
         self.resend_s = resend_s
-        #: Oldest change first, so that forgetting looks at the front only.
-        self._held_by_key: dict[str, _Held] = {}
+        #: Ordered by last change, so that eviction stops at the first slot
+        #: that is still retained.
+        self._held_by_key: dict[str, _HeldSlot] = {}
         self._keys: list[str] = []
         self._clock_started = False
         self._holder_set: claim_slots.HolderSet | None = None
-        #: The highest epoch that is journaled, and that is synced.
+        #: The highest epoch written to the journal, and the highest synced.
         self._journaled_epoch = 0
         self._synced_epoch = 0
-        self._waiting = _Batch()
+        self._pending = _Batch()
         self._syncing: _Batch | None = None
         self._syncs = 0
         self._copy: _Copy | None = None
@@ -92,7 +107,7 @@
     # Journal.
 
     def restore(self, record: typing.Any) -> None:
-        """Take one journal record back, in the order of writing."""
+        """Replay one journal record; call it in the order of writing."""
         if isinstance(record, messages.ClaimSlot):
             self._store(record, 0.0)
         elif isinstance(record, messages.ClaimEpoch):
@@ -102,15 +117,15 @@
             self._clear()
         elif isinstance(record, messages.ClaimsForgotten):
             for key in record.keys:
-                self._forget(key)
+                self._remove(key)
 
     def snapshot(self) -> abc.Sequence[typing.Any]:
-        """Return the records that rebuild this holder."""
+        """Return the journal records that restore this holder."""
         slots = [held.slot for held in self._held_by_key.values()]
         return [messages.ClaimEpoch(epoch=self._journaled_epoch), *slots]
 
     def persisted(self, token: str) -> Effects:
-        """Tell what the finished sync allows, and start the next one."""
+        """Release the effects that waited for a sync, and start the next."""
         batch = self._syncing
         if batch is None or token != self._token:
             return []
@@ -120,10 +135,10 @@
         return batch.effects + self.flush()
 
     def flush(self) -> Effects:
-        """Start a sync if records wait and none is under way."""
-        if self._syncing is not None or not self._waiting.records:
+        """Start a sync if records are pending and none is under way."""
+        if self._syncing is not None or not self._pending.records:
             return []
-        self._syncing, self._waiting = self._waiting, _Batch()
+        self._syncing, self._pending = self._pending, _Batch()
         self._syncs += 1
         return [
             parts.Persist(
@@ -139,20 +154,21 @@
     # Time and the set of holders.
 
     def start_clock(self, now: float) -> None:
-        """Give restored slots an age, once: from now, so too young.
+        """Set the age of restored slots to zero, at the first call only.
 
-        The time spent dead is unknown. Too young means kept for longer and
-        called "in progress" for longer, and never the other way round.
+        The downtime is unknown, so their real age is higher. The error is
+        safe: they are retained longer and reported as "in progress" longer,
+        never shorter.
         """
         if self._clock_started:
             return
         self._clock_started = True
         for held in self._held_by_key.values():
-            held.since = now
+            held.changed_at = now
 
     def ticked(self, now: float) -> Effects:
-        """Forget what is past its retention; ask again for lost pages."""
-        self._forget_old(now)
+        """Evict slots past their retention; request lost pages again."""
+        self._evict_expired(now)
         effects: Effects = []
         copy = self._copy
         if copy is not None and now >= copy.resend_at:
@@ -164,74 +180,78 @@
     def holders_changed(
         self, now: float, holder_set: claim_slots.HolderSet
     ) -> Effects:
-        """Act under a new epoch, from when it is synced.
+        """Switch to a new epoch, which takes effect once it is synced.
 
-        Without the sync a restart would forget the epoch, and grant under an
-        old one what a joining holder can't have copied.
+        Without the sync, a holder that restarts would lose the epoch and
+        could grant slots under an older one, after a joining holder has
+        copied its slots.
         """
         if holder_set.epoch < self._journaled_epoch:
             return []
-        known = self._holder_set
-        if known is not None and known.epoch == holder_set.epoch:
+        previous = self._holder_set
+        if previous is not None and previous.epoch == holder_set.epoch:
             return []
         self._holder_set = holder_set
         if holder_set.epoch > self._journaled_epoch:
             self._journaled_epoch = holder_set.epoch
-            self._waiting.epoch = holder_set.epoch
-            self._waiting.records.append(
+            self._pending.epoch = holder_set.epoch
+            self._pending.records.append(
                 messages.ClaimEpoch(epoch=holder_set.epoch)
             )
         return self._start_copy(now, holder_set)
 
-    def _counts(self) -> bool:
-        """Whether this disk is one of those whose word counts now."""
+    def _is_active(self) -> bool:
+        """Whether this disk is in the current set, under a synced epoch."""
         holder_set = self._holder_set
         if holder_set is None or holder_set.epoch != self._synced_epoch:
             return False
-        counted = holder_set.disk_ids_by_holder.get(self.instance_id)
-        return counted == self.disk_id
+        current_disk_id = holder_set.disk_ids_by_holder.get(self.instance_id)
+        return current_disk_id == self.disk_id
 
     # Claims.
 
     def put(self, now: float, sender: str, put: messages.ClaimPut) -> Effects:
-        """Give the slot of a key and round to the first who asks."""
+        """Grant the slot of a key and round to the first request."""
         if not self._accepts(put.epoch, put.disk_id):
             return [self._put_reply(sender, put, _Answer.UNKNOWN)]
         held = self._held_by_key.get(put.key)
         if held is None and len(self._held_by_key) >= self.max_records:
             return [self._put_reply(sender, put, _Answer.FULL)]
-        if held is None or _gives_way(held.slot, put.round):
+        if held is None or _is_superseded(held.slot, put.round):
             self._write(now, _claimed(put))
-            return self._tell(
+            return self._send_after_sync(
                 put.key, self._put_reply(sender, put, _Answer.GRANTED)
             )
         if _is_granted(held.slot, put):
             reply = self._put_reply(sender, put, _Answer.GRANTED)
         else:
             reply = self._put_reply(sender, put, _Answer.TAKEN, held, now)
-        return self._tell(put.key, reply)
+        return self._send_after_sync(put.key, reply)
 
     def withdraw(
         self, now: float, sender: str, withdraw: messages.ClaimWithdraw
     ) -> Effects:
-        """Note that an attempt never runs; leave other attempts alone.
+        """Mark a slot of an attempt as withdrawn; other attempts' slots stay.
 
-        The slot is not freed: within its round it changes hands never, else
-        two attempts could be granted a majority of one round. A free slot is
-        used up as well, so that a late double of the put finds it so.
+        The slot is not freed: within its round it is never granted to
+        another attempt, or two attempts could get a majority in one round. A
+        free slot is marked as well, so that a late duplicate of the attempt's
+        put is refused.
         """
-        if withdraw.disk_id != self.disk_id or not self._counts():
+        if withdraw.disk_id != self.disk_id or not self._is_active():
             return []
         if self._withdrawal_changes(withdraw):
             self._write(now, _withdrawn(withdraw))
         reply = messages.ClaimWithdrawReply(attempt_id=withdraw.attempt_id)
-        return self._tell(withdraw.key, parts.Send(to=sender, message=reply))
+        return self._send_after_sync(
+            withdraw.key, parts.Send(to=sender, message=reply)
+        )
 
     def _withdrawal_changes(self, withdraw: messages.ClaimWithdraw) -> bool:
         held = self._held_by_key.get(withdraw.key)
         if held is None:
             return len(self._held_by_key) < self.max_records
-        if _gives_way(held.slot, withdraw.round):
+        if _is_superseded(held.slot, withdraw.round):
             return True
         return (
             held.slot.state is _State.CLAIMED
@@ -242,7 +262,7 @@
     def record(
         self, now: float, sender: str, outcome: messages.ClaimOutcome
     ) -> Effects:
-        """Keep an outcome; it proves that its attempt won its round."""
+        """Store an outcome; it proves that its attempt won its round."""
         stored = self._accepts(outcome.epoch, outcome.disk_id)
         if stored:
             stored = self._record(now, outcome.slot)
@@ -252,7 +272,7 @@
             disk_id=self.disk_id,
             stored=stored,
         )
-        return self._tell(
+        return self._send_after_sync(
             outcome.slot.key, parts.Send(to=sender, message=reply)
         )
 
@@ -266,22 +286,22 @@
         return True
 
     def _accepts(self, epoch: int, disk_id: str) -> bool:
-        """Whether a message means this disk, in this epoch.
+        """Whether a message is for this disk and the current epoch.
 
-        An older epoch must be refused: a joining holder has copied this one
-        since, and a grant that it can't know would be lost with the next
-        disk.
+        A message of an older epoch must be refused: a joining holder may
+        have copied this holder's slots since. It would miss the grant, which
+        would then be lost with the next disk.
         """
         if disk_id != self.disk_id or epoch != self._synced_epoch:
             return False
-        return self._counts()
+        return self._is_active()
 
     def _put_reply(
         self,
         sender: str,
         put: messages.ClaimPut,
         answer: messages.PutAnswer,
-        held: _Held | None = None,
+        held: _HeldSlot | None = None,
         now: float = 0.0,
     ) -> parts.Send:
         reply = messages.ClaimPutReply(
@@ -292,7 +312,7 @@
             disk_id=self.disk_id,
             answer=answer,
             slot=held.slot if held else None,
-            age_s=now - held.since if held else 0.0,
+            age_s=now - held.changed_at if held else 0.0,
         )
         return parts.Send(to=sender, message=reply)
 
@@ -301,11 +321,11 @@
     def copy_requested(
         self, now: float, sender: str, request: messages.ClaimCopyRequest
     ) -> Effects:
-        """Show a joining holder a page of synced slots, in key order."""
-        if request.epoch != self._synced_epoch or not self._counts():
+        """Send a joining holder a page of synced slots, in key order."""
+        if request.epoch != self._synced_epoch or not self._is_active():
             return []
         page = self._page(now, request)
-        return self._tell(None, parts.Send(to=sender, message=page))
+        return self._send_after_sync(None, parts.Send(to=sender, message=page))
 
     def _page(
         self, now: float, request: messages.ClaimCopyRequest
@@ -315,7 +335,7 @@
         size = 0
         for key in self._keys[first : first + PAGE_SLOTS]:
             held = self._held_by_key[key]
-            age_s = now - held.since
+            age_s = now - held.changed_at
             copies.append(messages.ClaimCopied(slot=held.slot, age_s=age_s))
             size += len(held.slot.outcome)
             if size >= PAGE_BYTES:
@@ -331,12 +351,12 @@
         self, now: float, holder_set: claim_slots.HolderSet
     ) -> Effects:
         self._copy = None
-        counted = holder_set.disk_ids_by_holder.get(self.instance_id)
+        current_disk_id = holder_set.disk_ids_by_holder.get(self.instance_id)
         joins = holder_set.joining.get(self.instance_id) == self.disk_id
-        if not joins or counted == self.disk_id:
+        if not joins or current_disk_id == self.disk_id:
             return self.flush()
         self._clear()
-        self._waiting.records.append(
+        self._pending.records.append(
             messages.ClaimCopyStarted(epoch=holder_set.epoch)
         )
         sources = set(holder_set.disk_ids_by_holder) - {self.instance_id}
@@ -352,7 +372,7 @@
         return [
             self._request_page(source)
             for source in self._copy.cursors_by_source
-            if source not in self._copy.done
+            if source not in self._copy.finished_sources
         ]
 
     def _request_page(self, source: str) -> parts.Send:
@@ -363,21 +383,21 @@
         )
         return parts.Send(to=source, message=request)
 
-    def copied(
+    def page_received(
         self, now: float, sender: str, page: messages.ClaimCopyPage
     ) -> Effects:
-        """Merge a page; ask for the next, or note that all is here."""
+        """Merge a page; request the next one or finish the copy."""
         copy = self._copy
         if copy is None or page.epoch != copy.holder_set.epoch:
             return []
         if copy.cursors_by_source.get(sender) != page.after_key:
             return []
-        if sender in copy.done:
+        if sender in copy.finished_sources:
             return []
         for one in page.copies:
             self._merge(now, one)
         if page.last:
-            copy.done.add(sender)
+            copy.finished_sources.add(sender)
             return self.flush() + self._caught_up()
         copy.cursors_by_source[sender] = page.copies[-1].slot.key
         return self.flush() + [self._request_page(sender)]
@@ -385,11 +405,11 @@
     def _merge(self, now: float, copied: messages.ClaimCopied) -> None:
         held = self._held_by_key.get(copied.slot.key)
         slot = claim_slots.merge(held.slot if held else None, copied.slot)
-        since = now - copied.age_s
+        changed_at = now - copied.age_s
         if held is not None:
-            since = max(since, held.since)
+            changed_at = max(changed_at, held.changed_at)
         if held is None or held.slot != slot:
-            self._write(since, slot)
+            self._write(changed_at, slot)
 
     def _caught_up(self) -> Effects:
         copy = self._copy
@@ -399,30 +419,33 @@
         effect = messages.CaughtUp(
             epoch=copy.holder_set.epoch, disk_id=self.disk_id
         )
-        return self._tell(None, effect)
+        return self._send_after_sync(None, effect)
 
     # Slots.
 
-    def _write(self, since: float, slot: messages.ClaimSlot) -> None:
-        self._store(slot, since)
-        self._waiting.records.append(slot)
-        self._waiting.keys.add(slot.key)
+    def _write(self, changed_at: float, slot: messages.ClaimSlot) -> None:
+        self._store(slot, changed_at)
+        self._pending.records.append(slot)
+        self._pending.keys.add(slot.key)
 
-    def _store(self, slot: messages.ClaimSlot, since: float) -> None:
+    def _store(self, slot: messages.ClaimSlot, changed_at: float) -> None:
         if self._held_by_key.pop(slot.key, None) is None:
             bisect.insort(self._keys, slot.key)
-        self._held_by_key[slot.key] = _Held(slot=slot, since=since)
+        self._held_by_key[slot.key] = _HeldSlot(
+            slot=slot, changed_at=changed_at
+        )
 
-    def _tell(self, key: str | None, effect: typing.Any) -> Effects:
-        """Let out an effect once what it tells is synced.
+    def _send_after_sync(self, key: str | None, effect: typing.Any) -> Effects:
+        """Release an effect once the state that it reports is synced.
 
-        :param key: of the slot that it tells of; ``None``: of all slots.
+        :param key: of the slot that the effect reports; ``None`` if it
+            depends on all slots.
 
-        A refusal waits as well: were the slot that it shows lost in a crash,
-        the next to ask would get it, and the proof that nobody can win this
-        round would be false.
+        A refusal waits too. If the slot that it reports were lost in a
+        crash, it would be granted to the next attempt, although the refused
+        one may have concluded from it that nobody can win this round.
         """
-        for batch in (self._waiting, self._syncing):
+        for batch in (self._pending, self._syncing):
             if batch is None or not batch.records:
                 continue
             if key is None or key in batch.keys:
@@ -431,32 +454,37 @@
         return [*self.flush(), effect]
 
     def _sort_by_age(self) -> None:
-        by_age = sorted(self._held_by_key.items(), key=lambda i: i[1].since)
+        by_age = sorted(
+            self._held_by_key.items(), key=lambda i: i[1].changed_at
+        )
         self._held_by_key = dict(by_age)
 
     def _clear(self) -> None:
         self._held_by_key.clear()
         self._keys.clear()
 
-    def _forget(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         if self._held_by_key.pop(key, None) is not None:
             del self._keys[bisect.bisect_left(self._keys, key)]
 
-    def _forget_old(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         old = []
         for key, held in self._held_by_key.items():
-            if now - held.since < self.retention_s:
+            if now - held.changed_at < self.retention_s:
                 break
             old.append(key)
         if not old:
             return
         for key in old:
-            self._forget(key)
-        self._waiting.records.append(messages.ClaimsForgotten(keys=tuple(old)))
+            self._remove(key)
+        self._pending.records.append(messages.ClaimsForgotten(keys=tuple(old)))
+
 
+def _is_superseded(slot: messages.ClaimSlot, round: int) -> bool:
+    """Whether a put or withdrawal of this round may overwrite a slot.
 
-def _gives_way(slot: messages.ClaimSlot, round: int) -> bool:
-    """Whether a slot may pass to a round: a later one proves it dead."""
+    A later round proves that no attempt can win the slot's round any more.
+    """
     return slot.state is not _State.RECORDED and slot.round < round
 
 
--- a/dandeliongw/coordination/claim_withdrawals.py
+++ b/dandeliongw/coordination/claim_withdrawals.py
@@ -1,4 +1,4 @@
-"""The word that attempts never ran, on its way to the holders."""
+"""Sends withdrawals of attempts that did not run to the holders."""
 
 from collections import abc
 import typing
@@ -6,15 +6,15 @@
 import msgspec
 
 from . import claim_messages as messages
-from . import claim_patience
 from . import claim_slots
+from . import claim_timeouts
 from . import parts
 
 Effects = list[typing.Any]
 
 
 class _Withdrawal(msgspec.Struct, kw_only=True):
-    """An attempt that ended, and the holders that have not confirmed it."""
+    """A withdrawn attempt and the holders that have not confirmed it."""
 
     slot: messages.ClaimSlot
     pending: set[str]
@@ -23,40 +23,43 @@
 
 
 class Withdrawals:
-    """Tells holders of ended attempts; a holder that hears nothing is safe.
+    """Sends withdrawals to holders until they confirm or a timeout passes.
 
-    It then keeps a slot for an attempt that never runs, and resends of the
-    key may be told that the outcome is not known.
+    A lost withdrawal is safe: the holder keeps a slot for an attempt that
+    never runs, and later requests with the key may be answered that the
+    outcome is unknown.
+
+    :param timeouts: timeout and resend interval.
     """
 
-    def __init__(self, *, patience: claim_patience.Patience) -> None:
-        self._patience = patience
+    def __init__(self, *, timeouts: claim_timeouts.ClaimTimeouts) -> None:
+        self._timeouts = timeouts
         self._holder_set = claim_slots.NO_HOLDERS
         self._withdrawals_by_id: dict[str, _Withdrawal] = {}
 
     def holders_changed(self, holder_set: claim_slots.HolderSet) -> None:
-        """Address the disks of this set from now on."""
+        """Send withdrawals to the disks of this set from now on."""
         self._holder_set = holder_set
 
     def withdraw(
         self, now: float, slot: messages.ClaimSlot, holders: abc.Set[str]
     ) -> Effects:
-        """Tell these holders that the attempt of a slot never runs."""
+        """Notify these holders that the slot's attempt never runs."""
         if not holders:
             return []
         withdrawal = _Withdrawal(
             slot=slot,
             pending=set(holders),
-            give_up_at=now + self._patience.give_up_s,
-            resend_at=now + self._patience.resend_s,
+            give_up_at=now + self._timeouts.give_up_s,
+            resend_at=now + self._timeouts.resend_s,
         )
         self._withdrawals_by_id[slot.attempt_id] = withdrawal
-        return self._sends(withdrawal)
+        return self._requests(withdrawal)
 
     def answered(
         self, sender: str, reply: messages.ClaimWithdrawReply
     ) -> Effects:
-        """Stop telling a holder that has understood."""
+        """Stop resending a withdrawal to a holder that confirmed it."""
         withdrawal = self._withdrawals_by_id.get(reply.attempt_id)
         if withdrawal is None:
             return []
@@ -66,17 +69,17 @@
         return []
 
     def ticked(self, now: float) -> Effects:
-        """Send again what has no answer; give up what had its time."""
+        """Resend unconfirmed withdrawals and drop those that timed out."""
         effects: Effects = []
         for withdrawal in list(self._withdrawals_by_id.values()):
             if now >= withdrawal.give_up_at:
                 del self._withdrawals_by_id[withdrawal.slot.attempt_id]
             elif now >= withdrawal.resend_at:
-                withdrawal.resend_at = now + self._patience.resend_s
-                effects += self._sends(withdrawal)
+                withdrawal.resend_at = now + self._timeouts.resend_s
+                effects += self._requests(withdrawal)
         return effects
 
-    def _sends(self, withdrawal: _Withdrawal) -> Effects:
+    def _requests(self, withdrawal: _Withdrawal) -> Effects:
         slot = withdrawal.slot
         return [
             parts.Send(
--- a/dandeliongw/coordination/grantor.py
+++ b/dandeliongw/coordination/grantor.py
@@ -1,7 +1,8 @@
-"""The voter's side of leases: grants, and what it must remember of them.
+"""The grantor side of leases: a voter's grants and their records.
 
-Only epochs are on disk. How long a grant still stands is in memory alone,
-so that a renewal costs no sync; a restart pays for it by waiting.
+Only epochs are stored on disk. When a grant expires is kept in memory only,
+so that a renewal needs no disk sync. In return, a grantor has to wait after
+a restart.
 """
 
 import collections
@@ -15,14 +16,16 @@
 
 Outcome = messages.LeaseOutcome
 
-#: Subject of a sync of the version, beside the names of leases.
+#: Key of a version record among pending syncs; other keys are lease names.
 _VERSION = '\0version'
 
 
 class _Grant(msgspec.Struct, kw_only=True):
     """The last grant of one name.
 
-    :param wait_until_by_candidate: who was refused and is told of a release.
+    :param expires_at: end of the grant by this grantor's clock.
+    :param wait_until_by_candidate: refused candidates, and until when they
+        are to be notified of a release.
     """
 
     record: messages.LeaseGranted
@@ -32,15 +35,15 @@
         default_factory=dict
     )
 
-    def stands(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         return not self.released and now < self.expires_at
 
-    def is_to(self, holder: str, life: int) -> bool:
+    def is_held_by(self, holder: str, life: int) -> bool:
         return (self.record.holder, self.record.life) == (holder, life)
 
 
-class _Withheld(msgspec.Struct, kw_only=True):
-    """An answer that waits until all that it promises is synced."""
+class _PendingReply(msgspec.Struct, kw_only=True):
+    """A reply that is sent once these syncs have finished."""
 
     to: str
     message: typing.Any
@@ -50,9 +53,9 @@
 class Grantor:
     """Grants leases by this instance's own clock.
 
-    :param instance_id: this instance.
-    :param duration_s: longest lease that it grants.
-    :param margin_s: added to each wait, for clocks that run apart.
+    :param instance_id: id of this instance.
+    :param duration_s: longest lease that it grants, in seconds.
+    :param margin_s: added to each wait, against clock drift, in seconds.
     """
 
     def __init__(
@@ -61,22 +64,23 @@
         self.instance_id = instance_id
         self.duration_s = duration_s
         self.margin_s = margin_s
-        #: Whether all epochs that this grantor ever granted are known to it.
+        #: Whether its records include every epoch that it has granted.
         self.ready = False
-        #: Claims under an older set of grantors are refused.
+        #: Version of the set of grantors; claims under an older one are
+        #: refused.
         self.version = 0
-        #: How often each outcome was answered, for the metrics.
+        #: Number of answers by outcome, for the metrics.
         self.outcomes_by_label: collections.Counter[str] = (
             collections.Counter()
         )
         self._grants_by_name: dict[str, _Grant] = {}
         self._wait_until: float | None = None
-        self._withheld: list[_Withheld] = []
+        self._pending_replies: list[_PendingReply] = []
         self._tokens_by_subject: dict[str, str] = {}
         self._token_count = 0
 
     def restore(self, record: typing.Any) -> None:
-        """Take one journal record back in; later records win."""
+        """Replay one journal record; the highest epoch of a name wins."""
         if isinstance(record, messages.LeaseReady):
             self.ready = True
             self.version = max(self.version, record.version)
@@ -84,20 +88,20 @@
             self.learn(record)
 
     def snapshot(self) -> list[typing.Any]:
-        """Return the records that rebuild this grantor, marker last."""
+        """Return the records that restore this grantor, ready marker last."""
         records: list[typing.Any] = list(self.records())
         if self.ready:
             records.append(messages.LeaseReady(version=self.version))
         return records
 
     def records(self) -> tuple[messages.LeaseGranted, ...]:
-        """Return the highest grant of each name."""
+        """Return the grant with the highest epoch of each name."""
         return tuple(grant.record for grant in self._grants_by_name.values())
 
     def learn(self, record: messages.LeaseGranted) -> None:
-        """Remember an epoch, from the journal or from another grantor.
+        """Record an epoch from the journal or from another grantor.
 
-        A grant of this grantor's own that still stands goes on standing.
+        A grant of this grantor that has not expired stays in force.
         """
         grant = self._grants_by_name.get(record.name)
         if grant is None:
@@ -109,30 +113,33 @@
                 grant.expires_at = float('-inf')
 
     def start(self, now: float) -> None:
-        """Begin the wait after a restart; does nothing the second time.
+        """Start the wait after a restart; later calls have no effect.
 
-        Without the wait a grantor that restarted would grant a name whose
-        lease, granted before the restart, still runs: two holders at once.
+        Without the wait, a restarted grantor could grant a name whose lease,
+        granted before the restart, is still valid: two holders at once.
         """
         if self._wait_until is None:
             self._wait_until = now + self.longest_wait_s()
 
     def form(self) -> list[typing.Any]:
-        """Become ready without epochs, as the first of a new system."""
+        """Become ready without epochs, as a first voter of a new system."""
         return self.become_ready(self.version)
 
     def become_ready(self, version: int) -> list[typing.Any]:
-        """Journal all epochs with the marker that they are complete."""
+        """Journal all epochs, with the marker that they are complete.
+
+        :param version: of the set of grantors.
+        """
         self.ready = True
         self.version = max(self.version, version)
         records = tuple(self.snapshot())
         return [parts.Persist(token=self.next_token(), records=records)]
 
     def longest_wait_s(self) -> float:
-        """Return how long any grant given until now can still be counted on.
+        """Return in how many seconds all present grants have expired.
 
-        The journal knows the longest duration, so that a shorter one in the
-        settings of the restarted process doesn't shorten the wait.
+        The durations come from the journal, so that a restart with a shorter
+        duration in the settings doesn't shorten the wait.
         """
         durations = [record.duration_s for record in self.records()]
         if not durations:
@@ -142,11 +149,11 @@
     def on_claims(
         self, now: float, sender: str, claims: messages.LeaseClaims
     ) -> list[typing.Any]:
-        """Answer every claim of one message with one message."""
+        """Answer all claims of a message in one reply."""
         granted: dict[str, messages.LeaseGranted] = {}
         answers = []
         for claim in claims.claims:
-            outcome = self._judge(now, sender, claims, claim)
+            outcome = self._decide(now, sender, claims, claim)
             self.outcomes_by_label[outcome.name.lower()] += 1
             answers.append(self._answer(now, claim, outcome))
             if outcome is Outcome.GRANTED and claim.epoch:
@@ -165,20 +172,20 @@
     def on_release(
         self, now: float, sender: str, release: messages.LeaseRelease
     ) -> list[typing.Any]:
-        """Free a name at once, if it is the sender's own grant.
+        """Free a name at once if it is granted to the sender.
 
-        The successor is told, or whoever was refused lately: candidates
-        need not poll often to notice a release.
+        The successor is notified, or else the candidates refused recently,
+        so that candidates need not poll often to notice a release.
         """
         grant = self._grants_by_name.get(release.name)
         if grant is None or grant.released:
             return []
         if grant.record.epoch != release.epoch:
             return []
-        if not grant.is_to(sender, release.life):
+        if not grant.is_held_by(sender, release.life):
             return []
         grant.released = True
-        told = (
+        recipients = (
             [release.successor]
             if release.successor
             else [
@@ -188,36 +195,36 @@
             ]
         )
         vacant = messages.LeaseVacant(name=release.name, epoch=release.epoch)
-        return [parts.Send(to=name, message=vacant) for name in told]
+        return [parts.Send(to=name, message=vacant) for name in recipients]
 
     def on_persisted(self, token: str) -> list[typing.Any]:
-        """Send the answers that waited for this sync alone."""
+        """Return the replies whose last pending sync this was."""
         self._tokens_by_subject = {
             subject: waiting
             for subject, waiting in self._tokens_by_subject.items()
             if waiting != token
         }
         effects: list[typing.Any] = []
-        still_withheld = []
-        for withheld in self._withheld:
-            withheld.tokens.discard(token)
-            if withheld.tokens:
-                still_withheld.append(withheld)
+        still_pending = []
+        for pending in self._pending_replies:
+            pending.tokens.discard(token)
+            if pending.tokens:
+                still_pending.append(pending)
             else:
                 effects.append(
-                    parts.Send(to=withheld.to, message=withheld.message)
+                    parts.Send(to=pending.to, message=pending.message)
                 )
-        self._withheld = still_withheld
+        self._pending_replies = still_pending
         return effects
 
     def on_epochs_wanted(
         self, sender: str, wanted: messages.LeaseEpochsWanted
     ) -> list[typing.Any]:
-        """Let another grantor read the epochs, and fence older sets.
+        """Send the epochs to another grantor, and fence older sets.
 
-        A claim that counts on the replaced set must not get its majority
-        after this read, or the reader would miss its epoch. The fence is
-        synced first, as a restart would else forget it.
+        A claim under the replaced set must not get its majority after this
+        read, or the reader would miss its epoch. The fence is synced before
+        the reply; otherwise a restart would lose it.
         """
         epochs = messages.LeaseEpochs(
             reading=wanted.reading,
@@ -231,18 +238,18 @@
         return self._reply(sender, epochs, {_VERSION}, {_VERSION: marker})
 
     def next_token(self) -> str:
-        """Return a token for ``Persist`` that no other part uses."""
+        """Return a new token for ``Persist``, unique among all parts."""
         self._token_count += 1
         return f'lease:{self._token_count}'
 
-    def _judge(
+    def _decide(
         self,
         now: float,
         sender: str,
         claims: messages.LeaseClaims,
         claim: messages.LeaseClaim,
     ) -> Outcome:
-        """Decide on one claim; the order of the checks matters."""
+        """Return the outcome of a claim; the order of the checks matters."""
         if not self.ready:
             return Outcome.NOT_CAUGHT_UP
         if claims.version < self.version:
@@ -251,30 +258,31 @@
             return Outcome.TOO_LONG
         grant = self._grants_by_name.get(claim.name)
         if grant is not None and claim.epoch == grant.record.epoch:
-            return self._judge_renewal(sender, claims, grant)
+            return self._decide_renewal(sender, claims, grant)
         if grant is not None and 0 < claim.epoch < grant.record.epoch:
             return Outcome.OLD_EPOCH
         if self._wait_until is None or now < self._wait_until:
             return Outcome.WAITING_OUT
-        if grant is None or not grant.stands(now):
+        if grant is None or not grant.is_active(now):
             return Outcome.GRANTED
-        # A candidate holds nothing while it asks, so a higher ask of the
-        # same life gives up the lower one.
-        if grant.is_to(sender, claims.life):
+        # A candidate that requests a lease holds none. So a request with a
+        # higher epoch, from the same start of the instance, replaces its
+        # request with the lower one.
+        if grant.is_held_by(sender, claims.life):
             return Outcome.GRANTED
         wait_s = self.duration_s + self.margin_s
         grant.wait_until_by_candidate[sender] = now + wait_s
         return Outcome.HELD
 
-    def _judge_renewal(
+    def _decide_renewal(
         self, sender: str, claims: messages.LeaseClaims, grant: _Grant
     ) -> Outcome:
-        """Decide on a claim for the highest epoch.
+        """Return the outcome of a claim for the highest epoch granted.
 
-        It is granted during the wait after a restart too: had this grantor
-        granted anything since, the highest epoch would be another one.
+        A renewal is granted during the wait after a restart too: if another
+        grant had been made since, the highest epoch would be a later one.
         """
-        if not grant.is_to(sender, claims.life):
+        if not grant.is_held_by(sender, claims.life):
             return Outcome.OLD_EPOCH
         if grant.released:
             return Outcome.RELEASED
@@ -289,7 +297,7 @@
         claims: messages.LeaseClaims,
         claim: messages.LeaseClaim,
     ) -> dict[str, messages.LeaseGranted]:
-        """Note a grant; return the record to sync if the epoch is new."""
+        """Record a grant; return the record to sync if the epoch is new."""
         expires_at = now + claims.duration_s
         grant = self._grants_by_name.get(claim.name)
         if grant is not None and grant.record.epoch == claim.epoch:
@@ -340,11 +348,15 @@
         subjects: abc.Set[str],
         records_by_subject: abc.Mapping[str, typing.Any],
     ) -> list[typing.Any]:
-        """Answer now, or once every record behind the answer is synced.
+        """Reply now, or once all records that the reply depends on are synced.
+
+        If the reply were sent before the sync, the holder could count a
+        grant that this grantor loses in a crash, and the same epoch could be
+        granted to another instance.
 
-        An answer that ran ahead of the sync would let the holder count a
-        grant that a crash of this grantor forgets, and the same epoch be
-        granted to another.
+        :param subjects: names of leases, or ``_VERSION``, that the message
+            depends on.
+        :param records_by_subject: records to sync first.
         """
         effects: list[typing.Any] = []
         if records_by_subject:
@@ -359,8 +371,8 @@
             if subject in self._tokens_by_subject
         }
         if tokens:
-            withheld = _Withheld(to=sender, message=message, tokens=tokens)
-            self._withheld.append(withheld)
+            pending = _PendingReply(to=sender, message=message, tokens=tokens)
+            self._pending_replies.append(pending)
         else:
             effects.append(parts.Send(to=sender, message=message))
         return effects
--- a/dandeliongw/coordination/holder.py
+++ b/dandeliongw/coordination/holder.py
@@ -1,9 +1,9 @@
-"""The candidate's and holder's side of leases.
+"""The candidate and holder side of leases.
 
-A candidate first probes, which changes nothing at the grantors, and asks
-only when a majority would grant. Without the probe a candidate that is cut
-off from some grantors would keep raising epochs at the others, and a healthy
-holder's renewals would be refused there.
+A candidate first probes, which changes no state at the grantors. It requests
+the lease only if a majority would grant it. Without the probe, a candidate
+that is cut off from some grantors would keep raising the epoch at the
+others, and they would refuse the renewals of a healthy holder.
 """
 
 import enum
@@ -18,19 +18,25 @@
 _NEVER = float('-inf')
 _GRANTED = messages.LeaseOutcome.GRANTED
 
-#: Shortest pause before another try; spreads candidates that collided.
-SHORTEST_RETRY_S = 0.02
-#: Part of the usual patience with a try that was refused by some grantor.
-SHORT_PATIENCE = 1 / 8
-#: Part of a lease's time without a word of any grantor after which they count
-#: as silent; several renewals fall into it.
-UNHEARD_PART = 0.5
-#: The pause doubles with each split ask in a row, up to this many times.
-LONGEST_BACKOFF = 4
+#: Base of the randomized backoff between attempts, in seconds. It spreads
+#: candidates whose requests collided.
+BASE_BACKOFF_S = 0.02
+#: Initial timeout, as a fraction of ``renew_s``, of an attempt that a grantor
+#: refused.
+SHORT_TIMEOUT_FRACTION = 1 / 8
+#: Fraction of a lease's duration without a confirmation by any grantor after
+#: which all of them count as unreachable. It spans several renewals.
+SILENCE_FRACTION = 0.5
+#: The backoff doubles with each consecutive failed request, up to this many
+#: times.
+MAX_BACKOFF_DOUBLINGS = 4
 
 
 class Phase(enum.Enum):
-    """What a candidate is doing about one name."""
+    """State of one name at a candidate or holder.
+
+    In phase ``ASKING``, a request is under way.
+    """
 
     IDLE = 'idle'
     PROBING = 'probing'
@@ -39,13 +45,20 @@
 
 
 class _Lease(msgspec.Struct, kw_only=True):
-    """One name, as this instance sees it.
-
-    :param highest: highest epoch heard of; the next ask is above it.
-    :param asked_at: when the probe or ask under way was sent.
+    """State of the lease of one name at this instance.
+
+    :param epoch: of the held lease or current request; 0 during a probe.
+    :param highest: highest epoch seen; the next request uses a higher one.
+    :param holder: last holder reported by a grantor.
+    :param asked_at: when the current probe or request was sent.
+    :param next_attempt_at: earliest time of the next probe.
+    :param failures: consecutive requests that failed.
     :param confirmed_at_by_grantor: send time of the latest claim for
         ``epoch`` that each grantor granted.
+    :param refusals_by_grantor: refusals since the current request was sent.
     :param valid_until: end of the lease by this instance's clock.
+    :param released_by: grantors that reported the release of epoch
+        ``highest``.
     """
 
     name: str
@@ -54,7 +67,7 @@
     highest: int = 0
     holder: str | None = None
     asked_at: float = _NEVER
-    next_try_at: float = _NEVER
+    next_attempt_at: float = _NEVER
     failures: int = 0
     valid_until: float = _NEVER
     gained_at: float = _NEVER
@@ -64,17 +77,18 @@
     refusals_by_grantor: dict[str, messages.LeaseAnswer] = msgspec.field(
         default_factory=dict
     )
-    vacated_by: set[str] = msgspec.field(default_factory=set)
+    released_by: set[str] = msgspec.field(default_factory=set)
 
 
 class Holder:
-    """Tries for the wanted names, and renews those it holds.
-
-    :param instance_id: this instance.
-    :param duration_s: length of a lease at the grantors.
-    :param margin_s: the holder stops this much earlier, for clocks that run
-        apart.
-    :param renew_s: pause between renewals, and patience with one try.
+    """Acquires leases of the wanted names and renews those held.
+
+    :param instance_id: id of this instance.
+    :param duration_s: length of a lease at the grantors, in seconds.
+    :param margin_s: the holder stops this many seconds earlier, against
+        clock drift.
+    :param renew_s: seconds between renewals; also the timeout of one
+        attempt.
     """
 
     def __init__(
@@ -99,12 +113,12 @@
         self._renewed_at = _NEVER
 
     def epoch_if_held(self, name: str, now: float) -> int | None:
-        """Return the epoch if the lease still runs at ``now``."""
+        """Return the epoch if the lease is still valid at ``now``."""
         lease = self._leases_by_name.get(name)
         if lease is None or lease.phase is not Phase.HELD:
             return None
-        # Asked at each send: a process that was frozen past its lease wakes
-        # up here before any event has told it so.
+        # Checked before each send: a process that was suspended until after
+        # its lease expired may get here before any event is handled.
         return lease.epoch if now < lease.valid_until else None
 
     def may_order(
@@ -112,9 +126,9 @@
     ) -> int | None:
         """Return the epoch if no predecessor's order can still take effect.
 
-        For engines that ignore fencing numbers: a predecessor that froze
-        after its last check may have handed an order to a socket, and the
-        engine would carry it out after the newer one.
+        Needed for engines that ignore fencing tokens: a predecessor that was
+        suspended after its last check may have written an order to a
+        socket, and the engine would execute it after the newer one.
         """
         epoch = self.epoch_if_held(name, now)
         if epoch is None:
@@ -124,7 +138,7 @@
         return epoch if now >= lease.gained_at + wait_s else None
 
     def known_holder(self, name: str) -> str | None:
-        """Return who held the lease when it was last heard of, a hint."""
+        """Return the last known holder; it may be out of date."""
         lease = self._leases_by_name.get(name)
         if lease is None:
             return None
@@ -133,10 +147,10 @@
         return lease.holder
 
     def change_quorum(self, version: int, changed: quorum.Quorum) -> None:
-        """Count majorities of other sets from now on.
+        """Use other sets of grantors from now on.
 
-        A lease that is held keeps the time it was granted; grantors of a
-        new set wait until such time has run out.
+        A held lease stays valid for the time granted; the grantors of a new
+        set wait until that time has passed.
         """
         if version < self.version:
             return
@@ -144,52 +158,52 @@
         self.quorum = changed
 
     def want(self, names: frozenset[str]) -> list[typing.Any]:
-        """Try for these names from now on; release what is not among them."""
+        """Try to hold these names from now on; release all others."""
         self._wanted = names
         effects: list[typing.Any] = []
         for name in sorted(names - self._leases_by_name.keys()):
             self._leases_by_name[name] = _Lease(name=name)
         for name in sorted(self._leases_by_name.keys() - names):
-            effects += self._give_up(self._leases_by_name[name], '')
+            effects += self._abandon(self._leases_by_name[name], '')
         return effects
 
     def release(self, name: str, successor: str) -> list[typing.Any]:
-        """Give a name up and stop trying for it."""
+        """Release a name and stop requesting it."""
         self._wanted -= {name}
         lease = self._leases_by_name.get(name)
         if lease is None:
             return []
-        return self._give_up(lease, successor)
+        return self._abandon(lease, successor)
 
     def on_tick(self, now: float, entropy: int) -> list[typing.Any]:
-        """Renew, start what is due, and end what has run too long."""
+        """Renew leases, start due attempts and end those that timed out."""
         self._entropy = entropy
         if not self._life:
-            # Zero means that no tick has brought entropy yet.
+            # Zero means that no tick has supplied entropy yet.
             self._life = entropy or 1
         effects = self.expire(now)
         claims = self._renewals(now)
         for lease in self._leases_by_name.values():
             if lease.phase in (Phase.PROBING, Phase.ASKING):
-                effects += self._check_patience(now, lease)
+                effects += self._check_timeout(now, lease)
             if self._is_due(now, lease):
                 claims.append(self._probe(now, lease))
         return effects + self._send_claims(now, claims)
 
     def expire(self, now: float) -> list[typing.Any]:
-        """Note every lease that has run out by ``now``."""
+        """End every lease that has expired by ``now``."""
         effects: list[typing.Any] = []
         for lease in self._leases_by_name.values():
             if lease.phase is Phase.HELD and now >= lease.valid_until:
                 is_unheard = self._is_unheard(now, lease)
                 effects.append(self._lose(lease, is_unheard=is_unheard))
-                lease.next_try_at = now + self._backoff_s(lease)
+                lease.next_attempt_at = now + self._backoff_s(lease)
         return effects
 
     def on_answers(
         self, now: float, sender: str, answers: messages.LeaseAnswers
     ) -> list[typing.Any]:
-        """Count one grantor's answers to a probe, an ask or a renewal."""
+        """Count one grantor's answers to a probe, request or renewal."""
         if answers.life != self._life:
             return []
         effects: list[typing.Any] = []
@@ -198,7 +212,7 @@
             lease = self._leases_by_name.get(answer.name)
             if lease is None:
                 continue
-            self._learn(lease, answer)
+            self._update_from(lease, answer)
             if lease.phase is Phase.PROBING and answer.epoch == 0:
                 if answers.asked_at == lease.asked_at:
                     claims += self._count_probe(now, sender, lease, answer)
@@ -211,9 +225,9 @@
     def on_vacant(
         self, now: float, sender: str, vacant: messages.LeaseVacant
     ) -> list[typing.Any]:
-        """Ask at once when a majority says that the holder released.
+        """Request the lease once a majority reports its release.
 
-        One word is not enough: the others would still refuse the ask.
+        After a single report, the other grantors would refuse the request.
         """
         lease = self._leases_by_name.get(vacant.name)
         if lease is None or vacant.name not in self._wanted:
@@ -221,87 +235,91 @@
         if vacant.epoch < lease.highest or lease.phase is Phase.HELD:
             return []
         if vacant.epoch > lease.highest:
-            lease.vacated_by.clear()
+            lease.released_by.clear()
         lease.highest = vacant.epoch
-        lease.vacated_by.add(sender)
-        vacated = dict.fromkeys(lease.vacated_by, 0.0)
+        lease.released_by.add(sender)
+        released = dict.fromkeys(lease.released_by, 0.0)
         if lease.phase is Phase.ASKING or not self._life:
             return []
-        if self.quorum.agreed(vacated) == _NEVER:
+        if self.quorum.majority_value(released) == _NEVER:
             return []
-        return self._send_claims(now, [self._ask(now, lease)])
+        return self._send_claims(now, [self._request(now, lease)])
 
-    # Starting and ending tries
+    # Starting and ending attempts
 
     def _is_due(self, now: float, lease: _Lease) -> bool:
         if lease.phase is not Phase.IDLE or lease.name not in self._wanted:
             return False
-        return bool(self.quorum.grantors) and now >= lease.next_try_at
+        return bool(self.quorum.grantors) and now >= lease.next_attempt_at
 
     def _probe(self, now: float, lease: _Lease) -> messages.LeaseClaim:
         lease.phase = Phase.PROBING
         lease.epoch = 0
-        self._begin_try(now, lease)
+        self._start_attempt(now, lease)
         return messages.LeaseClaim(name=lease.name, epoch=0)
 
-    def _ask(self, now: float, lease: _Lease) -> messages.LeaseClaim:
+    def _request(self, now: float, lease: _Lease) -> messages.LeaseClaim:
         lease.phase = Phase.ASKING
         lease.highest += 1
         lease.epoch = lease.highest
-        self._begin_try(now, lease)
+        self._start_attempt(now, lease)
         return messages.LeaseClaim(name=lease.name, epoch=lease.epoch)
 
-    def _begin_try(self, now: float, lease: _Lease) -> None:
+    def _start_attempt(self, now: float, lease: _Lease) -> None:
         lease.asked_at = now
         lease.confirmed_at_by_grantor.clear()
         lease.refusals_by_grantor.clear()
-        lease.vacated_by.clear()
+        lease.released_by.clear()
 
-    def _check_patience(self, now: float, lease: _Lease) -> list[typing.Any]:
-        if now - lease.asked_at < self._patience_s(lease):
+    def _check_timeout(self, now: float, lease: _Lease) -> list[typing.Any]:
+        if now - lease.asked_at < self._timeout_s(lease):
             return []
         return self._fail(now, lease)
 
-    def _patience_s(self, lease: _Lease) -> float:
-        """Return how long a try may take.
+    def _timeout_s(self, lease: _Lease) -> float:
+        """Return the timeout of the current attempt in seconds.
 
-        A refused ask met another candidate's, and each holds up the other
-        while both wait for a grantor that is dead. Such a one is given up
-        soon, later if it happens again: the grantors' disks may be slow.
+        A refused request collided with another candidate's. Each blocks the
+        other while both wait for a grantor that is down. So it gets a short
+        timeout. That grows with each failure, because the grantors' disks
+        may be slow.
         """
         if not lease.refusals_by_grantor:
             return self.renew_s
-        short_s = self.renew_s * SHORT_PATIENCE * 2.0**lease.failures
+        short_s = self.renew_s * SHORT_TIMEOUT_FRACTION * 2.0**lease.failures
         return min(short_s, self.renew_s)
 
     def _fail(self, now: float, lease: _Lease) -> list[typing.Any]:
-        """End a try; free what a split ask was granted."""
+        """End an attempt; release what a failed request was granted."""
         effects: list[typing.Any] = []
         if lease.phase is Phase.ASKING:
             effects += self._send_release(lease, '')
             lease.failures += 1
         lease.phase = Phase.IDLE
-        pause_s = self._free_in_s(lease) + self._backoff_s(lease)
-        lease.next_try_at = now + pause_s
+        pause_s = self._expected_wait_s(lease) + self._backoff_s(lease)
+        lease.next_attempt_at = now + pause_s
         return effects
 
-    def _free_in_s(self, lease: _Lease) -> float:
-        """Return after how long a majority might grant, as they told us."""
-        # The quorum looks for the highest value that a majority reaches, so
-        # waits are counted negative: the shortest wait is the highest.
+    def _expected_wait_s(self, lease: _Lease) -> float:
+        """Return after how many seconds a majority may grant the lease.
+
+        The grantors reported these times in their answers.
+        """
+        # The quorum returns the highest value that a majority reaches. So
+        # the waits are negated: the shortest wait is the highest value.
         waits = dict.fromkeys(lease.confirmed_at_by_grantor, 0.0)
         for grantor, answer in lease.refusals_by_grantor.items():
             waits[grantor] = -answer.remaining_s
-        wait_s = -self.quorum.agreed(waits)
-        # Too few have answered to tell: try again after the usual pause.
+        wait_s = -self.quorum.majority_value(waits)
+        # Too few grantors have answered: wait for the renewal interval.
         return self.renew_s if wait_s == -_NEVER else max(wait_s, 0.0)
 
     def _backoff_s(self, lease: _Lease) -> float:
-        scale = 2.0 ** min(lease.failures, LONGEST_BACKOFF)
-        return SHORTEST_RETRY_S * scale * (0.5 + self._draw())
+        scale = 2.0 ** min(lease.failures, MAX_BACKOFF_DOUBLINGS)
+        return BASE_BACKOFF_S * scale * (0.5 + self._draw())
 
     def _draw(self) -> float:
-        """Return the next number in [0, 1) that the tick's entropy yields."""
+        """Return a pseudorandom number in [0, 1) from the tick's entropy."""
         self._draws += 1
         mixed = (self._entropy ^ self._life) + self._draws * 0x9E3779B97F4A7C15
         mixed = (mixed ^ (mixed >> 31)) * 0xBF58476D1CE4E5B9
@@ -309,7 +327,9 @@
 
     # Counting answers
 
-    def _learn(self, lease: _Lease, answer: messages.LeaseAnswer) -> None:
+    def _update_from(
+        self, lease: _Lease, answer: messages.LeaseAnswer
+    ) -> None:
         lease.highest = max(lease.highest, answer.highest)
         if answer.holder:
             lease.holder = answer.holder
@@ -321,10 +341,10 @@
         lease: _Lease,
         answer: messages.LeaseAnswer,
     ) -> list[messages.LeaseClaim]:
-        self._note(sender, lease, answer, now)
-        if self.quorum.agreed(lease.confirmed_at_by_grantor) > _NEVER:
-            return [self._ask(now, lease)]
-        if self._is_hopeless(lease):
+        self._record_answer(sender, lease, answer, now)
+        if self.quorum.majority_value(lease.confirmed_at_by_grantor) > _NEVER:
+            return [self._request(now, lease)]
+        if self._cannot_win(lease):
             self._fail(now, lease)
         return []
 
@@ -338,21 +358,23 @@
     ) -> list[typing.Any]:
         if lease.phase not in (Phase.ASKING, Phase.HELD):
             return []
-        self._note(sender, lease, answer, asked_at)
-        agreed = self.quorum.agreed(lease.confirmed_at_by_grantor)
-        # Counted from the send of the claim, not from the answer: the
-        # grantor's own count began somewhere between the two.
-        valid_until = agreed + self.duration_s - self.margin_s
+        self._record_answer(sender, lease, answer, asked_at)
+        confirmed_at = self.quorum.majority_value(
+            lease.confirmed_at_by_grantor
+        )
+        # Counted from the send of the claim, not from the receipt of the
+        # answer: the grantor's own time starts somewhere between the two.
+        valid_until = confirmed_at + self.duration_s - self.margin_s
         lease.valid_until = max(lease.valid_until, valid_until)
         if lease.phase is Phase.HELD:
             return []
         if now < valid_until:
             return [self._gain(now, lease)]
-        if self._is_hopeless(lease):
+        if self._cannot_win(lease):
             return self._fail(now, lease)
         return []
 
-    def _note(
+    def _record_answer(
         self,
         sender: str,
         lease: _Lease,
@@ -365,14 +387,14 @@
         before = lease.confirmed_at_by_grantor.get(sender, _NEVER)
         lease.confirmed_at_by_grantor[sender] = max(before, asked_at)
 
-    def _is_hopeless(self, lease: _Lease) -> bool:
-        """Return whether no majority can be had any more from this try."""
-        hoped = {
+    def _cannot_win(self, lease: _Lease) -> bool:
+        """Return whether this attempt can no longer get a majority."""
+        not_refused = {
             grantor: 0.0
-            for grantor in self.quorum.everyone()
+            for grantor in self.quorum.all_grantors()
             if grantor not in lease.refusals_by_grantor
         }
-        return self.quorum.agreed(hoped) == _NEVER
+        return self.quorum.majority_value(not_refused) == _NEVER
 
     # Holding
 
@@ -392,13 +414,13 @@
         )
 
     def _is_unheard(self, now: float, lease: _Lease) -> bool:
-        """Return whether no grantor confirmed the latest renewals."""
+        """Return whether no grantor answered the latest renewals."""
         if lease.refusals_by_grantor:
             return False
         last = max(lease.confirmed_at_by_grantor.values(), default=_NEVER)
-        return last <= now - UNHEARD_PART * self.duration_s
+        return last <= now - SILENCE_FRACTION * self.duration_s
 
-    def _give_up(self, lease: _Lease, successor: str) -> list[typing.Any]:
+    def _abandon(self, lease: _Lease, successor: str) -> list[typing.Any]:
         effects: list[typing.Any] = []
         if lease.phase is Phase.HELD:
             effects.append(self._lose(lease))
@@ -434,7 +456,7 @@
         )
         return [
             parts.Send(to=grantor, message=message)
-            for grantor in self.quorum.everyone()
+            for grantor in self.quorum.all_grantors()
         ]
 
     def _send_release(self, lease: _Lease, successor: str) -> list[typing.Any]:
@@ -446,5 +468,5 @@
         )
         return [
             parts.Send(to=grantor, message=message)
-            for grantor in self.quorum.everyone()
+            for grantor in self.quorum.all_grantors()
         ]
--- a/dandeliongw/coordination/quorum.py
+++ b/dandeliongw/coordination/quorum.py
@@ -1,4 +1,4 @@
-"""Majorities of the set of grantors, and of both sets during a change."""
+"""Majorities of the set of grantors; during a change, of both sets."""
 
 from collections import abc
 
@@ -6,45 +6,51 @@
 
 
 class Quorum(msgspec.Struct, frozen=True, kw_only=True):
-    """Who grants, and what counts as enough of them.
+    """The grantors whose majority grants a lease.
 
-    :param grantors: the set in force.
-    :param joining: the set that is to replace it, or empty.
+    :param grantors: instance ids of the current set.
+    :param joining: the set that is to replace it; empty without a change.
     """
 
     grantors: tuple[str, ...] = ()
     joining: tuple[str, ...] = ()
 
-    def everyone(self) -> tuple[str, ...]:
-        """Return each instance once, those in force first."""
+    def all_grantors(self) -> tuple[str, ...]:
+        """Return all instances of both sets once, the current set first."""
         return tuple(dict.fromkeys(self.grantors + self.joining))
 
-    def agreed(self, values_by_grantor: abc.Mapping[str, float]) -> float:
+    def majority_value(
+        self, values_by_grantor: abc.Mapping[str, float]
+    ) -> float:
         """Return the highest value that a majority has reached.
 
-        :param values_by_grantor: a grantor that is missing has reached none.
+        During a change, that is a majority of each set.
+
+        :param values_by_grantor: a missing grantor counts as minus infinity.
         :returns: minus infinity without a majority of each set.
         """
         if not self.grantors:
             return float('-inf')
-        agreed = _majority_value(self.grantors, values_by_grantor)
+        value = _majority_value_of_set(self.grantors, values_by_grantor)
         if self.joining:
-            joined = _majority_value(self.joining, values_by_grantor)
-            agreed = min(agreed, joined)
-        return agreed
+            joining_value = _majority_value_of_set(
+                self.joining, values_by_grantor
+            )
+            value = min(value, joining_value)
+        return value
 
 
 def majority(count: int) -> int:
-    """Return how many of ``count`` make a majority."""
+    """Return the size of the smallest majority of ``count`` members."""
     return count // 2 + 1
 
 
-def intersecting(count: int) -> int:
-    """Return how many of ``count`` meet every majority of them."""
+def intersecting_size(count: int) -> int:
+    """Return how many of ``count`` members intersect every majority."""
     return count - majority(count) + 1
 
 
-def _majority_value(
+def _majority_value_of_set(
     grantors: abc.Sequence[str], values_by_grantor: abc.Mapping[str, float]
 ) -> float:
     values = [
