--- a/dandeliongw/coordination/acceptor.py
+++ b/dandeliongw/coordination/acceptor.py
@@ -1,4 +1,4 @@
-"""A voter's disk: what it promised and what it accepted."""
+"""The acceptor: what a voter's disk has promised and accepted."""
 
 import typing
 
@@ -10,16 +10,16 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """A reply, and the records that must be synced before it leaves."""
+    """A reply, and the records that must be synced before it is sent."""
 
     reply: typing.Any
     records: tuple[typing.Any, ...] = ()
 
 
 class Acceptor:
-    """The state behind one disk id. It does no I/O.
+    """The acceptor state of one disk. It does no I/O itself.
 
-    :param disk_id: the identity that the journal gave the disk.
+    :param disk_id: the identity that the journal assigned to the disk.
     """
 
     def __init__(self, *, disk_id: str) -> None:
@@ -34,7 +34,7 @@
         return self.versions.ballot
 
     def prepare(self, message: messages.PrepareBallot) -> Answer:
-        """Promise to take part in no earlier ballot."""
+        """Promise to accept no earlier ballot, or refuse."""
         if self._is_outdated(message.ballot):
             return self._refuse(message.ballot)
         if message.forming_by_id and not self._may_form(message):
@@ -52,7 +52,7 @@
         return Answer(reply=reply, records=records)
 
     def accept(self, message: messages.AcceptVersion) -> Answer:
-        """Hold a version, unless a later ballot was promised."""
+        """Accept a version, unless a later ballot was promised."""
         update = message.update
         if self._is_outdated(update.ballot):
             return self._refuse(update.ballot)
@@ -68,9 +68,10 @@
         return Answer(reply=reply, records=records)
 
     def restore(self, record: typing.Any) -> None:
-        """Take in a journal record, in the order of the journal.
+        """Apply a journal record; records come in the journal's order.
 
-        :raises ValueError: when a step does not continue the last version.
+        :raises ValueError: when an update does not start from the version
+            that the earlier records lead to.
         """
         if isinstance(record, messages.PromiseRecord):
             self.promised = record.ballot
@@ -78,10 +79,11 @@
             return
         if not self.versions.advance(record.update):
             raise ValueError(
-                f'the journal goes on from {record.update.base}, but holds '
-                f'{self.accepted}'
+                'journal record continues from ballot '
+                f'{record.update.base}, but the version restored so far has '
+                f'ballot {self.accepted}'
             )
-        # An accept carries the ballot it raised the promise to.
+        # Accepting a ballot also promises it; no promise record is written.
         self.promised = record.update.ballot
 
     def snapshot(self) -> list[typing.Any]:
@@ -99,8 +101,9 @@
 
     def _may_form(self, message: messages.PrepareBallot) -> bool:
         # A disk takes part in one formation only. Without this, after the
-        # loss of most disks the rest, which had only promised, could form a
-        # second register beside an accepted one: revisions would start anew.
+        # loss of most disks, the remaining ones, which had only promised,
+        # could form a second register beside an accepted one, and revisions
+        # would start at 0 again.
         if self.accepted is not None:
             return False
         return self.forming_by_id in ({}, message.forming_by_id)
--- a/dandeliongw/coordination/attempt.py
+++ b/dandeliongw/coordination/attempt.py
@@ -1,8 +1,9 @@
 """One attempt to write the register: prepare, read, accept.
 
-Safety rests on three rules. A ballot carries one value. The value is made
-from the latest that a quorum of *that value's own* voters could have held.
-It counts as written once a quorum of *its* voters has it synced.
+Three rules make it safe. A ballot carries one value. That value is derived
+from the latest value read, after a quorum of the voters *named in the value
+read* has promised. It is chosen once a quorum of the voters *named in the
+new value* has synced it to disk.
 """
 
 import enum
@@ -17,7 +18,7 @@
 
 
 class Phase(enum.Enum):
-    """How far an attempt has come."""
+    """The state of an attempt."""
 
     PREPARING = 'preparing'
     ACCEPTING = 'accepting'
@@ -29,11 +30,11 @@
     """The proposer's side of one ballot.
 
     :param change: decides the step from the value that is read.
-    :param known: the latest version this instance has heard of; the attempt
-        reads it and brings it forward.
+    :param known: the latest version that this instance has received. It is
+        shared with the owner, which advances it when a version is fetched.
     :param chosen: the ballot of the last version known to be chosen.
-    :param forming_by_id: the first voters' disks, when there is no value
-        yet; every one of them has to promise then.
+    :param forming_by_id: disk ids of the first voters, when there is no
+        value yet; all of them have to promise then.
     """
 
     def __init__(
@@ -49,9 +50,9 @@
         self.phase = Phase.PREPARING
         self.decision: changes.Decision | None = None
         self.version: configurations.Version | None = None
-        #: The highest ballot heard of; the next attempt has to pass it.
+        #: The highest ballot seen; the next attempt needs a higher one.
         self.highest = ballot
-        #: When the accept round began; ``None`` before.
+        #: When the accept phase began, in monotonic seconds; ``None`` before.
         self.accept_sent_at: float | None = None
         self._change = change
         self._known = known
@@ -68,11 +69,11 @@
         return self._known.current.configuration.voters
 
     def start(self) -> list[parts.Send]:
-        """Ask every voter for its promise."""
+        """Send the prepare request to every voter."""
         return self._prepare_missing()
 
     def resend(self, now: float) -> list[parts.Send]:
-        """Ask again whoever has not answered."""
+        """Resend the requests of this phase to voters without an answer."""
         if self.phase is Phase.PREPARING:
             return [*self._prepare_missing(), *self._advance(now)]
         if self.phase is Phase.ACCEPTING:
@@ -83,18 +84,18 @@
     def on_promised(
         self, message: messages.BallotPromised, now: float
     ) -> list[parts.Send]:
-        """Count a promise; go on when there are enough."""
+        """Count a promise; continue once a quorum has promised."""
         if self.phase is not Phase.PREPARING:
             return []
         self._accepted_by_disk[message.from_disk_id] = message.accepted
         return self._advance(now)
 
     def on_version_known(self, now: float) -> list[parts.Send]:
-        """Go on after ``known`` was brought forward."""
+        """Continue after ``known`` was advanced."""
         return self._advance(now)
 
     def on_refused(self, message: messages.BallotRefused) -> None:
-        """Give up: a later ballot is under way."""
+        """End the attempt: a voter has promised a later ballot."""
         if self.phase is Phase.CHOSEN:
             return
         if message.promised is not None:
@@ -102,7 +103,7 @@
         self.phase = Phase.REFUSED
 
     def on_accepted(self, message: messages.VersionAccepted) -> None:
-        """Count a synced acceptance."""
+        """Count an acceptance that is synced on the voter's disk."""
         if self.phase is not Phase.ACCEPTING:
             return
         self._acknowledged.add(message.from_disk_id)
@@ -112,7 +113,7 @@
     def on_full_needed(
         self, message: messages.FullVersionNeeded
     ) -> list[parts.Send]:
-        """Send the whole value to a voter that holds another base."""
+        """Send the full value to a voter that holds another base."""
         if self.phase is not Phase.ACCEPTING:
             return []
         self._accepted_by_disk[message.from_disk_id] = None
@@ -121,7 +122,7 @@
     def update_from(
         self, base: ballots.Ballot | None
     ) -> configurations.VersionUpdate:
-        """Return what brings a holder of ``base`` to the chosen version."""
+        """Return the update from ``base`` to the version of this attempt."""
         if self._update.base == base:
             return self._update
         return configurations.full_update(self.version)
@@ -146,8 +147,9 @@
     def _advance_from(
         self, version: configurations.Version, now: float
     ) -> list[parts.Send]:
-        # The voters may have changed since this instance last heard of them;
-        # only a quorum of the value's own voters rules out a later value.
+        # The voters may have changed since this instance last received a
+        # version. Only promises of a quorum of the voters named in the value
+        # read rule out a later value.
         self._voters = version.configuration.voters
         promised = set(self._accepted_by_disk)
         if not self._voters.has_quorum(promised):
--- a/dandeliongw/coordination/ballot.py
+++ b/dandeliongw/coordination/ballot.py
@@ -6,12 +6,12 @@
 class Ballot(msgspec.Struct, frozen=True, kw_only=True, order=True):
     """The identity of one attempt; no two attempts ever share one.
 
-    A proposer without a disk forgets its numbers at a restart. If it came
-    back to (number, proposer), two different values could be accepted under
-    one ballot, and readers that compare ballots would take them for the same
-    value. The nonce makes every attempt its own.
+    A proposer without a disk loses its numbers at a restart. If it reused
+    (number, proposer), two different values could be accepted under one
+    ballot, and readers that compare ballots would take them for the same
+    value. The nonce makes every ballot unique.
 
-    :param number: grows past every number the proposer has heard of.
+    :param number: higher than every number that the proposer has seen.
     :param proposer: instance id.
     :param nonce: 64 random bits drawn for this attempt.
     """
--- a/dandeliongw/coordination/changes.py
+++ b/dandeliongw/coordination/changes.py
@@ -1,10 +1,10 @@
-"""What an attempt wants of the register, and what it tells its caller.
+"""The changes that can be proposed to the register, and their results.
 
-A :class:`Change` looks at the value that was read and decides the step to
-the next value. A change that finds nothing to do (a conflict, a resend)
-returns an empty step, and the attempt still completes its accept round: the
-value that was read may so far be held by a minority only, and an answer
-based on it would tell of something that can still vanish.
+A :class:`Change` decides, from the value that was read, the step to the next
+value. A change with nothing to write (a conflict, a resend) returns an empty
+step, and the attempt still completes its accept phase: the value that was
+read may so far be held by a minority only, and an answer based on it could
+report a change that is later lost.
 """
 
 import typing
@@ -19,7 +19,7 @@
     """The change took effect.
 
     :param revision: the revision that it got.
-    :param repeated: whether an earlier request with this id did it.
+    :param repeated: whether an earlier request with this id had applied it.
     """
 
     revision: int
@@ -29,8 +29,9 @@
 class Conflict(msgspec.Struct, frozen=True, kw_only=True):
     """The expected revision is not the current one; nothing was changed.
 
+    :param revision: the current revision.
     :param document: the current document.
-    :param author: who made it.
+    :param author: the author of the current document.
     """
 
     revision: int
@@ -39,7 +40,7 @@
 
 
 class ChangeIdReused(msgspec.Struct, frozen=True, kw_only=True):
-    """The change id belongs to another change; nothing was changed.
+    """The change id was used for another change; nothing was changed.
 
     :param revision: the revision that the other change got.
     """
@@ -48,25 +49,25 @@
 
 
 class Overtaken(msgspec.Struct, frozen=True, kw_only=True):
-    """A change with this number or a higher one is held; nothing changed.
+    """The register holds this number or a higher one; nothing was changed.
 
-    A resend whose first send took effect gets this answer too: what it asked
-    for has happened, or has been replaced since.
+    A resend of a change that took effect gets this answer too: the change
+    was made, and may have been replaced since.
 
-    :param order: the number that is held.
+    :param order: the highest number that the register holds.
     """
 
     order: int
 
 
 class VoterRefused(msgspec.Struct, frozen=True, kw_only=True):
-    """The replacement makes no sense for the present voters."""
+    """The change of the voters is not possible with the present voters."""
 
     message: str
 
 
 class Unavailable(msgspec.Struct, frozen=True, kw_only=True):
-    """No answer in time. Resend under the same change id."""
+    """No quorum answered in time. Resend with the same change id."""
 
     message: str
 
@@ -82,10 +83,10 @@
 
 
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
-    """The step to write and the result to give once it is written.
+    """The step to write, and the result to return once it is chosen.
 
-    :param again: the value had to be written as it was first; the change
-        wants another attempt.
+    :param again: whether the change needs another attempt, because this one
+        only writes the value that was read again.
     """
 
     step: configurations.ConfigurationStep = configurations.ConfigurationStep()
@@ -94,7 +95,7 @@
 
 
 class Change(typing.Protocol):
-    """What an attempt wants of the register."""
+    """A change to the register that an attempt can propose."""
 
     def decide(
         self, version: configurations.Version, *, is_chosen: bool
@@ -107,9 +108,10 @@
 
 
 class RecordedChange:
-    """A change with an id, which takes effect once however often it comes.
+    """An idempotent change: it is applied once per change id.
 
-    :param request: what was asked; tells a resend from a reused id.
+    :param request: digest of the request; distinguishes a resend from
+        another request under the same id.
     """
 
     def __init__(self, *, change_id: str, author: str, request: bytes) -> None:
@@ -122,7 +124,7 @@
     def decide(
         self, version: configurations.Version, *, is_chosen: bool
     ) -> Decision:
-        """Answer a resend from the records; else apply the change."""
+        """Answer a resend from the change records; else apply the change."""
         found = version.configuration.find_change(self.change_id)
         if found is None:
             return self.apply(version.configuration)
@@ -132,11 +134,11 @@
         return Decision(result=result)
 
     def apply(self, configuration: configurations.Configuration) -> Decision:
-        """Return the step of a change that was not applied yet."""
+        """Return the decision for a change that was not applied yet."""
         raise NotImplementedError
 
     def record(self, revision: int) -> configurations.ChangeRecord:
-        """Return the record that the step adds, and note the try."""
+        """Return the change record for the step; set ``was_tried``."""
         self.was_tried = True
         return configurations.ChangeRecord(
             change_id=self.change_id,
@@ -168,7 +170,7 @@
         self.document = configurations.pack(document)
 
     def apply(self, configuration: configurations.Configuration) -> Decision:
-        """Compare and set."""
+        """Compare the revision and set the document, or return a conflict."""
         if configuration.revision != self.expected_revision:
             result = Conflict(
                 revision=configuration.revision,
@@ -188,11 +190,11 @@
 
 
 class OrderedChange:
-    """Replaces the document if its number is above the one that is held.
+    """Replaces the document if its number is above the one in the register.
 
     Operators who number their changes themselves need no revision to compare
-    with: the highest number wins, in whatever order the changes arrive and
-    however often each is sent.
+    with: the highest number wins, whatever the order of arrival and however
+    often each change is sent.
 
     :param order: the operator's number, above 0.
     """
@@ -208,7 +210,7 @@
     def decide(
         self, version: configurations.Version, *, is_chosen: bool
     ) -> Decision:
-        """Apply the change unless a later one is there."""
+        """Apply the change unless the register holds its number or above."""
         configuration = version.configuration
         if self.order <= configuration.order:
             return Decision(result=Overtaken(order=configuration.order))
@@ -234,10 +236,10 @@
 class VoterReplacement(RecordedChange):
     """Starts to replace a voter by another disk.
 
-    :param instance_id: the voter that goes.
-    :param by: the instance that comes; may be the same with another disk.
-    :param disk_id: the disk of ``by``. A resend may come with yet another
-        disk; it is still the same request.
+    :param instance_id: the voter to remove.
+    :param by: the instance to add; may be the same with another disk.
+    :param disk_id: the disk of ``by``. A resend may carry yet another disk
+        id; it still counts as the same request.
     """
 
     def __init__(
@@ -259,7 +261,7 @@
         self.disk_id = disk_id
 
     def apply(self, configuration: configurations.Configuration) -> Decision:
-        """Set the coming voters beside the present ones."""
+        """Set the joining voters, beside the present ones."""
         refusal = self._refusal(configuration.voters)
         if refusal is not None:
             return Decision(result=VoterRefused(message=refusal))
@@ -289,9 +291,9 @@
 
 
 class VoterAddition(RecordedChange):
-    """Starts to take one more disk among the voters.
+    """Starts to add a disk to the voters.
 
-    :param by: the instance that comes.
+    :param by: the instance to add.
     :param disk_id: its disk.
     """
 
@@ -307,7 +309,7 @@
         self.disk_id = disk_id
 
     def apply(self, configuration: configurations.Configuration) -> Decision:
-        """Set the larger set beside the present one."""
+        """Set the enlarged set as joining, beside the present voters."""
         voters = configuration.voters
         if voters.joining_by_id:
             message = 'another change of the voters is not finished'
@@ -324,12 +326,13 @@
 
 
 class JoiningWithdrawal:
-    """Gives up a change of the voters that can't be finished.
+    """Abandons a change of the voters that can't be finished.
 
-    While a disk that is gone is in the coming set, a quorum needs more of
-    the others than before; the next loss would stop every change.
+    While a disk that is gone is in the joining set, a quorum needs more of
+    the other disks than before; the next loss could block every change.
 
-    :param number: of the sets that are meant; another change stays.
+    :param number: version of the sets that are meant; sets with another
+        number are left as they are.
     """
 
     def __init__(self, *, number: int) -> None:
@@ -338,7 +341,7 @@
     def decide(
         self, version: configurations.Version, *, is_chosen: bool
     ) -> Decision:
-        """Drop the coming set."""
+        """Drop the joining set."""
         voters = version.configuration.voters
         if voters.number != self.number or not voters.joining_by_id:
             return Decision()
@@ -348,13 +351,14 @@
 
 
 class ReplacementEnd:
-    """Makes the coming voters the only ones.
+    """Makes the joining voters the only ones.
 
     The value with both sets must be held by a quorum first. Otherwise a
-    reader of an older value, which asks the old set only, could decide
-    beside the new set: an accepted revision would be lost.
+    proposer that reads an older value, and so queries the old set only,
+    could decide independently of the new set: an accepted revision would be
+    lost.
 
-    :param disk_id: the joining disk, which holds everything by now.
+    :param disk_id: the joining disk, which has caught up.
     """
 
     def __init__(self, *, disk_id: str) -> None:
@@ -363,7 +367,7 @@
     def decide(
         self, version: configurations.Version, *, is_chosen: bool
     ) -> Decision:
-        """Drop the old set, or write the value back first."""
+        """Drop the old set; if the value isn't chosen, write it back first."""
         voters = version.configuration.voters
         if not voters.is_joining(self.disk_id):
             return Decision()
@@ -375,10 +379,10 @@
 
 
 class WriteBack:
-    """Writes the value that was read, so that a quorum holds it."""
+    """Writes the value that was read back, so that a quorum holds it."""
 
     def decide(
         self, version: configurations.Version, *, is_chosen: bool
     ) -> Decision:
-        """Change nothing."""
+        """Return an empty step: the same value under the new ballot."""
         return Decision()
--- a/dandeliongw/coordination/checker.py
+++ b/dandeliongw/coordination/checker.py
@@ -1,4 +1,4 @@
-"""A voter's majority checks, for itself and for those who ask it."""
+"""A voter's quorum checks, for itself and for instances that request them."""
 
 from collections import abc
 import typing
@@ -11,27 +11,28 @@
 from . import parts
 from . import register_messages as messages
 
-#: A disk that lags is sent the version at most once in this many times to
-#: live, as the full value may be large.
+#: A lagging disk is sent the version at most once in this many confirmation
+#: TTLs, as the full value may be large.
 CATCH_UP_EVERY = 1.0
 
-#: More disks than a majority are asked at first, so that one may be silent.
+#: Disks beyond a majority that are queried at first, so that one of those
+#: queried may fail to answer.
 SPARE_DISKS = 1
 
 Confirm = abc.Callable[[configurations.Version, float, float], list]
 
 
 class Checker:
-    """Runs checks; whoever asks is answered by one that begins later.
+    """Runs checks; a request is answered by a check that begins after it.
 
-    A check that gets its reports late still counts, also when the next one
-    has begun. If only the latest did, voters whose messages take 0.1 of the
-    time to live would confirm nothing for as long as they do, and one would
-    see all entries without a confirmation while all voters are well.
+    A check whose reports arrive late still counts, also when the next one
+    has begun. If only the latest check counted, voters whose messages take
+    0.1 of the TTL would confirm nothing while the delay lasts, and no entry
+    would get a confirmation although all voters are healthy.
 
-    :param ttl_s: how long a confirmation lasts, in seconds.
-    :param confirm: takes a version, when the check began and the time;
-        returns effects.
+    :param ttl_s: how long a confirmation is valid, in seconds.
+    :param confirm: called with a version, the time at which the check began
+        and the present time; returns effects.
     """
 
     def __init__(
@@ -41,15 +42,16 @@
         ttl_s: float,
         confirm: Confirm,
     ) -> None:
-        #: Whether a proposer was seen to have left its work half done.
+        #: Whether a check has found a change that its proposer left
+        #: unfinished.
         self.is_repair_wanted = False
         self._knowledge = knowledge
         self._ttl_s = ttl_s
         self._confirm = confirm
         self._waiting_by_id: dict[str, confirmation.WaitingAsk] = {}
-        #: Checks that may still end well, the oldest first.
+        #: Checks that may still confirm a version, the oldest first.
         self._checks_by_id: dict[int, confirmation.Check] = {}
-        #: ``None`` before the first tick has brought entropy.
+        #: ``None`` before the first tick, which brings the entropy for it.
         self._check_id: int | None = None
         self._last_at: float | None = None
         self._is_wanted = False
@@ -59,20 +61,20 @@
         )
 
     def start(self, first_id: int) -> None:
-        """Begin to check, with ids that no earlier run of ours used.
+        """Begin to check, with ids that no earlier run of this instance used.
 
-        A report to a check from before a restart tells of what a voter held
-        before whoever waits now has asked; it must not count.
+        A report to a check from before a restart says what a voter held
+        before the requests waiting now were sent; it must not count.
         """
         self._check_id = first_id
 
     def ask(
         self, sender: str, ask: messages.ConfirmConfiguration, now: float
     ) -> list[typing.Any]:
-        """Take in an ask; the next check to begin answers it.
+        """Queue a confirmation request; the next check to begin answers it.
 
-        It takes the place of an earlier one of the same instance, as the
-        answer to it is worth more.
+        It replaces an earlier request of the same instance, as an answer to
+        the later one is valid for longer.
         """
         self._waiting_by_id[sender] = confirmation.WaitingAsk(
             arrived_at=now,
@@ -82,12 +84,12 @@
         return self._begin_if_due(now)
 
     def hurry(self, now: float) -> list[typing.Any]:
-        """Check soon: a later revision was accepted."""
+        """Check soon: a hint says that a later revision was accepted."""
         self._is_wanted = True
         return self._begin_if_due(now)
 
     def tick(self, now: float) -> list[typing.Any]:
-        """Ask spared disks, drop what is too old, begin when it is time."""
+        """Query further disks, expire checks and requests, begin a check."""
         effects: list[typing.Any] = []
         timeout_s = confirmation.CHECK_TIMEOUT * self._ttl_s
         for check in list(self._checks_by_id.values()):
@@ -104,9 +106,10 @@
     def on_report(
         self, sender: str, message: messages.AcceptedReport, now: float
     ) -> list[typing.Any]:
-        """Count a report, and see to a voter that lags."""
-        # Reports that come after the quorum's are looked at as well, or a
-        # voter that always comes late would never be brought up to date.
+        """Count a report; send a lagging voter the confirmed version."""
+        # Reports that arrive after the check has ended are examined as well.
+        # Without this, a voter that always answers late would never be
+        # brought up to date.
         effects = self._catch_up(message, now)
         check = self._checks_by_id.get(message.check_id)
         if check is None:
@@ -120,7 +123,7 @@
         ]
 
     def settle(self, now: float) -> list[typing.Any]:
-        """End the latest check that confirms a version that is known."""
+        """End the latest check that confirms a version held here."""
         for check in reversed(self._checks_by_id.values()):
             for versions in self._knowledge.histories:
                 version = versions.current
@@ -134,7 +137,7 @@
         versions: configurations.VersionHistory,
         now: float,
     ) -> list[typing.Any]:
-        """Forget a check and those before it, and answer who waits."""
+        """Remove a check and those before it; answer the requests."""
         self.is_repair_wanted = False
         for check_id in list(self._checks_by_id):
             if check_id <= check.check_id:
@@ -154,7 +157,7 @@
         return self._query(check, self._first_disks())
 
     def _is_under_way(self, now: float) -> bool:
-        """Return whether the latest check may yet end in time."""
+        """Return whether the latest check has not timed out yet."""
         check = self._checks_by_id.get(self._check_id)
         if check is None:
             return False
@@ -168,10 +171,11 @@
                 del self._waiting_by_id[instance_id]
 
     def _first_disks(self) -> list[str]:
-        """Return the disks to ask first: a majority and a spare.
+        """Return the disks to query first: a majority and a spare.
 
         With twelve voters that saves a third of their messages. The order
-        turns with every check, so that every disk is asked now and then.
+        rotates with every check, so that every disk is queried regularly.
+        While voters are joining, all disks of both sets are returned.
         """
         voters = self._knowledge.voters
         disk_ids = sorted(voters.instance_by_disk)
@@ -184,7 +188,7 @@
         return turned[: len(disk_ids) // 2 + 1 + SPARE_DISKS]
 
     def _ask_others(self, check: confirmation.Check) -> list[parts.Send]:
-        """Ask the disks that were spared at first."""
+        """Query the disks that were not queried at first."""
         disk_ids = sorted(self._knowledge.voters.instance_by_disk)
         return self._query(
             check, [d for d in disk_ids if d not in check.asked]
@@ -223,7 +227,8 @@
         latest = check.fetched or known
         if message.accepted is None or message.accepted <= latest:
             return []
-        # Once a check: every voter would send the whole value otherwise.
+        # One fetch per version and check. Without this, every voter would
+        # send the full value.
         check.fetched = message.accepted
         fetch = messages.FetchVersion(
             to_disk_id=message.from_disk_id, base=known
@@ -251,15 +256,16 @@
     def _catch_up(
         self, report: messages.AcceptedReport, now: float
     ) -> list[typing.Any]:
-        """Repeat the accept for a disk that missed it, or that joins."""
+        """Resend the accept request to a disk that missed it or is joining."""
         version = self._knowledge.confirmed
         if version is None or not _is_behind(report, version.ballot):
             return []
         if not self._is_turn_to_catch_up():
             return []
         if self._knowledge.known.ballot != version.ballot:
-            # A later version is known here and waits for its check. Sent
-            # now, this one would soon be followed by that one, whole again.
+            # A later version is known here and not confirmed yet. If the
+            # confirmed one were sent now, the later one would follow soon,
+            # as a full value again.
             return []
         disk_id = report.from_disk_id
         instance_by_disk = version.configuration.voters.instance_by_disk
@@ -277,8 +283,9 @@
         return [parts.Send(to=instance_by_disk[disk_id], message=message)]
 
     def _is_turn_to_catch_up(self) -> bool:
-        # Every voter sees the one that lags. If all sent it what may be the
-        # whole value, it would get most of a megabyte a dozen times.
+        # Every voter detects the lagging one. If all sent it the version,
+        # possibly as a full value, it would receive most of a megabyte a
+        # dozen times. So the voters take turns by check id.
         voter_ids = self._knowledge.voter_ids
         if self._knowledge.instance_id not in voter_ids:
             return False
--- a/dandeliongw/coordination/configuration.py
+++ b/dandeliongw/coordination/configuration.py
@@ -1,4 +1,4 @@
-"""The value that the register holds, and the steps between two values."""
+"""The value that the register holds, and the deltas between two values."""
 
 import hashlib
 import zlib
@@ -8,17 +8,18 @@
 from . import ballot as ballots
 from . import voters as voter_sets
 
-#: Change ids older than this many changes are forgotten; at 1,000 changes a
-#: day a resend is recognized for ten days.
+#: Number of change records retained. At 1,000 changes a day, a resend is
+#: recognized for ten days.
 CHANGES_KEPT = 10_000
 DIGEST_BYTES = 16
 
 
 class ChangeRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of one change, so that a resend gets the same answer.
+    """The outcome of one change, kept so that a resend gets the same answer.
 
     :param revision: the revision that the change got.
-    :param digest: of what was asked; tells a resend from a reused id.
+    :param digest: of the request; distinguishes a resend from another
+        request under the same id.
     """
 
     change_id: str
@@ -28,11 +29,12 @@
 
 
 class ConfigurationStep(msgspec.Struct, frozen=True, kw_only=True):
-    """How one configuration differs from the one it was made from.
+    """The delta between a configuration and the one it is derived from.
 
-    :param document: the new packed document; ``None`` when it is the same.
-    :param added: the records of changes that came with this step.
-    :param voters: the new voters; ``None`` when they are the same.
+    :param document: the new packed document; ``None`` when unchanged.
+    :param author: of the new document; ``None`` without one.
+    :param added: the records of the changes in this step.
+    :param voters: the new voters; ``None`` when unchanged.
     :param order: the number of an ordered change; ``None`` otherwise.
     """
 
@@ -46,8 +48,9 @@
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
     """One value of the register.
 
-    :param revision: counts the changes of the document; a change of voters
-        keeps it, so that an operator's compare-and-set isn't disturbed.
+    :param revision: counts the changes of the document. A change of voters
+        doesn't raise it, so that it doesn't make an operator's
+        compare-and-set fail.
     :param document: the document, packed by :func:`pack`.
     :param author: who changed the document last.
     :param changes: the latest changes, oldest first.
@@ -62,7 +65,7 @@
     order: int = 0
 
     def apply(self, step: ConfigurationStep) -> 'Configuration':
-        """Return the configuration that comes of a step from this one."""
+        """Return the configuration that results from applying a step."""
         changed = step.document is not None
         return Configuration(
             revision=self.revision + 1 if changed else self.revision,
@@ -74,7 +77,7 @@
         )
 
     def find_change(self, change_id: str) -> ChangeRecord | None:
-        """Return the record of a change, if it is still kept."""
+        """Return the record of a change; ``None`` if none is retained."""
         for record in reversed(self.changes):
             if record.change_id == change_id:
                 return record
@@ -89,12 +92,12 @@
 
 
 class VersionUpdate(msgspec.Struct, frozen=True, kw_only=True):
-    """A version on its way to someone who may hold an earlier one.
+    """A version as it is sent to a receiver that may hold an earlier one.
 
-    Ten thousand change records make a value of most of a megabyte, while
-    one change is a few hundred bytes. So an update is either ``full`` or the
-    steps from a ``base`` that the receiver said it holds. A ballot belongs
-    to one value only, so naming the base's ballot names its content.
+    With ten thousand change records a value takes most of a megabyte, while
+    one change takes a few hundred bytes. So an update is either ``full`` or
+    the steps from a ``base`` that the receiver has reported. A ballot belongs
+    to one value only, so the ballot of the base identifies its content.
     """
 
     ballot: ballots.Ballot
@@ -104,19 +107,20 @@
 
 
 def resolve(update: VersionUpdate, base: Version | None) -> Version | None:
-    """Return the version that an update brings.
+    """Return the version that results from an update.
 
-    :param base: what the receiver holds.
-    :returns: ``None`` when the update starts from something else; the full
-        value has to be asked for then.
+    :param base: the version that the receiver holds.
+    :returns: ``None`` when the update starts from another version; the full
+        value has to be requested then.
     """
     if update.full is not None:
         return Version(ballot=update.ballot, configuration=update.full)
     if base is None:
         return None
     if base.ballot == update.ballot:
-        # It was learned in another way while the update was under way. The
-        # update still proves what was the latest version.
+        # The receiver learned this version from another message while the
+        # update was in transit. The update still proves which version was
+        # the latest.
         return base
     if base.ballot != update.base:
         return None
@@ -127,9 +131,10 @@
 
 
 class VersionHistory:
-    """The version held now and the way from a few before it.
+    """The current version and the updates that led to it.
 
-    :param steps_kept: receivers further behind than this get the full value.
+    :param steps_kept: number of updates retained. Receivers that are further
+        behind get the full value.
     """
 
     def __init__(self, *, steps_kept: int = 32) -> None:
@@ -143,9 +148,9 @@
         return None if self.current is None else self.current.ballot
 
     def advance(self, update: VersionUpdate) -> bool:
-        """Take in a later version.
+        """Advance to the version of an update.
 
-        :returns: whether it could be resolved from the current one.
+        :returns: whether it could be resolved from the current version.
         """
         version = resolve(update, self.current)
         if version is None:
@@ -164,7 +169,13 @@
             del self._update_by_base[oldest]
 
     def update_for(self, base: ballots.Ballot | None) -> VersionUpdate:
-        """Return the shortest update to the current version."""
+        """Return the update from ``base`` to the current version.
+
+        It consists of steps if those since ``base`` are retained; else it is
+        a full one.
+
+        :raises ValueError: when there is no current version.
+        """
         if self.current is None:
             raise ValueError('no version is held yet')
         steps: list[ConfigurationStep] = []
@@ -181,7 +192,7 @@
 
 
 def full_update(version: Version) -> VersionUpdate:
-    """Return an update that needs no base."""
+    """Return an update that holds the full value and needs no base."""
     return VersionUpdate(ballot=version.ballot, full=version.configuration)
 
 
@@ -191,16 +202,19 @@
 
 
 def unpack(document: bytes) -> bytes:
-    """Undo :func:`pack`."""
+    """Decompress a document that :func:`pack` has compressed."""
     return zlib.decompress(document)
 
 
 def digest(*parts: str | int | bytes) -> bytes:
-    """Return a digest that tells two requests apart."""
+    """Return a digest of a sequence of values.
+
+    :returns: :data:`DIGEST_BYTES` bytes.
+    """
     hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         encoded = part if isinstance(part, bytes) else str(part).encode()
-        # The length in front keeps ('ab', 'c') apart from ('a', 'bc').
+        # The length prefix keeps ('ab', 'c') distinct from ('a', 'bc').
         hasher.update(len(encoded).to_bytes(8, 'big'))
         hasher.update(encoded)
     return hasher.digest()
--- a/dandeliongw/coordination/confirmation.py
+++ b/dandeliongw/coordination/confirmation.py
@@ -1,8 +1,9 @@
-"""How an instance learns that its configuration is still the current one.
+"""How an instance confirms that its configuration is still the current one.
 
-A voter asks its fellow voters which ballot they hold; when a quorum holds
-the same one, that version was the latest when the check began. Everyone else
-asks one voter, which answers all who wait with one check.
+A voter queries the other voters for the ballot that they hold. When a quorum
+holds the same one, that version was the latest when the check began. Any
+other instance sends a confirmation request to a voter, which answers all
+waiting requests from one check.
 """
 
 from collections import abc
@@ -14,32 +15,36 @@
 from . import parts
 from . import register_messages as messages
 
-# Fractions of the time to live. An ask goes out at 0.3; two asks may stay
-# unanswered for 0.2 each, and the answer to the third one, which waits up to
-# 0.15 for the next check, still comes before the time to live has run out.
-# Answers that come later than that count from when their ask left.
-# The first goes to one voter, the second to two, the third to four: enough
-# for any minority of twelve voters to be silent.
+# Fractions of the TTL of a confirmation. A request is sent at 0.3. Two
+# requests may time out after 0.2 each, and the answer to the third one, which
+# waits up to 0.15 for the next check, still arrives before the TTL has
+# expired. Answers that arrive later than that are valid for one TTL from when
+# their request was sent.
+# The first request goes to one voter, the second to two, the third to four:
+# enough to tolerate any minority of twelve voters that does not answer.
 ASK_EVERY = 0.3
 ASK_TIMEOUT = 0.2
-#: Where answers come later than that, the next ask waits for so many times
-#: as long as the last answer took, up to a fraction of the time to live: the
-#: more often a full link is asked over, the later its answers come.
+#: Where answers take longer than that, the timeout is this many times the
+#: last answer's round trip, up to a fraction of the TTL. Without this,
+#: repeated requests would delay the answers further on a saturated link.
 TIMEOUT_FACTOR = 1.5
 LONGEST_ASK_TIMEOUT = 0.4
 CHECK_GAP = 0.15
 CHECK_TIMEOUT = 0.1
-#: How long the reports of a check count. A later one may have begun by then.
+#: How long reports to a check are counted. A later one may have begun by
+#: then.
 CHECK_LIFE = 0.4
 MOST_DOUBLINGS = 2
-#: A silent voter is asked last for this many times to live.
+#: A voter that did not answer is ranked last for this many TTLs.
 AVOID_FOR = 4.0
 
 
 class Asker:
-    """Asks one voter after the other to confirm the configuration.
+    """Requests confirmations of the configuration from the voters.
 
-    :param ttl_s: how long a confirmation lasts, in seconds.
+    A request that times out is followed by one to other voters.
+
+    :param ttl_s: how long a confirmation is valid, in seconds.
     """
 
     def __init__(self, *, instance_id: str, ttl_s: float) -> None:
@@ -49,30 +54,31 @@
         self._targets: list[str] = []
         self._unanswered = 0
         self._sent_at = 0.0
-        #: Of asks whose answer would still be of use.
+        #: Send times of the requests whose answers would still be valid.
         self._sent_at_by_ask: dict[int, float] = {}
         self._timeout_s = ASK_TIMEOUT * ttl_s
         self._next_at: float | None = None
         self._is_hurried = False
         self._avoid_until_by_id: dict[str, float] = {}
-        #: Asks since the last one that was answered in time, and answers to
-        #: those that had been given up by then.
+        #: Requests since the last one that was answered in time, and answers
+        #: to those that had timed out by then.
         self.asks = 0
         self.late_answers = 0
 
     def start(self, first_id: int) -> None:
-        """Begin to ask, with ids that no earlier run of this instance used.
+        """Begin to send, with ids that no earlier run of this instance used.
 
-        Otherwise the answer to an ask from before a restart would pass for
-        the answer to the first ask after it, and count from that one.
+        Otherwise the answer to a request from before a restart could be
+        taken for the answer to the first one after it, and count from that
+        one's send time.
         """
         self._ask_id = first_id
 
     def hurry(self) -> None:
-        """Ask at the next occasion: something has changed.
+        """Send a request as soon as none is pending: a change was made.
 
-        An ask that is under way may have left before the change, so its
-        answer does not count as the occasion.
+        The answer to a pending request does not suffice, as that one may
+        have been sent before the change.
         """
         self._is_hurried = True
 
@@ -82,7 +88,7 @@
         candidates: abc.Sequence[str],
         base: ballots.Ballot | None,
     ) -> list[parts.Send]:
-        """Ask when it is time, or another one when the last is silent."""
+        """Send a request when one is due, or again after a timeout."""
         if not self.is_due(now):
             return []
         if self._targets:
@@ -92,7 +98,7 @@
         return self._ask(now, candidates, base)
 
     def is_due(self, now: float) -> bool:
-        """Return whether it is time to ask, or to ask another one."""
+        """Return whether a request is due or the pending one timed out."""
         if self._ask_id is None:
             return False
         if self._targets:
@@ -102,12 +108,16 @@
         return now >= self._next_at
 
     def answered(self, sender: str, ask_id: int, now: float) -> float | None:
-        """Return when the ask left, if its answer is of use.
+        """Record an answer; return when its request was sent.
+
+        The answer to a request that timed out is valid as well: it proves
+        which version was the latest after that one was sent. Without this,
+        an entry whose packets wait 0.2 s for its link would get no
+        confirmation while that lasts, and would serve an old document while
+        other entries serve the present one.
 
-        So is the answer to an ask that was given up: it proves what was the
-        latest version after that one left. Without it an entry whose packets
-        wait 0.2 s for its link is confirmed by nobody for as long as they
-        do, and one sees it act on an old document among others that don't.
+        :returns: monotonic seconds; ``None`` for an answer that does not
+            count.
         """
         sent_at = self._sent_at_by_ask.pop(ask_id, None)
         if sent_at is None:
@@ -125,13 +135,16 @@
         return sent_at
 
     def _timeout_after(self, took_s: float) -> float:
-        """Return how long the next ask may take, after one that took so."""
+        """Return the timeout of the next request.
+
+        :param took_s: how long the last answer took, in seconds.
+        """
         longest_s = LONGEST_ASK_TIMEOUT * self._ttl_s
         wanted_s = min(longest_s, TIMEOUT_FACTOR * took_s)
         return max(ASK_TIMEOUT * self._ttl_s, wanted_s)
 
     def refused(self, sender: str, ask_id: int, now: float) -> None:
-        """Pass over one that was asked."""
+        """Drop a recipient of the pending request that is no voter."""
         if ask_id != self._ask_id or sender not in self._targets:
             return
         self._avoid(sender, now)
@@ -163,7 +176,7 @@
         return [parts.Send(to=to, message=message) for to in self._targets]
 
     def _forget_old_asks(self, now: float) -> None:
-        """Forget asks whose answer would confirm nothing any more."""
+        """Remove requests whose answers would be older than the TTL."""
         oldest = now - self._ttl_s
         for ask_id, sent_at in list(self._sent_at_by_ask.items()):
             if sent_at <= oldest:
@@ -171,17 +184,18 @@
 
     def _rank(self, instance_id: str, now: float) -> tuple[float, bytes]:
         avoided_until = self._avoid_until_by_id.get(instance_id, now)
-        # The digest spreads the askers evenly over the voters.
+        # The digest spreads the instances evenly over the voters.
         spread = configurations.digest(self._instance_id, instance_id)
         return max(avoided_until, now), spread
 
 
 class WaitingAsk(msgspec.Struct, frozen=True, kw_only=True):
-    """An ask that waits for the outcome of a check.
+    """A confirmation request that waits for the result of a check.
 
-    :param after_check: id of the last check that had begun when it came.
-        None up to that one answers it, as it may have read before the ask
-        was sent.
+    :param arrived_at: when it was received, in monotonic seconds.
+    :param after_check: id of the last check that had begun by then. Only
+        later checks answer the request, as this one and those before it may
+        have read before the request was sent.
     """
 
     arrived_at: float
@@ -190,7 +204,7 @@
 
 
 class Check:
-    """One majority check of a voter."""
+    """One quorum check of a voter."""
 
     def __init__(self, *, check_id: int, started_at: float) -> None:
         self.check_id = check_id
@@ -198,7 +212,7 @@
         self.accepted_by_disk: dict[str, ballots.Ballot | None] = {}
         #: The disks that were sent a query.
         self.asked: set[str] = set()
-        #: The latest ballot whose version was asked for.
+        #: The latest ballot whose version was requested from another disk.
         self.fetched: ballots.Ballot | None = None
 
     def disks_holding(self, ballot: ballots.Ballot) -> set[str]:
@@ -210,10 +224,10 @@
         }
 
     def confirms(self, version: configurations.Version) -> bool:
-        """Tell whether the version was the latest when the check began.
+        """Return whether the version was the latest when the check began.
 
-        A quorum of its voters holds it, so a later chosen version would have
-        left a trace on at least one of them.
+        It was if a quorum of its voters reported it: one of them at least
+        would have reported a later version that had been chosen by then.
         """
         voters = version.configuration.voters
         return voters.has_quorum(self.disks_holding(version.ballot))
--- a/dandeliongw/coordination/formation.py
+++ b/dandeliongw/coordination/formation.py
@@ -1,4 +1,7 @@
-"""Forms the register, once every first voter has an empty disk."""
+"""Initial formation of the register, once all first voters have reported.
+
+It needs an empty disk at every one of them.
+"""
 
 import typing
 
@@ -9,14 +12,15 @@
 from . import proposer as proposers
 from . import register_messages as messages
 
-#: The first voters are asked for their disks this often, in seconds.
+#: Interval in seconds at which the first voters are queried for their disks.
 FORMATION_EVERY_S = 0.5
 
 
 class Formation:
-    """Asks the first voters for their disks until the register is formed.
+    """Queries the first voters for their disks until the register is formed.
 
-    One instance forms, so that two never compete; it needs all the first
+    Only the first voter with the lowest instance id does so, so that no two
+    compete. That costs no availability, as formation needs all the first
     voters anyway.
 
     :param initial_voters: instance ids, the same at every instance.
@@ -37,15 +41,15 @@
         self._reports_by_id: dict[str, messages.DiskReport] = {}
 
     def set_first_voters(self, instance_ids: tuple[str, ...]) -> None:
-        """Name the first voters; the same at every instance."""
+        """Set the first voters; the same at every instance."""
         self._initial_voters = instance_ids
 
     def start(self, first_id: int) -> None:
-        """Begin with ids that no earlier run of this instance used."""
+        """Begin with query ids that no earlier run of this instance used."""
         self._query_id = first_id
 
     def tick(self, now: float) -> list[typing.Any]:
-        """Ask when it is time."""
+        """Return the disk queries that are due."""
         if not self._may_form():
             return []
         if self._query_at is not None:
@@ -63,15 +67,15 @@
     def on_report(
         self, sender: str, message: messages.DiskReport, now: float
     ) -> list[typing.Any]:
-        """Note a disk; form when all are known and empty."""
+        """Record a disk; form the register when all are known and empty."""
         if message.query_id != self._query_id or not self._may_form():
             return []
         self._reports_by_id[sender] = message
         disks_by_id = self._empty_disks_by_id()
         if len(disks_by_id) < len(self._initial_voters):
             return []
-        # Neither an id of a query nor a disk id ever comes back with another
-        # meaning, so this nonce never meets another value.
+        # Query ids and disk ids are never reused with another meaning, so
+        # this nonce is never used for another value.
         entropy = configurations.digest(self._query_id, *disks_by_id.values())
         job = proposers.Job(
             change=changes.WriteBack(),
--- a/dandeliongw/coordination/half_done.py
+++ b/dandeliongw/coordination/half_done.py
@@ -1,7 +1,7 @@
-"""Finds changes that their proposer has left half done.
+"""Detection of changes that their proposer has left unfinished.
 
-A quorum of voters that holds no common version confirms nothing until one of
-them writes the latest version to all.
+While no quorum of voters holds a common version, nothing can be confirmed
+until one of them writes the latest version to all.
 """
 
 from . import ballot as ballots
@@ -10,9 +10,9 @@
 
 
 class HalfDone:
-    """Judges the checks of one voter that end without a result.
+    """Decides from the checks of one voter whether a repair is needed.
 
-    :param timeout_s: of a check, in seconds.
+    :param timeout_s: timeout of a check, in seconds.
     """
 
     def __init__(
@@ -20,24 +20,29 @@
     ) -> None:
         self._knowledge = knowledge
         self._timeout_s = timeout_s
-        #: The latest ballot that any disk has reported, and since when.
+        #: The latest ballot that any disk has reported, and when it was
+        #: reported first.
         self._latest: ballots.Ballot | None = None
         self._latest_at = 0.0
 
     def note(self, ballot: ballots.Ballot | None, now: float) -> None:
-        """Take in what a disk reported that it holds."""
+        """Record the ballot that a disk reported."""
         if ballot is None:
             return
         if self._latest is None or ballot > self._latest:
             self._latest, self._latest_at = ballot, now
 
     def is_met(self, check: confirmation.Check, now: float) -> bool:
-        """Whether a check has met work that needs a repair.
+        """Return whether a check shows a change that needs a repair.
 
-        A repair is a ballot of its own, which checks of the other voters
-        meet in turn. Where they take for half done what a quorum holds
-        already, or a proposer that is still at work, each repairs the one
-        before; one sees ballots without end and nobody confirmed.
+        It does if, after the timeout of the check, a quorum has reported but
+        no quorum reported the same ballot, and if the latest ballot was first
+        reported at least one timeout before the check began.
+
+        A repair is a new ballot itself, which the checks of other voters
+        find in turn. If they repaired what a quorum holds already, or the
+        change of a proposer that is still running, every repair would cause
+        the next one: endless ballots, and no confirmation anywhere.
         """
         if now < check.started_at + self._timeout_s:
             return False
--- a/dandeliongw/coordination/hints.py
+++ b/dandeliongw/coordination/hints.py
@@ -1,4 +1,8 @@
-"""Tells the others of a change, so that it is in force sooner."""
+"""Hints to other instances about a new revision.
+
+They make an instance request a confirmation at once, so that the change is
+in force sooner.
+"""
 
 from collections import abc
 
@@ -6,12 +10,16 @@
 from . import parts
 from . import register_messages as messages
 
-#: Instances that have not confirmed are told again this often, in seconds.
+#: Interval in seconds at which a hint is resent to instances that have not
+#: confirmed the revision.
 HINT_EVERY_S = 1.0
 
 
 class Hints:
-    """Hints at changes made here, and answers those made elsewhere."""
+    """Sends hints about changes made here, and answers hints of others.
+
+    :param ttl_s: how long a confirmation is valid, in seconds.
+    """
 
     def __init__(self, *, instance_id: str, ttl_s: float) -> None:
         self._instance_id = instance_id
@@ -22,7 +30,10 @@
         self._hinters: set[str] = set()
 
     def begin(self, revision: int, now: float) -> None:
-        """Tell of a revision from now on, until nobody can lack it."""
+        """Send hints about a revision from now on, for one TTL.
+
+        By then the confirmations of earlier revisions have expired.
+        """
         self._revision = revision
         self._next_at = now
         self._until = now + self._ttl_s
@@ -34,7 +45,11 @@
             [int, float], dict[str, enforcement.Enforcement]
         ],
     ) -> list[parts.Send]:
-        """Tell whoever has not confirmed."""
+        """Return the hints that are due.
+
+        :param in_force: returns the state of each instance for a revision
+            and a time.
+        """
         if self._revision is None or now < self._next_at:
             return []
         if now >= self._until:
@@ -43,8 +58,8 @@
         self._next_at = now + HINT_EVERY_S
         message = messages.ConfigurationHint(revision=self._revision)
         return [
-            # To all there are, and told again: a connection to each would be
-            # the larger cost.
+            # Sent to all instances, and resent if lost: opening a connection
+            # to each would cost more.
             parts.Send(to=instance_id, message=message, by_datagram=True)
             for instance_id, state in in_force(self._revision, now).items()
             if state is enforcement.Enforcement.WAITING
@@ -52,11 +67,11 @@
         ]
 
     def note_hinter(self, instance_id: str) -> None:
-        """Note who wants to hear that its revision was confirmed."""
+        """Record the sender of a hint, to notify it of the confirmation."""
         self._hinters.add(instance_id)
 
     def confirmed(self, revision: int) -> list[parts.Send]:
-        """Tell those who hinted."""
+        """Notify the recorded senders of hints; forget them."""
         message = messages.RevisionConfirmed(revision=revision)
         hinters = sorted(self._hinters)
         self._hinters.clear()
--- a/dandeliongw/coordination/knowledge.py
+++ b/dandeliongw/coordination/knowledge.py
@@ -1,4 +1,7 @@
-"""What one instance knows of the register, shared by its parts."""
+"""The local state of the register at one instance.
+
+The modules of the register share it.
+"""
 
 from . import acceptor as acceptors
 from . import ballot as ballots
@@ -7,7 +10,7 @@
 
 
 class Knowledge:
-    """The latest version heard of, and the latest that was confirmed.
+    """The latest version received, and the latest one confirmed.
 
     :param disk_id: the identity of this instance's disk, if it has one.
     """
@@ -15,33 +18,34 @@
     def __init__(self, *, instance_id: str, disk_id: str | None) -> None:
         self.instance_id = instance_id
         self.disk_id = disk_id
-        #: What this instance's disk has promised and accepted.
+        #: The promises and acceptances of this instance's disk.
         self.acceptor: acceptors.Acceptor | None = None
         if disk_id is not None:
             self.acceptor = acceptors.Acceptor(disk_id=disk_id)
-        #: The latest version heard of; maybe no majority ever held it.
+        #: The latest version received; it may never have been chosen.
         self.known = configurations.VersionHistory()
-        #: The latest version that a majority was seen to hold.
+        #: The latest version that a majority is known to have held.
         self.confirmed: configurations.Version | None = None
-        #: When the ask left that confirmed it last, by our clock.
+        #: When the request that confirmed it last was sent, by this
+        #: instance's monotonic clock, in seconds.
         self.confirmed_at: float | None = None
 
     @property
     def voters(self) -> voter_sets.Voters | None:
-        """Return the voters of the latest version heard of."""
+        """Return the voters of the latest version received."""
         if self.known.current is None:
             return None
         return self.known.current.configuration.voters
 
     @property
     def voter_ids(self) -> tuple[str, ...]:
-        """Return the instances that vote, as far as is known."""
+        """Return the voters' instance ids, by the latest version received."""
         voters = self.voters
         return () if voters is None else tuple(sorted(voters.voters_by_id))
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this instance's disk counts, as far as is known."""
+        """Return whether this disk votes, by the latest version received."""
         voters = self.voters
         if self.acceptor is None or voters is None:
             return False
@@ -49,28 +53,29 @@
 
     @property
     def histories(self) -> list[configurations.VersionHistory]:
-        """Return the versions held: heard of, and on the disk."""
+        """Return the versions held: the latest received, and the disk's."""
         if self.acceptor is None:
             return [self.known]
         return [self.known, self.acceptor.versions]
 
     def learn(self, update: configurations.VersionUpdate) -> None:
-        """Take in a version, if it is later than the one known."""
+        """Advance to the version of an update, if that is a later one."""
         ballot = self.known.ballot
         if ballot is None or update.ballot > ballot:
             self.known.advance(update)
 
     def learn_from_disk(self) -> None:
-        """Take in what this instance's disk has accepted."""
+        """Advance to the version that this instance's disk has accepted."""
         versions = self.acceptor.versions
         if versions.current is not None:
             self.learn(versions.update_for(self.known.ballot))
 
     def confirm(self, version: configurations.Version, at: float) -> bool:
-        """Take a version that a majority held at ``at``, by our clock.
+        """Record that a majority held a version at ``at``.
 
-        :returns: false for a late answer: what was confirmed since must not
-            revert.
+        :param at: monotonic seconds of this instance.
+        :returns: whether it was recorded; false for a version earlier than
+            the confirmed one, as the confirmed version must not revert.
         """
         if self.confirmed is not None:
             if version.ballot < self.confirmed.ballot:
@@ -80,11 +85,13 @@
         return True
 
     def adopt(self, update: configurations.VersionUpdate) -> bool:
-        """Take a version that another instance has confirmed.
+        """Adopt a version that another instance has confirmed.
 
-        When it was the latest is not known; so ``confirmed_at`` stays.
+        It is not known at which time it was the latest; so ``confirmed_at``
+        stays unchanged.
 
-        :returns: whether it is later than the one confirmed here.
+        :returns: whether it was adopted: it is later than the version
+            confirmed here, and the update could be resolved.
         """
         held = self.confirmed
         if held is not None and update.ballot <= held.ballot:
@@ -99,7 +106,7 @@
     def update_to_confirmed(
         self, base: ballots.Ballot | None
     ) -> configurations.VersionUpdate:
-        """Return what brings a holder of ``base`` to what is confirmed."""
+        """Return the update from ``base`` to the confirmed version."""
         for versions in self.histories:
             if versions.ballot == self.confirmed.ballot:
                 return versions.update_for(base)
--- a/dandeliongw/coordination/learners.py
+++ b/dandeliongw/coordination/learners.py
@@ -1,12 +1,12 @@
-"""Spreads a confirmed configuration among instances that no voter answers.
+"""Gossip of the confirmed configuration while no voter answers.
 
-A change is confirmed at some instances a moment before the voters lose power.
-The others would act on an older one for as long as the voters are away; one
-would see a route that works at some entries and not at others. So whoever
-gets no answer asks other instances, chosen anew each time: what one of them
-has confirmed was chosen by a majority, and nothing older can be chosen after
-it. It tells nothing of whether there is a later one; so the time of the last
-confirmation stays as it is.
+A change may be confirmed at some instances just before the voters lose
+power. Without this, the other instances would act on an older configuration
+until the voters are back, and a new route would work at some entries only.
+So an instance that gets no answer from voters queries other instances, chosen
+anew each round. A version that one of them has confirmed was chosen by a
+majority, and nothing older can be chosen after it. It does not show whether
+there is a later one; so the time of the last confirmation stays unchanged.
 """
 
 from collections import abc
@@ -16,20 +16,21 @@
 from . import parts
 from . import register_messages as messages
 
-#: Instances asked at a time. With two, each round reaches three times as many
-#: instances as the one before: all of 200 in five.
+#: Instances queried per round. With two, each round reaches three times as
+#: many instances as the one before: all of 200 in five rounds.
 ASKED = 2
-#: Fraction of the time to live without an answer of a voter after which
-#: others are asked: an ask is due after 0.3 of it, and late after 0.2 more.
+#: Fraction of the TTL without an answer of a voter after which other
+#: instances are queried: a confirmation request is due after 0.3 of it, and
+#: times out after 0.2 more.
 PATIENCE = 0.5
-#: Fraction of the time to live between two rounds.
+#: Fraction of the TTL between two rounds.
 EVERY = 0.1
 
 
 class Learners:
-    """Asks other instances while no voter answers.
+    """Queries other instances while no voter answers.
 
-    :param ttl_s: how long a confirmation lasts, in seconds.
+    :param ttl_s: how long a confirmation is valid, in seconds.
     """
 
     def __init__(self, *, instance_id: str, ttl_s: float) -> None:
@@ -39,7 +40,7 @@
         self._round = 0
 
     def heard(self, now: float) -> None:
-        """Note that a voter has answered."""
+        """Record a confirmation; queries are due only some time after it."""
         self._next_at = now + PATIENCE * self._ttl_s
 
     def tick(
@@ -48,10 +49,10 @@
         instance_ids: abc.Iterable[str],
         base: ballots.Ballot | None,
     ) -> list[parts.Send]:
-        """Return the questions that are due.
+        """Return the queries that are due.
 
-        :param instance_ids: who lives, as far as is known.
-        :param base: the version held here.
+        :param instance_ids: the instances that are known to be alive.
+        :param base: the ballot of the version held here.
         """
         if self._next_at is None:
             self.heard(now)
@@ -68,7 +69,7 @@
         ]
 
     def _rank(self, instance_id: str) -> bytes:
-        # Other ones each time, and other ones for each that asks.
+        # A different order in each round and at each instance.
         return configurations.digest(
             self._instance_id, self._round, instance_id
         )
--- a/dandeliongw/coordination/parts.py
+++ b/dandeliongw/coordination/parts.py
@@ -1,14 +1,14 @@
-"""What every coordination part takes in and gives out.
+"""The interface of the coordination parts: common events and effects.
 
 A part is a state machine with three methods:
 
 * ``handle(event)`` changes its state and returns a list of effects;
-* ``restore(record)`` takes one journal record back in at a start;
+* ``restore(record)`` applies one journal record at a start;
 * ``snapshot()`` returns the records from which ``restore`` would rebuild the
   part, so that a journal can be compacted.
 
-``now`` in every event is the instance's own monotonic clock in seconds. It
-is never compared with another instance's.
+``now`` in every event is the time of the instance's own monotonic clock, in
+seconds. It is never compared with another instance's.
 """
 
 from collections import abc
@@ -29,9 +29,9 @@
 
 
 class Received(msgspec.Struct, frozen=True, kw_only=True):
-    """A message came from another instance (or from this one to itself).
+    """A message arrived from another instance, or from this one to itself.
 
-    :param sender: the instance id that the sender proved.
+    :param sender: the authenticated instance id of the sender.
     :param message: a message data class of the part it is addressed to.
     """
 
@@ -48,12 +48,13 @@
 
 
 class Send(msgspec.Struct, frozen=True, kw_only=True):
-    """Send a message once, at most; it may be lost, late or doubled.
+    """Send a message, best effort: it may be lost, delayed or duplicated.
 
-    :param to: an instance id; one's own id is delivered locally.
-    :param by_datagram: it is small, and its sender bears a loss better than
-        a connection to each receiver; a transport without datagrams may send
-        it as any other.
+    :param to: an instance id; messages to this instance are delivered
+        locally.
+    :param by_datagram: whether to prefer a datagram: the message is small,
+        and its loss costs the sender less than a connection to each receiver.
+        A transport without datagrams may send it as any other.
     """
 
     to: str
@@ -64,7 +65,7 @@
 class Persist(msgspec.Struct, frozen=True, kw_only=True):
     """Append records to the journal and sync it, then post ``Persisted``.
 
-    Nothing that tells others of these records may be sent before then.
+    No message that depends on these records may be sent before then.
     """
 
     token: str
@@ -72,14 +73,14 @@
 
 
 class Complete(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a local request that carried ``ticket``."""
+    """The result of the local request that carried ``ticket``."""
 
     ticket: str
     result: typing.Any
 
 
 class Part(typing.Protocol):
-    """A coordination part, as the daemon's reducer and embedders see it."""
+    """The interface of a part to the daemon's reducer and to embedders."""
 
     def handle(self, event: typing.Any) -> list[typing.Any]: ...
 
--- a/dandeliongw/coordination/placement.py
+++ b/dandeliongw/coordination/placement.py
@@ -1,9 +1,10 @@
-"""Which instances should own a cell, the same answer on every instance.
+"""Placement of cells on instances; every instance computes the same result.
 
 Rendezvous hashing: each instance gets a score for each cell from a hash of
-both names, and the highest score owns. An instance that leaves moves only
-its own cells, and each of them to the instance that was next for that cell.
-docs/PLACEMENT.md weighs it against a jump map.
+both names, and the instance with the highest score owns the cell. When an
+instance leaves, only its own cells move, and each of them moves to the
+instance that was ranked next for that cell. docs/PLACEMENT.md compares this
+with a jump map.
 """
 
 from collections import abc
@@ -25,12 +26,13 @@
 def ranked_owners(
     cell: str, members: abc.Iterable[Member], count: int = 3
 ) -> tuple[str, ...]:
-    """Return the owner of a cell and then its deputies.
+    """Return the owner of a cell, followed by its deputies.
 
-    The best instance of each data centre comes before any second one of a
-    data centre, so that a lost data centre leaves a deputy wherever there
-    are two. The answer costs a hash for each member: keep it until the
-    members change.
+    The highest-ranked instance of each data centre comes before the second
+    one of any data centre. So with at least two data centres, and a
+    ``count`` of at least two, one of the instances returned survives the loss
+    of a data centre. The call costs a hash for each member: cache the result
+    until the members change.
 
     :param cell: the cell's name.
     :param members: the live instances, in any order.
@@ -39,7 +41,8 @@
     score = xxhash.xxh3_64_intdigest
     seed = score(cell.encode())
     data_centres = {
-        # An id after its score: equal scores must not go by the input.
+        # The id breaks ties between equal scores, so that the result does
+        # not depend on the order of the input.
         (
             score(member.instance_id.encode(), seed),
             member.instance_id,
@@ -49,7 +52,8 @@
     ranked = sorted(data_centres, reverse=True)
     owners: list[str] = []
     while ranked and len(owners) < count:
-        # A round takes the best that is left of each data centre.
+        # Each round takes the highest-ranked remaining instance of each data
+        # centre.
         seen: set[str] = set()
         left = []
         for rank in ranked:
--- a/dandeliongw/coordination/proposer.py
+++ b/dandeliongw/coordination/proposer.py
@@ -1,4 +1,4 @@
-"""Carries requests through as many attempts as they need."""
+"""Runs proposals, retrying attempts with backoff until a deadline."""
 
 from collections import abc
 import typing
@@ -11,19 +11,22 @@
 from . import parts
 from . import register_messages as messages
 
-#: Unanswered messages of an attempt are sent again this often, in seconds.
+#: Interval in seconds at which unanswered messages of an attempt are resent.
 RESEND_EVERY_S = 0.25
-#: An attempt that can't go on is given up for a new one after this long.
+#: An attempt that is not finished after this many seconds is abandoned; a
+#: new one follows after a backoff.
 ATTEMPT_LIMIT_S = 1.0
 FIRST_BACKOFF_S = 0.05
 LONGEST_BACKOFF_S = 0.8
 
 
 class Job:
-    """A request that waits for its attempts to succeed.
+    """A change to propose, retried until it succeeds or its deadline passes.
 
-    :param ticket: of the local request; ``None`` for work of our own.
-    :param deadline: when to give up.
+    :param entropy: random bits, from which backoffs and nonces are derived.
+    :param deadline: when the job expires, in monotonic seconds.
+    :param ticket: of the local request; ``None`` for a job that this
+        instance started itself.
     :param forming_by_id: the first voters' disks, to form the register.
     """
 
@@ -44,18 +47,24 @@
         self._entropy = entropy
 
     def draw(self, purpose: str) -> int:
-        """Return 64 bits that differ by try and purpose."""
+        """Return 64 pseudo-random bits that differ by try and purpose."""
         drawn = configurations.digest(self._entropy, self.tries, purpose)
         return int.from_bytes(drawn[:8], 'big')
 
     def backoff_s(self) -> float:
-        """Return a jittered wait, so that rivals don't meet again."""
+        """Return an exponential backoff in seconds, with jitter.
+
+        The jitter keeps competing proposers from colliding again.
+        """
         longest = FIRST_BACKOFF_S * 2 ** min(self.tries, 10)
         share = 0.5 + self.draw('backoff') / 2**64
         return min(longest, LONGEST_BACKOFF_S) * share
 
     def why_unanswered(self) -> str:
-        """Say why there is no answer, and what a resend does."""
+        """Return the error message for a job that expired.
+
+        It says whether the change may still take effect.
+        """
         if getattr(self.change, 'was_tried', False):
             effect = 'may still take effect'
         else:
@@ -67,10 +76,10 @@
 
 
 class Proposer:
-    """Runs one attempt at a time, for the first of the waiting jobs.
+    """Runs one attempt at a time, for the first job of the queue.
 
-    :param on_chosen: called with a finished attempt and the time; returns
-        effects.
+    :param on_chosen: called with an attempt whose version was chosen and
+        with the time; returns effects.
     """
 
     def __init__(
@@ -89,7 +98,7 @@
         self._highest_number = 0
 
     def add(self, job: Job, now: float) -> list[typing.Any]:
-        """Queue a job, and start it if it is the only one."""
+        """Append a job to the queue; start it if it is the only one."""
         self.jobs.append(job)
         if len(self.jobs) > 1:
             return []
@@ -97,29 +106,34 @@
         return self.start(now)
 
     def add_later(self, job: Job, now: float) -> None:
-        """Queue work of our own after a jittered wait.
+        """Queue a job that this instance started itself, after a backoff.
 
-        All voters see the same need at the same time.
+        All voters detect the need for it at the same time; the jitter of the
+        backoff keeps them from competing.
         """
         self.jobs.append(job)
         self._retry_at = now + job.backoff_s()
 
     def add_first(self, job: Job, now: float) -> list[typing.Any]:
-        """Put a job before all others."""
+        """Put a job at the head of the queue; abandon the current attempt."""
         self._attempt = None
         self.jobs.insert(0, job)
         self._retry_at = now
         return self.start(now)
 
     def remove(self, job: Job, now: float) -> None:
-        """Drop a job, with its attempt if it has one."""
+        """Remove a job, and its attempt if one is running."""
         if job is self.jobs[0]:
             self._attempt = None
             self._retry_at = now
         self.jobs.remove(job)
 
     def start(self, now: float) -> list[typing.Any]:
-        """Start an attempt for the first job, if that is possible now."""
+        """Start an attempt for the first job, if that is possible now.
+
+        Not possible during a backoff, beside another attempt, or before a
+        version is known (except to form the register).
+        """
         if not self.jobs or self._attempt is not None or now < self._retry_at:
             return []
         job = self.jobs[0]
@@ -139,7 +153,7 @@
         return list(self._attempt.start())
 
     def tick(self, now: float) -> list[typing.Any]:
-        """Expire jobs, send again, or try again."""
+        """Expire jobs; resend, abandon or start an attempt."""
         effects = self._expire(now)
         if self._attempt is None:
             return [*effects, *self.start(now)]
@@ -162,7 +176,7 @@
     def on_refused(
         self, message: messages.BallotRefused, now: float
     ) -> list[typing.Any]:
-        """Give the attempt up."""
+        """Abandon the attempt: a voter refused its ballot."""
         if not self._is_current(message.ballot):
             return []
         self._attempt.on_refused(message)
@@ -180,13 +194,13 @@
     def on_full_needed(
         self, message: messages.FullVersionNeeded
     ) -> list[typing.Any]:
-        """Send the whole value."""
+        """Send the full value to the voter that lacks the update's base."""
         if not self._is_current(message.ballot):
             return []
         return list(self._attempt.on_full_needed(message))
 
     def on_version_known(self, now: float) -> list[typing.Any]:
-        """Go on after a version was fetched or learnt."""
+        """Continue after a version was fetched or learned."""
         if self._attempt is None:
             return self.start(now)
         sends = self._attempt.on_version_known(now)
@@ -225,7 +239,7 @@
         self._retry_at = now + self.jobs[0].backoff_s()
 
     def _settle(self, now: float) -> list[typing.Any]:
-        """Act on an attempt that has come to its end."""
+        """Handle an attempt that was refused or chosen; else do nothing."""
         attempt = self._attempt
         if attempt is None:
             return []
--- a/dandeliongw/coordination/register.py
+++ b/dandeliongw/coordination/register.py
@@ -1,8 +1,9 @@
-"""The one configuration document, agreed on by the voters.
+"""The replicated register that holds the configuration document.
 
-A :class:`Register` runs at every instance. Where the instance has a disk
-that the voters count, it also votes. Any instance can propose. See
-``docs/REGISTER.md`` for the protocol and what is proved of it.
+The voters agree on its value by a quorum protocol. A :class:`Register` runs
+at every instance. An instance whose disk is in the set of voters also votes.
+Any instance can propose a change. See ``docs/REGISTER.md`` for the protocol
+and the properties that are proved of it.
 """
 
 from collections import abc
@@ -56,18 +57,20 @@
 
 TOKEN_PREFIX = 'register'
 DEFAULT_CONFIRM_TTL_S = 5.0
-#: A propose ends with ``Unavailable`` after this many seconds.
+#: A proposal ends with ``Unavailable`` after this many seconds.
 DEFAULT_PROPOSE_LIMIT_S = 4.0
-#: Ids of asks and checks start at a random number below this.
+#: Ids of confirmation requests and checks start at a random number below
+#: this.
 FIRST_ID_LIMIT = 2**48
-#: A coming voter is asked for its disk this often, in seconds.
+#: Interval in seconds at which a new voter is queried for its disk id.
 DISK_QUERY_EVERY_S = 0.25
 
 
 class Propose(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator wants to replace the document.
+    """An operator's request to replace the document.
 
-    :param change_id: the same for every resend of one change.
+    :param change_id: idempotency key: the same for every resend of one
+        change.
     :param expected_revision: the revision that the document was made from.
     """
 
@@ -81,9 +84,10 @@
 
 
 class ProposeOrdered(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator wants to replace the document by a numbered one.
+    """An operator's request to replace the document by a numbered one.
 
-    :param order: takes effect if it is above the number that is held.
+    :param order: the change takes effect if this is above the number that
+        the register holds.
     """
 
     now: float
@@ -95,12 +99,12 @@
 
 
 class ContactsFound(msgspec.Struct, frozen=True, kw_only=True):
-    """Instances that may know the voters, or may be the first ones.
+    """Instances that may know the voters, or may be the first voters.
 
     :param instance_ids: the same at every instance where ``may_form``.
     :param may_form: whether these are the first voters of a system that has
         never run. Never set it at a restart: instances whose disks were
-        lost would form a second register beside the one that is held.
+        lost would form a second register beside the existing one.
     """
 
     now: float
@@ -109,11 +113,12 @@
 
 
 class ReplaceVoter(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator wants another disk to vote in place of a voter's.
+    """An operator's request to replace a voter's disk or to add a voter.
 
-    :param instance_id: the voter that goes; ``''`` when one more comes.
-    :param by: the instance that comes; the same one when only its disk was
-        lost.
+    :param instance_id: the voter to remove; ``''`` to add a voter without
+        removing one.
+    :param by: the instance to add; equal to ``instance_id`` when only its
+        disk was lost.
     """
 
     now: float
@@ -125,9 +130,10 @@
 
 
 class WithdrawJoining(msgspec.Struct, frozen=True, kw_only=True):
-    """The disk that is to become a voter is gone.
+    """The joining disk is gone, so its change of voters is to be dropped.
 
-    :param number: of the sets of voters that are meant.
+    :param number: version of the sets of voters that is meant (see
+        ``Voters.number``); ignored if the register holds another one.
     """
 
     now: float
@@ -136,20 +142,20 @@
 
 
 class InstancesChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """The instances that are known to run, this one included."""
+    """The instances that are known to be alive, this one included."""
 
     now: float
     instance_ids: tuple[str, ...]
 
 
 class CaughtUp(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything else that voters keep was copied to this disk as well.
+    """The other state that voters keep has been copied to this disk.
 
-    The daemon posts it at an instance that joins the voters, when the parts
-    beside the register hold what a majority of the present voters held
+    The daemon posts it at an instance that joins the voters, once the parts
+    other than the register hold what a majority of the present voters held
     *after* :class:`VotersChanged` named this instance as joining.
 
-    :param disk_id: the disk that was caught up.
+    :param disk_id: the disk that has caught up.
     """
 
     now: float
@@ -167,8 +173,10 @@
 class VotersChanged(msgspec.Struct, frozen=True, kw_only=True):
     """Effect: other voters were confirmed by a majority.
 
-    :param joining_by_id: the coming voters; empty when none are coming.
-    :param number: grows with every change, alike at every instance.
+    :param joining_by_id: the set that is to replace the voters; empty when
+        no change of the voters is in progress.
+    :param number: version of the two sets; grows with every change and is
+        the same at every instance.
     """
 
     voters_by_id: dict[str, str]
@@ -183,8 +191,8 @@
     :param initial_voters: instance ids that form the register; the same at
         every instance. Empty until :class:`ContactsFound` names them.
     :param disk_id: the identity of this instance's disk, if it has one.
-    :param confirm_ttl_s: for how many seconds a confirmation lets work be
-        admitted; the same at every instance.
+    :param confirm_ttl_s: for how many seconds after a confirmation work may
+        be admitted; the same at every instance.
     :param propose_limit_s: seconds after which a proposal is answered with
         ``Unavailable``.
     """
@@ -271,17 +279,20 @@
             messages.DiskReport: self._on_disk_report,
         }
 
-    # What others may read.
+    # The public, read-only state.
 
     @property
     def configuration(self) -> configurations.Configuration | None:
-        """Return what was confirmed last; ``None`` before the first time."""
+        """Return the last confirmed configuration; ``None`` before one."""
         confirmed = self._knowledge.confirmed
         return None if confirmed is None else confirmed.configuration
 
     @property
     def confirmed_at(self) -> float | None:
-        """Return when the ask left that confirmed it, by our clock."""
+        """Return when the request that confirmed it was sent.
+
+        By this instance's monotonic clock, in seconds.
+        """
         return self._knowledge.confirmed_at
 
     @property
@@ -300,18 +311,18 @@
 
     @property
     def author(self) -> str:
-        """Return who made the confirmed document."""
+        """Return the author of the confirmed document; empty before one."""
         configuration = self.configuration
         return '' if configuration is None else configuration.author
 
     def history(self) -> tuple[configurations.ChangeRecord, ...]:
-        """Return the confirmed changes that are kept, oldest first."""
+        """Return the retained confirmed changes, oldest first."""
         configuration = self.configuration
         return () if configuration is None else configuration.changes
 
     @property
     def voters_by_id(self) -> dict[str, str]:
-        """Return disk ids by voter, as confirmed."""
+        """Return the confirmed voters: disk ids by instance id."""
         configuration = self.configuration
         return (
             {} if configuration is None else configuration.voters.voters_by_id
@@ -319,7 +330,10 @@
 
     @property
     def joining_by_id(self) -> dict[str, str]:
-        """Return the coming voters' disks; empty when none are coming."""
+        """Return the confirmed joining set: disk ids by instance id.
+
+        Empty when no change of the voters is in progress.
+        """
         configuration = self.configuration
         return (
             {} if configuration is None else configuration.voters.joining_by_id
@@ -327,12 +341,12 @@
 
     @property
     def voters_number(self) -> int:
-        """Return which sets of voters are confirmed; grows with each."""
+        """Return the version of the confirmed voter sets; 0 before one."""
         configuration = self.configuration
         return 0 if configuration is None else configuration.voters.number
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether work may be admitted under the configuration."""
+        """Return whether work may be admitted under the configuration."""
         confirmed_at = self.confirmed_at
         return confirmed_at is not None and now - confirmed_at < self._ttl_s
 
@@ -352,7 +366,7 @@
     def in_force(
         self, revision: int, now: float
     ) -> dict[str, enforcement.Enforcement]:
-        """Return what is known of a revision, by instance id."""
+        """Return for every instance whether a revision is in force there."""
         return {
             instance_id: self._enforcement_of(instance_id, revision, now)
             for instance_id in self._instance_ids
@@ -370,18 +384,18 @@
             return enforcement.Enforcement.STOPPED
         return enforcement.Enforcement.WAITING
 
-    # The part's contract.
+    # The interface of a part; see :class:`parts.Part`.
 
     def handle(self, event: typing.Any) -> list[typing.Any]:
-        """Change the state and return what is to be done.
+        """Apply an event to the state and return the effects.
 
-        Events that mean nothing to this part are passed over.
+        Events of types that this part does not handle are ignored.
         """
         handler = self._handlers.get(type(event))
         return [] if handler is None else handler(event)
 
     def restore(self, record: typing.Any) -> None:
-        """Take in one journal record; others' records are passed over."""
+        """Apply one journal record; records of other parts are ignored."""
         acceptor = self._knowledge.acceptor
         if acceptor is None or not isinstance(record, messages.RECORDS):
             return
@@ -428,7 +442,8 @@
             return []
         to_disk_id = getattr(event.message, 'to_disk_id', self.disk_id)
         if to_disk_id != self.disk_id:
-            # Meant for a disk that is gone: this one can't speak for it.
+            # Meant for a disk that this instance no longer has. The present
+            # disk must not answer for it.
             return []
         return receiver(event, event.message)
 
@@ -448,7 +463,7 @@
             self._formation.set_first_voters(event.instance_ids)
         return []
 
-    # The voter: promises and acceptances of this disk.
+    # The acceptor: promises and acceptances of this instance's disk.
 
     def _on_prepare(
         self, event: parts.Received, message: messages.PrepareBallot
@@ -548,10 +563,11 @@
     def _on_chosen(
         self, attempt: attempts.Attempt, now: float
     ) -> list[typing.Any]:
-        # Compared with what was confirmed, not with what is known: a voter
-        # that proposes knows the version from its own disk before it is
-        # chosen, and would tell nobody of it. One would see "in force" stay
-        # at one instance, and changes that take a confirmation's time.
+        # Compared with the confirmed version, not with the latest known one:
+        # a voter that proposes has the version on its own disk before it is
+        # chosen, so the comparison with the known one would send no hints.
+        # The change would then be in force at one instance only, until each
+        # other instance's next regular confirmation.
         before = self.configuration
         known = self._knowledge.known
         self._knowledge.learn(attempt.update_from(known.ballot))
@@ -567,7 +583,8 @@
 
     def _on_replace_voter(self, event: ReplaceVoter) -> list[typing.Any]:
         if self._is_recorded(event.change_id):
-            # A resend is answered from the records; the disk has no part.
+            # A resend is answered from the change records; the answer does
+            # not depend on the disk id.
             return self._add_replacement(event, '', event.now)
         self._replacements_by_ticket[event.ticket] = event
         self._ask_for_disks_at = event.now
@@ -615,7 +632,7 @@
         return known.configuration.find_change(change_id) is not None
 
     def _ask_for_disks(self, now: float) -> list[typing.Any]:
-        """Ask the coming voters for their disks, until they have answered."""
+        """Query the new voters for their disk ids until they answer."""
         effects = self._expire_replacements(now)
         if now < self._ask_for_disks_at:
             return effects
@@ -673,7 +690,11 @@
         return []
 
     def _add_own_work(self, event: parts.Ticked) -> None:
-        """End our own joining, or repair what a proposer left half done."""
+        """Queue a job of this instance, if one is due and none is queued.
+
+        That is the last step of its own joining, or the repair of a change
+        that a proposer left unfinished.
+        """
         if self._knowledge.acceptor is None or self._proposer.jobs:
             return
         change: changes.Change
@@ -726,8 +747,9 @@
         )
 
     def _is_overdue(self, now: float) -> bool:
-        # A voter that can't confirm by itself may remember voters that have
-        # all been replaced; the others know better.
+        # A voter that can't confirm by its own checks may hold an outdated
+        # set of voters that have all been replaced. So it sends requests to
+        # other voters as well.
         if self.confirmed_at is None:
             return True
         age = now - self.confirmed_at
@@ -768,7 +790,10 @@
     def _confirm(
         self, version: configurations.Version, at: float, now: float
     ) -> list[typing.Any]:
-        """Take a version that a majority held at ``at``, by our clock."""
+        """Record that a majority held a version at ``at``.
+
+        :param at: monotonic seconds of this instance.
+        """
         before = self.configuration
         if not self._knowledge.confirm(version, at):
             return []
@@ -778,7 +803,10 @@
     def _put_in_force(
         self, before: configurations.Configuration | None, now: float
     ) -> list[typing.Any]:
-        """Tell what has changed with the version confirmed now."""
+        """Return the effects of the newly confirmed version.
+
+        :param before: the configuration that was confirmed before.
+        """
         after = self._knowledge.confirmed.configuration
         self._tracker.note_chosen(after.revision, now)
         effects: list[typing.Any] = []
@@ -797,7 +825,7 @@
             effects.append(changed_voters)
         return effects
 
-    # Other instances, while no voter answers.
+    # Queries among instances while no voter answers.
 
     def _on_learner_query(
         self, event: parts.Received, message: messages.LearnerQuery
@@ -846,6 +874,6 @@
 
 
 def _query_id(request: ReplaceVoter) -> int:
-    # Its own for every request: a late answer to an earlier one may name a
-    # disk that was lost since.
+    # Unique per request: a late answer to an earlier one may name a disk
+    # that has been lost since.
     return request.entropy % FIRST_ID_LIMIT
--- a/dandeliongw/coordination/register_messages.py
+++ b/dandeliongw/coordination/register_messages.py
@@ -1,9 +1,9 @@
-"""What the instances' registers say to each other, and what they keep.
+"""Messages between the instances' registers, and their journal records.
 
-Every message that counts towards a quorum names the disk it means:
-``to_disk_id`` or ``from_disk_id``. An instance drops what is meant for another
-disk than its own, so a disk that was lost can't be answered for by its
-successor.
+Every message that counts towards a quorum names the disk that it is addressed
+to or comes from: ``to_disk_id`` or ``from_disk_id``. An instance drops
+messages that are addressed to another disk than its own, so that the
+successor of a lost disk can't answer for it.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class PrepareBallot(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a voter to take part in no earlier ballot than this one.
+    """Request to a voter: accept no ballot earlier than this one.
 
     :param forming_by_id: the first voters' disks, when the register is
         being formed; empty otherwise.
@@ -25,9 +25,9 @@
 
 
 class BallotPromised(msgspec.Struct, frozen=True, kw_only=True):
-    """The promise, synced, with the ballot of the value that is held.
+    """The promise is synced; with the ballot of the value that is held.
 
-    The value itself is fetched from one voter, when it isn't known already.
+    The value itself is fetched from one voter if the proposer lacks it.
     """
 
     from_disk_id: str
@@ -44,9 +44,9 @@
 
 
 class FetchVersion(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a voter for the version it accepted.
+    """Request to a voter for the version that it accepted.
 
-    :param base: the ballot of the version that the asker holds.
+    :param base: the ballot of the version that the sender holds.
     """
 
     to_disk_id: str
@@ -61,7 +61,7 @@
 
 
 class AcceptVersion(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a voter to accept a version under the version's ballot."""
+    """Request to a voter to accept a version under the version's ballot."""
 
     to_disk_id: str
     update: configurations.VersionUpdate
@@ -82,7 +82,7 @@
 
 
 class CheckAccepted(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a voter which ballot it accepted last.
+    """Query for the ballot that a voter accepted last.
 
     :param check_id: grows with every check of the sender.
     """
@@ -100,10 +100,10 @@
 
 
 class ConfirmConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a voter for the configuration that a majority holds.
+    """Request to a voter for the configuration that a majority holds.
 
-    :param ask_id: grows with every ask of the sender.
-    :param base: the ballot of the version that the asker holds.
+    :param ask_id: grows with every such request of the sender.
+    :param base: the ballot of the version that the sender holds.
     """
 
     ask_id: int
@@ -111,16 +111,16 @@
 
 
 class ConfigurationConfirmed(msgspec.Struct, frozen=True, kw_only=True):
-    """A majority held this version after the ask had arrived."""
+    """A majority held this version after the request had arrived."""
 
     ask_id: int
     update: configurations.VersionUpdate
 
 
 class ConfirmRefused(msgspec.Struct, frozen=True, kw_only=True):
-    """The instance that was asked is no voter.
+    """The instance that got the request is no voter.
 
-    :param voter_ids: the voters that it knows of.
+    :param voter_ids: the voters by the latest version that it received.
     """
 
     ask_id: int
@@ -128,22 +128,27 @@
 
 
 class LearnerQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks anybody for a later confirmed version, as no voter answers.
+    """Query to any instance for a later confirmed version.
 
-    :param base: the version that the sender holds.
+    Sent while no voter answers.
+
+    :param base: the ballot of the version that the sender holds.
     """
 
     base: ballots.Ballot | None
 
 
 class LearnerReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A version that was confirmed; maybe not the latest one any more."""
+    """A confirmed version; a later one may have been chosen since."""
 
     update: configurations.VersionUpdate
 
 
 class ConfigurationHint(msgspec.Struct, frozen=True, kw_only=True):
-    """A later revision was accepted; worth asking now. Proves nothing."""
+    """Hint that a later revision was accepted.
+
+    It proves nothing; the recipient requests a confirmation at once.
+    """
 
     revision: int
 
@@ -155,13 +160,13 @@
 
 
 class DiskQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks which disk an instance has."""
+    """Query for the disk id of an instance."""
 
     query_id: int
 
 
 class DiskReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Which disk an instance has.
+    """The disk id of an instance.
 
     :param disk_id: ``None`` for an instance without a data folder.
     :param holds_version: whether the disk has ever accepted a version.
@@ -173,14 +178,14 @@
 
 
 class PromiseRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Journal: the latest promise of this disk."""
+    """Journal record: the latest promise of this disk."""
 
     ballot: ballots.Ballot
     forming_by_id: dict[str, str]
 
 
 class AcceptanceRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Journal: an accepted version, in full or as steps from the last."""
+    """Journal record: an accepted version, full or as steps from the last."""
 
     update: configurations.VersionUpdate
 
--- a/dandeliongw/coordination/standing.py
+++ b/dandeliongw/coordination/standing.py
@@ -1,4 +1,4 @@
-"""How current the configuration is that an instance acts on."""
+"""The confirmation status of the configuration that an instance acts on."""
 
 import typing
 
@@ -10,9 +10,10 @@
 
     :param revision: ``None`` before the first configuration.
     :param order: the highest number of an ordered change in it.
-    :param confirmed_age_s: seconds since the ask left that confirmed it last;
-        ``None`` if it was only learned from another instance.
-    :param is_confirmed: whether that is within the time to live.
+    :param confirmed_age_s: seconds since the request that confirmed it last
+        was sent; ``None`` without a confirmation by voters, as when it was
+        only learned from another instance.
+    :param is_confirmed: whether that age is within the TTL.
     """
 
     revision: int | None
@@ -30,12 +31,14 @@
 
 
 class ConfirmationLapsed(msgspec.Struct, frozen=True, kw_only=True):
-    """Effect: the time to live ran out without a confirmation.
-
-    :param standing: at that moment.
-    :param asks: that left since the one which was answered in time.
-    :param late_answers: to asks that had been given up; with many of them
-        the voters are well and the way to them is slow.
+    """Effect: the last confirmation has expired.
+
+    :param standing: the status at that moment.
+    :param asks: number of confirmation requests sent since the last one that
+        was answered in time.
+    :param late_answers: number of answers to requests that had timed out.
+        If it is high, the voters are healthy but the network path to them is
+        slow.
     """
 
     standing: Standing
@@ -46,7 +49,7 @@
 class ConfirmationRegained(msgspec.Struct, frozen=True, kw_only=True):
     """Effect: the configuration is confirmed again.
 
-    :param lapsed_s: how long it was not.
+    :param lapsed_s: for how many seconds it was not.
     """
 
     standing: Standing
@@ -54,7 +57,7 @@
 
 
 class Watch:
-    """Tells when the confirmation lapses and when it is back."""
+    """Reports when the confirmation expires and when it is regained."""
 
     def __init__(self) -> None:
         self._lapsed_at: float | None = None
@@ -67,7 +70,9 @@
         asks: int,
         late_answers: int,
     ) -> list[typing.Any]:
-        """Return the effect of a change; nothing before the first one.
+        """Return an effect if the status has changed since the last tick.
+
+        Nothing is reported before the first configuration.
 
         :param asks: see :class:`ConfirmationLapsed`.
         :param late_answers: likewise.
--- a/dandeliongw/coordination/voters.py
+++ b/dandeliongw/coordination/voters.py
@@ -8,23 +8,26 @@
 def is_majority(
     disk_ids: abc.Set[str], voters_by_id: abc.Mapping[str, str]
 ) -> bool:
-    """Tell whether more than half of the voters' disks are in a set."""
+    """Return whether a set holds more than half of the voters' disks."""
     present = disk_ids & set(voters_by_id.values())
     return 2 * len(present) > len(voters_by_id)
 
 
 class Voters(msgspec.Struct, frozen=True, kw_only=True):
-    """Disk ids by instance id, of the present and of the coming voters.
+    """Disk ids by instance id, of the present and of the joining voters.
 
-    A voter is its disk: an instance whose disk was lost comes back under a
-    new disk id and can't lend its name to promises that it has forgotten.
+    A voter is identified by its disk: an instance whose disk was lost comes
+    back with a new disk id. Its votes don't count in place of the lost
+    disk's, whose promises it no longer has.
 
-    :param voters_by_id: the voters.
+    :param voters_by_id: the present voters.
     :param joining_by_id: the whole set that is to replace them; empty when
-        no replacement is going on. While it is set, a quorum needs a
-        majority of both sets, so that majorities before and after overlap.
-    :param number: grows with every change of either set; the same at every
-        instance, so that messages can name the sets they count on.
+        no change of the voters is in progress. While it is set, a quorum
+        needs a majority of both sets, so that majorities before and after
+        the change overlap.
+    :param number: version of the two sets; grows with every change of
+        either. It is the same at every instance, so that messages can name
+        the sets that they rely on.
     """
 
     voters_by_id: dict[str, str]
@@ -32,7 +35,7 @@
     number: int = 0
 
     def has_quorum(self, disk_ids: abc.Set[str]) -> bool:
-        """Tell whether these disks can decide."""
+        """Return whether these disks form a quorum."""
         if not is_majority(disk_ids, self.voters_by_id):
             return False
         return not self.joining_by_id or is_majority(
@@ -46,17 +49,18 @@
         return {disk_id: instance_id for instance_id, disk_id in both}
 
     def is_joining(self, disk_id: str | None) -> bool:
-        """Tell whether a disk is in the coming set but not a voter yet."""
+        """Return whether a disk is in the joining set but not a voter yet."""
         return (
             disk_id in self.joining_by_id.values()
             and disk_id not in self.voters_by_id.values()
         )
 
     def replace(self, instance_id: str, by: str, disk_id: str) -> 'Voters':
-        """Start a replacement; one that was going on is given up.
+        """Start a replacement; one that was in progress is abandoned.
 
-        That is safe on top of any value, because the present voters are
-        asked before, while and after the coming set is exchanged.
+        This is safe on top of any value, because quorums include a majority
+        of the present voters before, during and after the exchange of the
+        joining set.
         """
         joining = dict(self.voters_by_id)
         del joining[instance_id]
@@ -68,7 +72,7 @@
         )
 
     def add(self, instance_id: str, disk_id: str) -> 'Voters':
-        """Start to take one more voter in; as safe as a replacement."""
+        """Start to add one voter; as safe as :meth:`replace`."""
         return Voters(
             voters_by_id=self.voters_by_id,
             joining_by_id={**self.voters_by_id, instance_id: disk_id},
@@ -76,9 +80,9 @@
         )
 
     def withdraw(self) -> 'Voters':
-        """Give up the coming set; the present voters never stopped voting."""
+        """Abandon the joining set; the present voters never stopped voting."""
         return Voters(voters_by_id=self.voters_by_id, number=self.number + 1)
 
     def finish(self) -> 'Voters':
-        """Make the coming set the only one."""
+        """Make the joining set the only one."""
         return Voters(voters_by_id=self.joining_by_id, number=self.number + 1)
