--- a/tests/register_network.py
+++ b/tests/register_network.py
@@ -1,8 +1,8 @@
 """Registers on a virtual clock, over links that delay and lose messages.
 
-:class:`tests.test_register.Cluster` delivers at once. Here each message
-takes its time, each instance ticks at its own moment, and entries end and
-start again, as on machines with slow links.
+:class:`tests.test_register.Cluster` delivers without delay. Here messages
+have latencies, instances tick at different times, and entries stop and
+restart, as on machines with slow links.
 """
 
 from collections import abc
@@ -14,7 +14,7 @@
 from dandeliongw.coordination import register
 from tests import timeline
 
-#: Between two ticks of a register, as the reducer paces it.
+#: Interval between two ticks of a register, as in the reducer.
 TICK_S = 0.1
 HOP_S = 0.0015
 SYNC_S = 0.005
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """One instance: its register, and what its disk holds."""
+    """One instance: its register and the records on its disk."""
 
     def __init__(self, *, instance_id: str, is_voter: bool) -> None:
         self.instance_id = instance_id
@@ -37,9 +37,9 @@
 
 
 class Network(timeline.Timeline):
-    """Voters ``voter-1`` and on, entries ``entry-1`` and on.
+    """Voters ``voter-1``, ``voter-2``, ... and entries ``entry-1``, ....
 
-    :param ttl_s: how long a confirmation lasts, in seconds.
+    :param ttl_s: how long a confirmation is valid, in seconds.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
     ) -> None:
         super().__init__()
         self.random = random.Random(seed)
-        #: Seconds that a message takes, by sender, receiver and message.
+        #: Latency in seconds, by sender, receiver and message.
         self.delay_s: Delay = lambda sender, to, message: HOP_S
         self.loses: abc.Callable[[str, str, typing.Any], bool] = (
             lambda sender, to, message: False
@@ -66,7 +66,7 @@
         return self.by_id[instance_id].part
 
     def start(self, instance_id: str) -> None:
-        """Start an instance, or start it again, with its disk."""
+        """Start or restart an instance with the records of its disk."""
         node = self.by_id[instance_id]
         node.starts += 1
         node.is_down = False
@@ -88,7 +88,7 @@
         self.by_id[instance_id].is_down = True
 
     def propose(self, instance_id: str, order: int) -> None:
-        """Let an instance propose a numbered document."""
+        """Propose a numbered document at an instance."""
         event = register.ProposeOrdered(
             now=self.now,
             ticket=f'order-{order}',
@@ -100,7 +100,7 @@
         self._post(self.by_id[instance_id], event)
 
     def change(self, instance_id: str, order: int) -> float:
-        """Propose, wait for the acknowledgement, return its time."""
+        """Propose, wait for the acknowledgement, return its virtual time."""
         results = self.by_id[instance_id].results
         before = len(results)
         self.propose(instance_id, order)
@@ -159,23 +159,24 @@
 
 
 class _Connection:
-    """The way from one instance to another that streams take."""
+    """A stream connection from one instance to another."""
 
     def __init__(self) -> None:
         self.is_up = True
         self.failures = 0
         self.is_backing_off = False
         self.tries = 0
-        #: What waits for it, and until when it is of use.
+        #: Effects that wait for the connection, each with its expiry time.
         self.queue: list[tuple[float, typing.Any]] = []
 
 
 class CutNetwork(Network):
-    """A network that can be cut; connections come back as the product's do.
+    """A network with partitions; it reconnects as the program itself does.
 
-    Across a cut nothing arrives. A connection that is used meanwhile breaks;
-    a try to connect fails after its timeout, and the next one waits, longer
-    each time. A peer that is heard is tried at once.
+    Nothing arrives across a partition. A connection that is used meanwhile
+    breaks. An attempt to connect fails after its timeout, and the next one
+    follows after an exponential backoff. A message from a peer ends the
+    backoff towards it.
     """
 
     def __init__(self, **options: typing.Any) -> None:
@@ -184,7 +185,10 @@
         super().__init__(**options)
 
     def is_cut(self, sender: str, to: str) -> bool:
-        """Whether a cut is between them: some are alone, each by itself."""
+        """Return whether a partition separates them.
+
+        Each instance in ``cut`` is isolated from all others.
+        """
         return bool({sender, to} & self.cut)
 
     def _send(self, sender: str, effect: parts.Send) -> None:
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Who hears late from the voters still learns that nothing has changed."""
+"""Confirmations over slow links, and repair of unfinished changes."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from dandeliongw.coordination import register_messages as messages
 from tests import register_network
 
-#: The time to live where a change has to be in force after 2.5 s.
+#: The TTL for a system where a change has to be in force within 2.5 s.
 TTL_S = 1.875
 IN_FORCE_S = 2.5
 
@@ -26,7 +26,10 @@
 
 
 def slow_links(network, instance_ids, extra_s):
-    """Let all messages from and to some instances take longer."""
+    """Add latency to all messages from and to some instances.
+
+    :param extra_s: in seconds, for each end of a message that is slow.
+    """
     slow = frozenset(instance_ids)
 
     def delay_s(sender, to, message):
@@ -37,23 +40,21 @@
 
 
 class SlowLinkTest(unittest.TestCase):
-    """Two entries refused a route with 404 that had been added 2.5 s before.
-
-    In a burst the packets of an entry wait for its link, 0.2 s each way,
-    which is no outage. Each answer of a voter came after 0.4 s; the entry
-    had asked another one by then and took answers to its latest ask only.
-    So it threw away every proof that it got, and called each voter silent.
-    What settled it are figures of this network: with 0.2 s each way 0 of 80
-    entries were confirmed after 10 s, with 0.1 s all 80, and entries that
-    nobody else told of a change kept the old document for as long as the
-    links stayed slow, 10 s of 10 s.
+    """Guards against 404 for a route that was added 2.5 s before.
+
+    In a burst the packets of an entry wait for its link, 0.2 s each way, so
+    each answer of a voter arrives after 0.4 s, when the entry has sent its
+    next request. If only answers to the latest request counted, 0 of 80
+    entries would be confirmed after 10 s (all 80 with 0.1 s each way), and
+    entries without a hint or gossip would keep the old document for as long
+    as the links are slow, 10 s of 10 s.
     """
 
     def setUp(self):
         self.network = make_network()
 
-    def test_a_confirmation_that_comes_late_counts(self):
-        """Without it: not fresh for 9.2 s of 9.2 s."""
+    def test_a_late_confirmation_counts(self):
+        """If it did not, the entries would not be fresh for 9.2 s of 9.2 s."""
         slow_links(self.network, ('entry-7', 'entry-8'), 0.2)
         self.network.run(3.0)
         for _ in range(100):
@@ -63,7 +64,7 @@
                 self.assertTrue(part.is_fresh(self.network.now))
 
     def test_a_change_is_in_force_where_all_links_are_slow(self):
-        """Nobody can be told by another entry, if none learns it."""
+        """The entries get it from voters alone, without hints or gossip."""
         slow_links(self.network, self.network.entries, 0.2)
         self.network.loses = lambda sender, to, message: isinstance(
             message, (messages.LearnerQuery, messages.ConfigurationHint)
@@ -78,8 +79,8 @@
         ]
         self.assertEqual([], late)
 
-    def test_one_that_answers_late_is_not_called_silent(self):
-        """Else more and more voters are asked, over a link that is full."""
+    def test_a_voter_that_answers_late_does_not_count_as_failed(self):
+        """Otherwise requests to more voters would load a saturated link."""
         slow_links(self.network, ('entry-7',), 0.2)
         self.network.run(3.0)
         sent = []
@@ -92,17 +93,17 @@
             for each in sent
             if isinstance(each, messages.ConfirmConfiguration)
         ]
-        # Of a voter that answers in time: one in 0.56 s.
+        # With answers in time, a request is sent every 0.56 s.
         self.assertLess(len(asks), 45)
 
 
 class SlowVotersTest(unittest.TestCase):
-    """No entry was confirmed, though all voters were well.
+    """Guards against entries without a confirmation while voters are healthy.
 
-    Messages between voters take 0.15 s. A voter gave each of its checks
-    0.19 s, began the next one and took reports to the latest only. They came
-    after 0.3 s, so no check of any voter ended well: 0 of 80 entries were
-    confirmed after 10 s, and 79 of 80 with 0.1 s.
+    Messages between voters take 0.15 s, so reports arrive after 0.3 s, when
+    the check that they belong to has timed out after 0.19 s and the next one
+    has begun. If only reports to the latest check counted, 0 of 80 entries
+    would be confirmed after 10 s, and 79 of 80 with 0.1 s.
     """
 
     def setUp(self):
@@ -113,7 +114,7 @@
         )
         self.network.run(3.0)
 
-    def test_reports_that_come_late_count(self):
+    def test_late_reports_count(self):
         for _ in range(100):
             self.network.run(0.05)
             fresh = [
@@ -126,12 +127,13 @@
 
 class RepairTest(unittest.TestCase):
     @params(0.03, 0.1)
-    def test_a_change_at_work_is_not_repaired(self, hop_s):
-        """Ballots followed a single change without end.
+    def test_a_change_in_progress_is_not_repaired(self, hop_s):
+        """Guards against endless ballots after a single change.
 
-        A check that meets a change half done finds no common version. Taken
-        for the work of a proposer that is gone it is repaired by a ballot,
-        which the checks of other voters meet half done in turn.
+        A check during a change finds no common version. If that were taken
+        for the change of a dead proposer, it would be repaired by a new
+        ballot, which the checks of other voters would find unfinished in
+        turn.
         """
         network = make_network()
         voters = frozenset(network.voters)
@@ -150,10 +152,10 @@
         self.assertEqual([], prepares)
 
     def test_a_change_that_some_voters_lack_yet_is_not_repaired(self):
-        """Two of nine voters are away, so seven have to have it.
+        """Guards against a repair that is started during a slow change.
 
-        Checks that began with the change saw it half done and repaired it;
-        57 of 80 entries were confirmed 10 s after it.
+        Two of nine voters are down. If checks that begin with the change
+        repaired it, only 57 of 80 entries would be confirmed 10 s after it.
         """
         network = make_network()
         voters = frozenset(network.voters)
@@ -173,8 +175,8 @@
         self.assertEqual(len(network.entries), len(fresh))
 
     @params(1, 2, 3, 4)
-    def test_what_a_proposer_left_is_repaired_soon(self, seed):
-        """Nobody is confirmed until then, so a time to live is the bound."""
+    def test_an_unfinished_change_is_repaired_soon(self, seed):
+        """No instance is confirmed until then, so one TTL is the bound."""
         network = make_network(seed=seed)
         network.stop('voter-9')
         holders = ('voter-1', 'voter-2', 'voter-3', 'voter-4')
@@ -184,7 +186,7 @@
         network.propose('voter-1', 2)
         network.run(0.1)
         network.loses = lambda sender, to, message: False
-        # Four of nine hold the change, four don't, one is away.
+        # Four of nine voters hold the change, four don't, one is down.
         network.start('voter-1')
         network.run(TTL_S)
         fresh = [
@@ -197,7 +199,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """One voter of three, whose messages are looked at by hand."""
+    """One voter of three, whose messages the test sends and examines."""
 
     def setUp(self):
         self.network = register_network.Network(
@@ -232,18 +234,18 @@
         )
 
     def end(self, check):
-        """Return the ids of the asks that the check answers."""
+        """Return the ids of the requests that the check answers."""
         answers = self.report(check, 'voter-2') + self.report(check, 'voter-3')
         return [each.ask_id for each in answers]
 
-    def test_a_check_answers_who_asked_before_it_began(self):
+    def test_a_check_answers_requests_from_before_it_began(self):
         check = self.ask(1)[0]
         self.now += 0.01
         self.ask(2, 'entry-2')
         self.assertEqual([1], self.end(check))
 
-    def test_the_later_ask_of_one_instance_is_answered(self):
-        """By the next check, as it came after the first one had begun."""
+    def test_the_later_request_of_one_instance_is_answered(self):
+        """The next check answers it, as the first one had begun before it."""
         first = self.ask(1)[0]
         self.ask(2)
         self.assertEqual([], self.end(first))
@@ -251,13 +253,13 @@
         second = self.ask(3, 'entry-2')[0]
         self.assertEqual([2, 3], self.end(second))
 
-    def test_a_later_check_answers_what_an_earlier_one_left(self):
+    def test_a_later_check_answers_requests_left_by_an_earlier_one(self):
         self.ask(1)
         self.now += 0.3
         check = self.ask(2, 'entry-2')[0]
         self.assertEqual([1, 2], self.end(check))
 
-    def test_an_earlier_check_that_ends_late_answers_its_own(self):
+    def test_an_earlier_check_that_ends_late_answers_its_requests(self):
         first = self.ask(1)[0]
         self.now += 0.3
         second = self.ask(2, 'entry-2')[0]
@@ -266,10 +268,10 @@
         self.assertEqual([2], self.end(second))
 
 
-class CutTest(unittest.TestCase):
+class PartitionTest(unittest.TestCase):
     @params(1, 2)
-    def test_a_core_that_was_apart_is_heard_again(self, seed):
-        """All voters are cut off for 8 s; connections come back by and by."""
+    def test_a_change_after_a_partition_is_in_force_in_time(self, seed):
+        """All voters are cut off for 8 s, then connections come back."""
         network = register_network.CutNetwork(
             voters=9, entries=80, ttl_s=TTL_S, seed=seed
         )
@@ -291,18 +293,18 @@
         self.asker.start(100)
 
     def ask(self, now):
-        """Return the id of the ask that leaves now, and who was asked."""
+        """Return the id and the first recipient of the request sent now."""
         sends = self.asker.tick(now, ('voter-1', 'voter-2'), None)
         (ask_id,) = {send.message.ask_id for send in sends}
         return ask_id, sends[0].to
 
-    def test_an_answer_counts_from_when_its_own_ask_left(self):
-        """From a later one it would outlast a change made in between."""
+    def test_an_answer_counts_from_its_own_request(self):
+        """From a later one it would stay valid after a change in between."""
         first, asked = self.ask(0.0)
         self.ask(0.4)
         self.assertEqual(0.0, self.asker.answered(asked, first, 0.5))
 
-    def test_the_later_ask_is_answered_as_well(self):
+    def test_the_answer_to_the_later_request_counts_as_well(self):
         first, asked = self.ask(0.0)
         second, _ = self.ask(0.4)
         self.asker.answered(asked, first, 0.5)
@@ -313,17 +315,17 @@
         self.asker.answered(asked, first, 0.1)
         self.assertIsNone(self.asker.answered(asked, first, 0.2))
 
-    def test_what_was_asked_a_time_to_live_ago_counts_no_more(self):
+    def test_an_answer_to_a_request_older_than_the_ttl_is_ignored(self):
         first, asked = self.ask(0.0)
         for number in range(1, 6):
             self.ask(0.5 * number)
         self.assertIsNone(self.asker.answered(asked, first, 2.6))
 
-    def test_an_answer_to_an_earlier_start_counts_not(self):
+    def test_an_answer_from_before_a_restart_is_ignored(self):
         self.ask(0.0)
         self.assertIsNone(self.asker.answered('voter-1', 7, 0.1))
 
-    def test_who_answers_late_is_asked_again(self):
+    def test_a_voter_that_answers_late_gets_requests_again(self):
         first, asked = self.ask(0.0)
         second, _ = self.ask(0.4)
         self.asker.answered(asked, first, 0.5)
@@ -332,12 +334,12 @@
 
 
 class RollingTest(unittest.TestCase):
-    """The promise as a whole, on a network like one of a large site.
+    """The guarantee as a whole, on a network like that of a large site.
 
     Entries behind links that delay by up to 0.3 s and lose one message in a
-    hundred start again in fours, and two of nine voters are away. A change
-    that was acknowledged 2.5 s ago: no entry holds an older document, and
-    none may refuse for good by one.
+    hundred restart four at a time, and two of nine voters are down. No entry
+    may hold a document older than a change that was acknowledged 2.5 s ago,
+    or refuse a request for good because of one.
     """
 
     @params(1, 2, 3, 4)
@@ -387,15 +389,15 @@
 
 
 class LearnedMeanwhileTest(unittest.TestCase):
-    """An entry that had the latest document was not confirmed.
+    """Guards against an entry with the latest document but no confirmation.
 
-    It asked as a holder of an earlier one, then learned the change from
-    another entry; the voter's answer brings the steps from the earlier one.
-    The answer was thrown away, as it starts from something else than what is
-    held, though it names the version that is held as the latest.
+    It sends its request while it holds an earlier version, then learns the
+    change from another entry. The voter's answer has the steps from the
+    earlier version. It must count although the entry no longer holds that
+    base, as it names the version that is held as the latest.
     """
 
-    def test_the_answer_confirms_what_is_held(self):
+    def test_the_answer_confirms_the_version_held(self):
         network = make_network()
         asked_with = network.part('entry-7')._knowledge.known.ballot
         network.change('voter-1', 2)
--- a/tests/test_learners.py
+++ b/tests/test_learners.py
@@ -1,4 +1,4 @@
-"""A confirmed configuration spreads while no voter answers."""
+"""Gossip of a confirmed configuration while no voter answers."""
 
 import unittest
 
@@ -16,25 +16,24 @@
 
 
 class LearnersTest(unittest.TestCase):
-    """Symptom: a route of an acknowledged change is refused with 404.
+    """Guards against 404 for a route of an acknowledged change.
 
-    Sequence: a change is confirmed at one entry; all voters lose power
-    before the others hear of it; they stay away for seconds.
-    Cause: only voters are asked for the configuration.
+    A change is confirmed at one entry, and all voters lose power for seconds
+    before the other entries receive it. They must get it from that entry.
     """
 
     def setUp(self):
         self.cluster = make_cluster()
         self.cluster.loses = self.is_lost
-        #: Who hears nothing of voters.
-        self.deaf = set(OTHERS[1:])
+        #: Instances that no message of a voter reaches.
+        self.cut_off = set(OTHERS[1:])
         self.cluster.propose('gw-1', change_id='a', expected=0)
         self.cluster.run(1)
         self.assertEqual({0, 1}, self.revisions())
         self.cluster.down.update(test_register.VOTERS)
 
     def is_lost(self, sender, to, message):
-        return to in self.deaf and sender in test_register.VOTERS
+        return to in self.cut_off and sender in test_register.VOTERS
 
     def revisions(self):
         return {self.cluster.part(name).revision for name in OTHERS}
@@ -43,8 +42,8 @@
         self.cluster.run(TTL_S)
         self.assertEqual({1}, self.revisions())
 
-    def test_it_is_no_newer_for_being_told_again(self):
-        """Nobody may act on it for longer than if a voter had told it."""
+    def test_a_gossiped_version_does_not_extend_the_confirmation(self):
+        """No instance may act on it for longer than on a voter's answer."""
         self.cluster.run(TTL_S + 1)
         fresh = [
             name
@@ -53,7 +52,7 @@
         ]
         self.assertEqual([], fresh)
 
-    def test_one_that_starts_meanwhile_learns_it_too(self):
+    def test_an_instance_that_starts_meanwhile_learns_it_too(self):
         self.cluster.run(TTL_S)
         self.cluster.by_id['gw-9'].start()
         self.cluster.introduce('gw-9')
@@ -61,10 +60,10 @@
         self.assertEqual(1, self.cluster.part('gw-9').revision)
         self.assertFalse(self.cluster.part('gw-9').is_fresh(self.cluster.now))
 
-    def test_an_older_one_does_not_come_back(self):
+    def test_a_late_report_of_an_older_version_is_ignored(self):
         self.cluster.run(TTL_S)
         self.cluster.down.clear()
-        self.deaf.clear()
+        self.cut_off.clear()
         self.cluster.run(TTL_S)
         late = [
             message
@@ -78,20 +77,20 @@
         self.assertEqual({2}, self.revisions())
 
 
-class QuietTest(unittest.TestCase):
-    def test_nobody_is_asked_while_voters_answer(self):
+class NoGossipTest(unittest.TestCase):
+    def test_no_query_is_sent_while_voters_answer(self):
         cluster = make_cluster()
         cluster.sent.clear()
         cluster.run(3 * TTL_S)
-        asked = [
+        queries = [
             message
             for _, _, message in cluster.sent
             if isinstance(message, messages.LearnerQuery)
         ]
-        self.assertEqual([], asked)
+        self.assertEqual([], queries)
 
-    def test_what_no_majority_holds_is_not_told(self):
-        """A version that only its proposer's disk holds may vanish."""
+    def test_a_version_without_a_majority_is_not_gossiped(self):
+        """A version that only its proposer's disk holds may be lost."""
         cluster = make_cluster()
         cluster.loses = lambda sender, to, message: (
             sender == 'gw-1' and to != 'gw-1'
--- a/tests/test_ordered_changes.py
+++ b/tests/test_ordered_changes.py
@@ -1,4 +1,4 @@
-"""Changes that their operators number, and voters found while running."""
+"""Changes numbered by operators, and voters discovered at run time."""
 
 import unittest
 
@@ -39,11 +39,10 @@
         }
 
     def test_the_highest_number_wins_in_any_order(self):
-        """Symptom: an older configuration comes back into force.
+        """Guards against an older configuration that comes back into force.
 
-        Sequence: two operators send changes; the one with the higher number
-        arrives first.
-        Cause: the last one to arrive would win.
+        Two operators send changes, and the one with the higher number arrives
+        first; the last one to arrive must not win.
         """
         first = change(self.cluster, 'gw-1', 9, b'nine')
         second = change(self.cluster, 'gw-2', 7, b'seven')
@@ -52,18 +51,17 @@
         self.assertEqual(self.documents(), {b'nine'})
 
     def test_another_text_under_the_same_number_changes_nothing(self):
-        """Symptom: what is read back isn't what was acknowledged."""
+        """Guards against reading back another text than was acknowledged."""
         change(self.cluster, 'gw-1', 4, b'four')
         result = change(self.cluster, 'gw-3', 4, b'other')
         self.assertEqual(result, register.Overtaken(order=4))
         self.assertEqual(self.documents(), {b'four'})
 
-    def test_a_resend_after_a_later_change_puts_nothing_back(self):
-        """Symptom: a change is undone seconds after it was in force.
+    def test_a_resend_after_a_later_change_reverts_nothing(self):
+        """Guards against undoing a change seconds after it was in force.
 
-        Sequence: the answer to a change is lost; another one follows; the
-        first is sent again, to another instance.
-        Cause: a resend would count as a new change.
+        The answer to a change is lost, another change follows, and the first
+        is resent to another instance; it must not count as a new change.
         """
         change(self.cluster, 'gw-1', 4, b'four')
         change(self.cluster, 'gw-2', 5, b'five')
@@ -71,7 +69,7 @@
         self.assertEqual(result, register.Overtaken(order=5))
         self.assertEqual(self.documents(), {b'five'})
 
-    def test_rivals_at_one_moment_end_with_the_higher(self):
+    def test_of_concurrent_changes_the_highest_number_wins(self):
         tickets = [
             ('gw-1', propose(self.cluster, 'gw-1', 6, b'six')),
             ('gw-2', propose(self.cluster, 'gw-2', 8, b'eight')),
@@ -85,7 +83,7 @@
         self.assertEqual(self.documents(), {b'eight'})
 
     def test_the_number_outlives_a_restart_of_all_voters(self):
-        """Symptom: after a power loss an old change takes effect again."""
+        """Guards against an old change that is applied after a power loss."""
         change(self.cluster, 'gw-1', 5, b'five')
         for name in test_register.VOTERS:
             self.cluster.by_id[name].start()
@@ -97,7 +95,7 @@
 
 
 class ContactsTest(unittest.TestCase):
-    """Instances that know nobody at their start."""
+    """Instances that start without the ids of any voters."""
 
     def setUp(self):
         self.cluster = test_register.Cluster(others=('gw-4',))
@@ -119,7 +117,7 @@
             self.cluster.part(name).revision for name in self.cluster.by_id
         }
 
-    def test_nothing_forms_before_anybody_is_found(self):
+    def test_nothing_forms_before_voters_are_found(self):
         self.assertEqual(self.revisions(), {None})
 
     def test_the_first_voters_that_are_found_form_the_register(self):
@@ -128,11 +126,10 @@
 
     @params(1, 2, 3)
     def test_instances_that_only_join_form_nothing(self, count):
-        """Symptom: a configuration that was acknowledged is gone.
+        """Guards against the loss of an acknowledged configuration.
 
-        Sequence: voters lose their disks and start anew; they find each
-        other through seeds.
-        Cause: empty disks would be taken for those of a new system.
+        Voters lose their disks, restart and find each other through seeds;
+        their empty disks must not be taken for those of a new system.
         """
         self.find(*test_register.VOTERS[:count], may_form=False)
         self.assertEqual(self.revisions(), {None})
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Owners of cells: the same everywhere, and spread over data centres."""
+"""Owners of cells: the same at each instance, spread over data centres."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    def test_every_instance_ranks_alike_whatever_the_order(self):
+    def test_the_order_of_the_members_does_not_change_the_ranking(self):
         shuffled = random.Random(1).sample(MEMBERS, len(MEMBERS))
         for cell in CELLS:
             self.assertEqual(
@@ -39,7 +39,7 @@
             else:
                 self.assertEqual(before[0], after[0])
 
-    def test_fewer_members_than_asked_for(self):
+    def test_fewer_members_than_requested(self):
         self.assertEqual((), placement.ranked_owners('cell-1', []))
         one = placement.ranked_owners('cell-1', MEMBERS[:1])
         self.assertEqual(('gw-0',), one)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,4 +1,4 @@
-"""The register under loss, crashes, lost disks and rival operators."""
+"""The register under loss, crashes, lost disks and competing operators."""
 
 import collections
 import random
@@ -63,7 +63,7 @@
 
 
 class Cluster:
-    """Delivers messages in order, at once, unless a test says otherwise."""
+    """Delivers messages in order and without delay, unless a test differs."""
 
     def __init__(
         self,
@@ -240,7 +240,7 @@
         states = cluster.by_id['gw-4'].part.in_force(1, cluster.now)
         self.assertEqual({'confirmed'}, set(states.values()))
 
-    def test_the_second_of_two_operators_is_told_the_current_document(self):
+    def test_the_second_of_two_operators_gets_the_current_document(self):
         cluster = formed()
         cluster.change('gw-4', change_id='c1', expected=0, document=b'one')
         result = cluster.change('gw-1', change_id='c2', expected=0)
@@ -258,7 +258,7 @@
         self.assertEqual(1, voter.part.revision)
         self.assertTrue(voter.part.is_fresh(cluster.now))
 
-    def test_every_message_and_record_survives_the_codec(self):
+    def test_every_message_and_record_round_trips_through_the_codec(self):
         mapped = codec.Codec(
             data_classes=[*messages.MESSAGES, *messages.RECORDS],
             wire_modules=[register_pb2],
@@ -283,19 +283,22 @@
 
 
 def only(name, *kinds):
-    """Return a filter: of these kinds, just those to ``name`` arrive."""
+    """Return a filter that loses messages of these kinds, except to ``name``.
+
+    Messages of other kinds arrive.
+    """
     return lambda sender, to, message: (
         isinstance(message, kinds) and to != name
     )
 
 
 class ChangesTest(unittest.TestCase):
-    def test_no_answer_tells_of_what_a_minority_holds(self):
-        """Symptom: an operator is told of a revision that then vanishes.
+    def test_no_answer_before_a_majority_holds_the_value(self):
+        """Guards against a conflict that reports a revision later lost.
 
-        Sequence: a proposer reaches one voter and dies; a second one reads
-        that value, finds a conflict and answers; that voter is lost.
-        Cause: the answer left before a majority held the value it tells of.
+        A proposer reaches one voter and dies. A second one reads that value
+        and finds a conflict. If it answered before a majority held the value,
+        the loss of that one voter would undo the reported revision.
         """
         cluster = formed()
         cluster.loses = only('gw-1', messages.AcceptVersion)
@@ -318,11 +321,11 @@
         self.assertEqual(['gw-1', 'gw-2'], holders)
 
     def test_a_resend_gets_the_first_result_and_restores_nothing(self):
-        """Symptom: an old document is back, days after it was replaced.
+        """Guards against a resend that brings an old document back.
 
-        Sequence: the answer to a change is lost, others change the document,
-        the operator's tool sends the change again.
-        Cause: the resend is taken for a change, or told of a conflict.
+        The answer to a change is lost, others change the document, and the
+        operator's tool resends the change. The resend must be neither applied
+        again nor answered with a conflict.
         """
         cluster = formed()
         cluster.change('gw-4', change_id='c1', expected=0, document=b'one')
@@ -336,10 +339,10 @@
         self.assertEqual(b'two', cluster.part('gw-4').document)
 
     def test_a_change_id_with_other_content_is_refused(self):
-        """Symptom: an operator is told that a change that never was is in.
+        """Guards against reporting a change as applied that never was.
 
-        Sequence: a tool reuses a change id for another document.
-        Cause: the id alone is compared.
+        That would happen if a tool reused a change id for another document
+        and only the ids were compared.
         """
         cluster = formed()
         cluster.change('gw-4', change_id='c1', expected=0, document=b'one')
@@ -348,12 +351,12 @@
         )
         self.assertEqual(register.ChangeIdReused(revision=1), result)
 
-    def test_rivals_under_equal_numbers_both_get_an_answer(self):
-        """Symptom: two operators' changes block each other for seconds.
+    def test_competing_proposers_with_equal_numbers_both_get_an_answer(self):
+        """Guards against two changes that block each other for seconds.
 
-        Sequence: two instances propose at once under the same number; each
-        refusal starts the other one anew.
-        Cause: both wait equally long before the next attempt.
+        Two instances propose at once under the same number, and each refusal
+        makes the other one retry. Without jitter in the backoff they would
+        collide again and again.
         """
         cluster = formed()
         tickets = {
@@ -368,11 +371,11 @@
         self.assertEqual({'Applied', 'Conflict'}, results)
 
     def test_a_restarted_proposer_never_uses_a_ballot_twice(self):
-        """Symptom: two documents are in force under one revision.
+        """Guards against two documents in force under one revision.
 
-        Sequence: an instance without a disk proposes, restarts, proposes
-        another document under the same number; readers compare ballots.
-        Cause: its ballot numbers start again, and the proposer is the same.
+        An instance without a disk proposes, restarts, and proposes another
+        document under the same number. Readers compare ballots, so number and
+        proposer alone would not tell the two values apart.
         """
         cluster = formed()
         first = self.first_ballot(cluster, 'c1')
@@ -396,19 +399,21 @@
         (messages.PrepareBallot, 'did not take effect'),
         (messages.AcceptVersion, 'may still take effect'),
     )
-    def test_no_majority_is_said_with_what_is_known(self, lost, said):
+    def test_unavailable_says_whether_the_change_may_take_effect(
+        self, lost, text
+    ):
         cluster = formed()
         cluster.loses = is_kind(lost)
         result = cluster.change('gw-4', change_id='c1', expected=0)
         self.assertIsInstance(result, register.Unavailable)
-        self.assertIn(said, result.message)
+        self.assertIn(text, result.message)
         self.assertIn('same change id', result.message)
 
     def test_a_change_survives_lost_messages(self):
-        """Symptom: a change takes a second try of the operator.
+        """Guards against a change that the operator has to send twice.
 
-        Sequence: the first promise request and the first accept are lost.
-        Cause: nobody sends them again.
+        The first prepare and the first accept request to each voter are lost;
+        the proposer must resend them.
         """
         cluster = formed()
         lost = set()
@@ -432,14 +437,14 @@
         self.assertEqual(1, len(set(prepared)))
 
     @params(False, True)
-    def test_a_voter_that_missed_changes_is_sent_the_whole_value(
+    def test_a_voter_that_missed_changes_is_sent_the_full_value(
         self, promises
     ):
-        """Symptom: a voter accepts a document with changes missing.
+        """Guards against a voter that accepts a value with changes missing.
 
-        Sequence: it is cut off for one change and back for the next, which
-        comes as a step, as its promise with what it holds was lost.
-        Cause: the step is applied to another value than it was made from.
+        It is cut off for one change and back for the next. That arrives as a
+        step, as its promise, which names the ballot that it holds, was lost.
+        The step must not be applied to another value than its base.
         """
         cluster = formed()
         cluster.down = {'gw-3'}
@@ -464,30 +469,29 @@
 
 
 class VoterTest(unittest.TestCase):
-    def test_nothing_is_told_before_it_is_synced(self):
-        """Symptom: a voter breaks a promise after a power loss.
+    def test_no_reply_is_sent_before_its_sync(self):
+        """Guards against a voter that breaks a promise after a power loss.
 
-        Sequence: it promises, its promise is counted, it loses power before
-        the sync and comes back free to accept an older ballot.
-        Cause: the reply, or a repeat of it, overtook the sync.
+        If the reply, or a repeat of it, overtook the sync, the promise would
+        be counted although the voter lost it with its power, and the voter
+        could then accept an older ballot.
         """
         cluster = formed()
         cluster.syncs_at_once = False
         cluster.propose('gw-4', change_id='c1', expected=0)
         for envelope in [e for e in cluster.queue if e[1] == 'gw-1'] * 2:
             cluster.deliver_one(envelope)
-        told = [e for e in cluster.queue if e[0] == 'gw-1']
-        self.assertEqual([], told)
+        replies = [e for e in cluster.queue if e[0] == 'gw-1']
+        self.assertEqual([], replies)
         cluster.sync('gw-1')
-        told = [e for e in cluster.queue if e[0] == 'gw-1']
-        self.assertEqual(2, len(told))
+        replies = [e for e in cluster.queue if e[0] == 'gw-1']
+        self.assertEqual(2, len(replies))
 
     def test_a_late_accept_does_not_undo_a_later_one(self):
-        """Symptom: an accepted revision is gone from a voter.
+        """Guards against a voter that loses an accepted revision.
 
-        Sequence: a slow accept of an earlier ballot arrives after a later
-        ballot was promised.
-        Cause: the voter does not compare it with its promise.
+        A delayed accept request of an earlier ballot arrives after a later
+        ballot was promised; the voter must compare it with its promise.
         """
         cluster = formed()
         cluster.loses = is_kind(messages.AcceptVersion)
@@ -520,12 +524,12 @@
             copy.start()
             self.assertEqual(before, copy.part.snapshot())
 
-    def test_a_lost_disk_does_not_vote_under_its_old_name(self):
-        """Symptom: an accepted revision is gone.
+    def test_a_new_disk_does_not_vote_in_place_of_the_lost_one(self):
+        """Guards against the loss of an accepted revision.
 
-        Sequence: a voter's disk is lost, it starts with an empty one; a
-        majority of the empty one and one that missed the change decides.
-        Cause: the instance's name is taken for its disk.
+        A voter's disk is lost and it starts with an empty one. If voters were
+        identified by instance instead of disk, the empty disk and one that
+        missed the change would be a majority.
         """
         cluster = formed()
         cluster.down = {'gw-3'}
@@ -550,12 +554,12 @@
         cluster.run(1)
         return result
 
-    def test_a_second_loss_right_after_a_repair_loses_nothing(self):
-        """Symptom: an accepted revision is gone after a repair.
+    def test_a_second_loss_right_after_a_replacement_loses_nothing(self):
+        """Guards against losing an accepted revision after a replacement.
 
-        Sequence: a disk is lost and replaced, the repair is called finished,
-        the next disk is lost; the third voter had missed the change.
-        Cause: the new voter counted before it held what the lost one held.
+        A disk is lost and replaced, then the next disk is lost; the third
+        voter had missed the change. So the new voter must not count before it
+        holds what the lost one held.
         """
         cluster = formed()
         cluster.down = {'gw-3'}
@@ -578,11 +582,11 @@
         self.assertEqual(b'one', cluster.part('gw-3').document)
 
     def test_while_a_voter_joins_both_majorities_are_needed(self):
-        """Symptom: two documents are in force, one on each side.
+        """Guards against two documents in force during a partition.
 
-        Sequence: a replacement is under way; a partition leaves a majority
-        of the old voters on one side and one of the coming on the other.
-        Cause: either majority is enough.
+        During a replacement, a partition leaves a majority of the old voters
+        on one side and a majority of the joining set on the other. Neither
+        may decide alone.
         """
         cluster = formed()
         ticket = cluster.replace('gw-4', change_id='r1', old='gw-1', by='gw-5')
@@ -596,12 +600,12 @@
         result = cluster.change('gw-4', change_id='c2', expected=0)
         self.assertIsInstance(result, register.Unavailable)
 
-    def test_a_proposer_that_knows_the_old_voters_asks_the_new_ones(self):
-        """Symptom: a change is accepted that nobody else ever sees.
+    def test_a_proposer_with_outdated_voters_queries_the_new_ones(self):
+        """Guards against an accepted change that no other instance ever sees.
 
-        Sequence: an instance is cut off while a voter is replaced; back
-        again, it reaches the old majority first.
-        Cause: it counts the voters it knows, not those of the value it read.
+        An instance is cut off while a voter is replaced; back again, it
+        reaches the old majority first. It must count the voters named in the
+        value it read, not those that it had before.
         """
         cluster = formed()
         cluster.by_id['gw-5'] = Instance('gw-5', 'disk-5')
@@ -625,12 +629,12 @@
         ]
         self.assertIn('gw-5', promised)
 
-    def test_a_replacement_does_not_end_on_a_value_that_may_vanish(self):
-        """Symptom: old and new voters decide apart from each other.
+    def test_a_replacement_does_not_end_before_its_value_is_chosen(self):
+        """Guards against old and new voters that decide independently.
 
-        Sequence: the value with both sets reached one voter only; the end of
-        the replacement is written on top of it.
-        Cause: a reader of the value before asks the old set only.
+        The value with both sets has reached one voter only. If the end of
+        the replacement were written on top of it, a proposer that reads the
+        value before would query the old set only.
         """
         joint = voters.Voters(
             voters_by_id={'a': '1', 'b': '2', 'c': '3'}
@@ -647,13 +651,12 @@
         late = end.decide(version, is_chosen=True)
         self.assertEqual({}, late.step.voters.joining_by_id)
 
-    def test_a_newcomer_that_is_silent_holds_up_no_change(self):
-        """Symptom: changes time out at one instance.
+    def test_an_unresponsive_new_voter_blocks_no_change(self):
+        """Guards against changes that time out at one instance.
 
-        Sequence: an operator names a dead instance as the new voter, another
-        one changes the document there.
-        Cause: the change waits behind the question which disk the dead one
-        has.
+        An operator names a dead instance as the new voter; another one
+        changes the document at the same instance. The change must not wait
+        for the answer to the disk query.
         """
         cluster = formed()
         cluster.by_id['gw-5'] = Instance('gw-5', 'disk-5')
@@ -664,12 +667,12 @@
         result = cluster.wait('gw-2', ticket)
         self.assertIn("'gw-5' did not say", result.message)
 
-    def test_a_late_word_of_a_disk_is_not_taken_for_a_new_one(self):
-        """Symptom: a replacement waits for ever for a disk that is gone.
+    def test_a_late_disk_report_does_not_answer_a_later_request(self):
+        """Guards against a replacement that waits forever for a lost disk.
 
-        Sequence: the answer to an operator's first request is held up, the
-        coming voter loses its disk, the operator asks again.
-        Cause: the late answer passes for the one to the second request.
+        The disk report for a first request is delayed, the new voter loses
+        its disk, and the operator sends a second request. The late report
+        must not be taken for the answer to the second one.
         """
         cluster = formed()
         cluster.by_id['gw-5'] = Instance('gw-5', 'disk-5')
@@ -704,22 +707,22 @@
         ('gw-1', 'gw-1', 'present disk'),
         ('gw-1', 'gw-4', 'has no disk'),
     )
-    def test_a_replacement_that_makes_no_sense_is_refused(self, old, by, said):
+    def test_an_impossible_replacement_is_refused(self, old, by, text):
         cluster = formed()
         cluster.by_id['gw-4'].lose_disk('disk-4' if old == 'gw-4' else None)
         cluster.run(1)
         ticket = cluster.replace('gw-2', change_id='r1', old=old, by=by)
         result = cluster.wait('gw-2', ticket)
-        self.assertIn(said, result.message)
+        self.assertIn(text, result.message)
 
 
 class ConfirmationTest(unittest.TestCase):
     def test_an_isolated_voter_stops_and_confirms_nothing(self):
-        """Symptom: callers are served under an old configuration for hours.
+        """Guards against serving under an old configuration for hours.
 
-        Sequence: a partition leaves one voter with one entry; the others
-        change the document.
-        Cause: the voter answers from its own disk.
+        A partition leaves one voter with one entry, and the other voters
+        change the document. The isolated voter must not confirm from its own
+        disk alone.
         """
         cluster = formed()
         cluster.loses = lambda sender, to, _: (
@@ -735,10 +738,10 @@
         self.assertEqual('stopped', states['gw-4'])
 
     def test_in_force_waits_for_an_instance_that_may_still_act(self):
-        """Symptom: a change is called in force too early.
+        """Guards against reporting a change as in force too early.
 
-        Sequence: an instance confirms, is cut off, a change is accepted.
-        Cause: silence is taken for having stopped before its time is out.
+        An instance confirms and is cut off, then a change is accepted. The
+        instance must not count as stopped before its confirmation expires.
         """
         cluster = formed()
         cluster.down = {'gw-4'}
@@ -753,11 +756,11 @@
         self.assertEqual('confirmed', states['gw-1'])
 
     @params('gw-1', 'gw-2', 'gw-3')
-    def test_one_silent_voter_leaves_everyone_fresh(self, name):
-        """Symptom: entries stop admitting when one voter dies.
+    def test_one_unresponsive_voter_leaves_everyone_fresh(self, name):
+        """Guards against entries that stop admitting when one voter dies.
 
-        Sequence: a voter goes silent while others wait for its answer.
-        Cause: they wait too long, or ask the same one again.
+        A voter stops answering while others wait for it. They would stop if
+        they waited too long or sent the next request to the same voter.
         """
         cluster = formed()
         cluster.run(3)
@@ -775,12 +778,12 @@
         }
         self.assertNotIn(name, asked)
 
-    def test_many_voters_ask_few_and_outlast_a_silent_minority(self):
-        """Symptom: twelve voters spend their share of the network on reads.
+    def test_many_voters_query_few_and_tolerate_a_lost_minority(self):
+        """Guards against twelve voters that overload the network with checks.
 
-        Sequence: every check asks all of them, though a majority is enough.
-        Cause: the silent few could be among those that were left out, so the
-        others are asked as well when an answer is missing.
+        A check queries a majority and a spare, and the others only when
+        answers are missing, as the unresponsive ones may be among those
+        queried first.
         """
         names = tuple(f'gw-{n:02}' for n in range(12))
         cluster = Cluster(voters=names, others=('other',))
@@ -799,12 +802,12 @@
             for name in (*names[5:], 'other'):
                 self.assertTrue(cluster.part(name).is_fresh(cluster.now))
 
-    def test_voters_that_lag_among_many_cause_no_write(self):
-        """Symptom: reads write the register anew again and again.
+    def test_lagging_voters_among_many_cause_no_write(self):
+        """Guards against checks that rewrite the register repeatedly.
 
-        Sequence: three of twelve voters missed a change; a check asks them
-        among a majority and a spare.
-        Cause: the check is given up though the voters it spared agree.
+        Three of twelve voters missed a change, and a check queries them among
+        a majority and a spare. It must not end in a repair, as the voters
+        that it did not query first hold a common version.
         """
         names = tuple(f'gw-{n:02}' for n in range(12))
         cluster = Cluster(voters=names, others=())
@@ -818,11 +821,11 @@
         kinds = {type(message) for _, _, message in cluster.sent}
         self.assertNotIn(messages.PrepareBallot, kinds)
 
-    def test_a_late_answer_counts_from_its_ask(self):
-        """Symptom: an entry serves the old document past its time.
+    def test_a_late_answer_counts_from_its_request(self):
+        """Guards against an entry that serves a document past the TTL.
 
-        Sequence: the answer to an ask is held up for seconds.
-        Cause: the time is counted from the arrival.
+        The answer to a confirmation request is delayed by seconds; the TTL
+        must count from when the request was sent, not from the arrival.
         """
         cluster = formed()
         cluster.run(2)
@@ -847,12 +850,11 @@
         confirmed_at = cluster.part('gw-4').confirmed_at
         self.assertLessEqual(confirmed_at, asked_by)
 
-    def test_a_check_answers_only_who_asked_before_it_began(self):
-        """Symptom: a revision is confirmed after a later one was chosen.
+    def test_a_check_answers_only_requests_from_before_it_began(self):
+        """Guards against confirming a revision after a later one was chosen.
 
-        Sequence: a voter's check has read; a change is chosen; an ask
-        arrives and gets the answer of that check.
-        Cause: the check is older than the ask.
+        A voter's check has begun to read, a change is chosen, and then a
+        confirmation request arrives. The older check must not answer it.
         """
         cluster = formed()
         cluster.run(1)
@@ -883,12 +885,12 @@
         self.assertNotIn(99, answered)
         self.assertTrue(voter.is_fresh(cluster.now))
 
-    def test_a_voter_that_lags_is_not_sent_the_value_by_everyone(self):
-        """Symptom: a voter's return costs a dozen times the whole value.
+    def test_a_lagging_voter_is_not_sent_the_full_value_by_everyone(self):
+        """Guards against sending a returning voter the full value many times.
 
-        Sequence: it missed more changes than are kept as steps; all others
-        see in their checks that it lags, and it sees that they are ahead.
-        Cause: each of them sends, or is asked for, the value.
+        It missed more changes than are retained as steps. All others find in
+        their checks that it lags, and it finds that they are ahead; not all
+        of them may send the full value.
         """
         names = tuple(f'gw-{n}' for n in range(7))
         cluster = Cluster(voters=names, others=())
@@ -900,12 +902,12 @@
         cluster.slow = {'gw-6'}
         cluster.sent.clear()
         cluster.run(8)
-        whole = [
+        full = [
             m
             for _, to, m in cluster.sent
             if to == 'gw-6' and getattr(m, 'update', None) and m.update.full
         ]
-        self.assertLessEqual(len(whole), 2)
+        self.assertLessEqual(len(full), 2)
         cluster.sent.clear()
         for name in names[:6]:
             report = messages.AcceptedReport(
@@ -923,12 +925,12 @@
         ('gw-4', messages.ConfigurationConfirmed),
         ('gw-1', messages.AcceptedReport),
     )
-    def test_answers_from_before_a_restart_count_for_nothing(self, name, kind):
-        """Symptom: a restarted entry serves the document before.
+    def test_answers_from_before_a_restart_are_ignored(self, name, kind):
+        """Guards against a restarted entry that serves an older document.
 
-        Sequence: an answer is held up, its asker restarts and asks anew
-        while it is cut off, the answer arrives.
-        Cause: ids start again, so it passes for the answer to the new ask.
+        An answer is delayed, its recipient restarts and sends a new request
+        while it is cut off. If ids started again, the late answer would be
+        taken for the answer to the new request.
         """
         cluster = Cluster()
         cluster.loses = is_kind(kind)
@@ -948,11 +950,10 @@
         self.assertFalse(cluster.part(name).is_fresh(cluster.now))
 
     def test_a_late_confirmation_does_not_revert(self):
-        """Symptom: an entry goes back to the document before.
+        """Guards against an entry that reverts to an earlier document.
 
-        Sequence: an answer with the earlier revision arrives after a later
-        one was confirmed.
-        Cause: the last answer wins.
+        An answer with the earlier revision arrives after a later one was
+        confirmed; the last answer to arrive must not win.
         """
         cluster = formed()
         part = cluster.part('gw-4')
@@ -962,11 +963,11 @@
         self.assertEqual([], part._confirm(old, cluster.now, cluster.now))
         self.assertEqual(b'one', part.document)
 
-    def test_half_done_work_of_a_dead_proposer_is_repaired(self):
-        """Symptom: no instance can confirm anything; all stop admitting.
+    def test_an_unfinished_change_of_a_dead_proposer_is_repaired(self):
+        """Guards against all instances failing to confirm and stopping.
 
-        Sequence: a proposer dies after one of two reachable voters accepted.
-        Cause: no value is held by a majority, and nobody writes one back.
+        A proposer dies after one of two reachable voters accepted. Then no
+        majority holds a common value until a voter writes one back.
         """
         cluster = formed()
         cluster.down = {'gw-3'}
@@ -976,7 +977,8 @@
         cluster.by_id['gw-4'].start()
         cluster.loses = is_kind(messages.PrepareBallot)
         cluster.run(2)
-        # Held by one voter, it may still vanish: nobody acts on it.
+        # One voter holds the value, which may still be lost; so no instance
+        # may act on it.
         self.assertEqual(0, cluster.part('gw-1').revision)
         cluster.loses = lambda *_: False
         cluster.run(TTL_S + 1)
@@ -984,11 +986,10 @@
         self.assertEqual(b'one', cluster.part('gw-4').document)
 
     def test_a_restart_after_hundreds_of_changes_acts_on_none_of_them(self):
-        """Symptom: a restarted voter serves a document of last week.
+        """Guards against a restarted voter that serves an outdated document.
 
-        Sequence: it is down for hundreds of changes, and starts while it
-        can't reach the others.
-        Cause: it takes its disk's word for the present.
+        It is down for hundreds of changes, and starts while it can't reach
+        the others. It must not act on the version on its disk.
         """
         cluster = formed()
         cluster.down = {'gw-3'}
@@ -1000,7 +1001,7 @@
         self.assertFalse(cluster.part('gw-3').is_fresh(cluster.now))
         self.assertIsNone(cluster.part('gw-3').revision)
         cluster.down = set()
-        # Its reports come when the others' have confirmed already.
+        # Its reports arrive after the others' have ended the check.
         cluster.slow = {'gw-3'}
         cluster.run(5)
         self.assertEqual(200, cluster.part('gw-3').revision)
@@ -1010,10 +1011,10 @@
 
 class FormationTest(unittest.TestCase):
     def test_nothing_forms_while_a_first_voter_is_missing(self):
-        """Symptom: two registers, each formed by a part of the voters.
+        """Guards against two registers, each formed by some of the voters.
 
-        Sequence: a first voter is unreachable at the start.
-        Cause: a majority of empty disks is taken for all of them.
+        A first voter is unreachable at the start; a majority of empty disks
+        must not be enough.
         """
         cluster = Cluster()
         cluster.down = {'gw-3'}
@@ -1023,12 +1024,12 @@
         cluster.run(1)
         self.assertEqual(0, cluster.part('gw-1').revision)
 
-    def test_the_rest_of_a_lost_register_forms_no_other(self):
-        """Symptom: revisions start anew at 0, all changes are gone.
+    def test_remaining_disks_of_a_lost_register_form_no_other(self):
+        """Guards against losing all changes and restarting at revision 0.
 
-        Sequence: the register forms, one voter misses the first accept; the
-        disks of the two others are lost.
-        Cause: three disks without a value are taken for a first start.
+        The register forms, one voter misses the first accept, and the disks
+        of the two others are lost. Three disks without a value must not be
+        taken for a first start.
         """
         cluster = Cluster()
         cluster.loses = lambda sender, to, message: (
@@ -1060,7 +1061,7 @@
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """Real reducers over a network that drops, reorders and doubles."""
+    """Real registers over a network that drops, reorders and duplicates."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -1083,7 +1084,7 @@
         cut=st.sampled_from(['nobody', *VOTERS, 'gw-4']),
     )
     def run_badly(self, seed, drop, cut):
-        """Longer than the time to live, with one instance cut off."""
+        """Run for longer than the TTL, with one instance cut off."""
         # Drawing each choice from hypothesis makes most of them zero.
         rng = random.Random(seed)
         for _ in range(40):
@@ -1125,7 +1126,7 @@
         return any(i.unsynced for i in self.cluster.by_id.values())
 
     def propose_any(self, rng):
-        """Rivals, resends, and what was made from an old revision."""
+        """Propose a new change, a resend, or one for an old revision."""
         name = rng.choice([*VOTERS, 'gw-4'])
         revision = self.cluster.part(name).revision
         if revision is None:
@@ -1147,10 +1148,10 @@
     @stateful.precondition(lambda self: self.losses < 3)
     @stateful.rule(name=st.sampled_from(VOTERS))
     def lose_and_replace(self, name):
-        """Lose one disk at a time: the next one when all hold all again."""
+        """Lose and replace a disk, if the last replacement is finished."""
         voters = self.cluster.part(name).voters_by_id
-        whole = {i: self.cluster.by_id[i].disk_id for i in VOTERS}
-        if voters != whole or self.cluster.part(name).joining_by_id:
+        present = {i: self.cluster.by_id[i].disk_id for i in VOTERS}
+        if voters != present or self.cluster.part(name).joining_by_id:
             return
         self.losses += 1
         self.cluster.by_id[name].lose_disk(f'disk-new-{self.losses}')
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""What an instance tells of how current its configuration is."""
+"""The confirmation status of an instance, and reports of its changes."""
 
 import unittest
 
@@ -14,29 +14,29 @@
 
 
 class StandingTest(unittest.TestCase):
-    def test_it_is_told_with_its_age(self):
-        told = standing.Standing(revision=3, order=98, confirmed_age_s=0.25)
+    def test_text_with_the_age_of_the_confirmation(self):
+        status = standing.Standing(revision=3, order=98, confirmed_age_s=0.25)
         self.assertEqual(
-            'revision 3, number 98, confirmed 0.25 s ago', str(told)
+            'revision 3, number 98, confirmed 0.25 s ago', str(status)
         )
 
-    def test_one_that_others_told_has_no_age(self):
-        told = standing.Standing(revision=3, order=98)
+    def test_text_without_a_confirmation(self):
+        status = standing.Standing(revision=3, order=98)
         self.assertEqual(
-            'revision 3, number 98, never confirmed here', str(told)
+            'revision 3, number 98, never confirmed here', str(status)
         )
 
-    def test_nothing_is_known_at_first(self):
+    def test_text_before_the_first_configuration(self):
         self.assertEqual(
             'no configuration', str(standing.Standing(revision=None))
         )
 
 
 class LapseTest(unittest.TestCase):
-    """Symptom: nobody can tell why an entry acted on an old document.
+    """Guards against an expired confirmation that is reported nowhere.
 
-    Sequence: an entry gets no answer of a voter for a time to live.
-    Cause: its log has no line about it.
+    An entry gets no answer from a voter for one TTL. Without a report, the
+    log would not show why it acted on an old document.
     """
 
     def setUp(self):
@@ -44,15 +44,15 @@
         self.cluster.down.update(test_register.VOTERS)
         self.cluster.run(1.5 * TTL_S)
 
-    def test_a_lapse_is_told_once(self):
+    def test_a_lapse_is_reported_once(self):
         (lapse,) = found(self.cluster, standing.ConfirmationLapsed)
         self.assertFalse(lapse.standing.is_confirmed)
         self.assertGreater(lapse.asks, 2)
         self.assertEqual(0, lapse.late_answers)
 
-    def test_so_is_its_end(self):
+    def test_the_end_of_a_lapse_is_reported_once(self):
         self.cluster.down.clear()
         self.cluster.run(TTL_S)
-        (back,) = found(self.cluster, standing.ConfirmationRegained)
-        self.assertTrue(back.standing.is_confirmed)
-        self.assertGreater(back.lapsed_s, 0.4 * TTL_S)
+        (regained,) = found(self.cluster, standing.ConfirmationRegained)
+        self.assertTrue(regained.standing.is_confirmed)
+        self.assertGreater(regained.lapsed_s, 0.4 * TTL_S)
--- a/tests/test_voters_kept.py
+++ b/tests/test_voters_kept.py
@@ -1,4 +1,4 @@
-"""The voters keep themselves whole: on reducers, with time passed in."""
+"""Automatic repair of the set of voters, on reducers with virtual time."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 def is_accepted(net, instance_id, order):
-    """Whether a numbered change is applied within its time."""
+    """Return whether a numbered change is applied within 4 s."""
     held = net.reducers_by_id[instance_id].register
     before = held.revision
     net.post(
@@ -48,23 +48,23 @@
 class GrowthTest(unittest.TestCase):
     @params(4, 5, 6)
     def test_every_disk_becomes_a_voter(self, count):
-        """Symptom: two machines of five are lost, and nothing is accepted.
+        """Guards against losing the quorum when two machines of five die.
 
-        Sequence: three first voters form the register; two of them die.
-        Cause: the other disks would never vote.
+        Three first voters form the register and two of them die; the other
+        disks must have become voters by then.
         """
         net = grown(count)
         for lost in range((count - 1) // 2):
             net.crash(f'gw-{lost + 1}')
         self.assertTrue(is_accepted(net, f'gw-{count}', 1))
 
-    def test_no_more_than_are_wanted(self):
+    def test_no_more_voters_than_configured(self):
         net = network.Network(count=5, voters=3, most_voters=4)
         net.run_until(lambda: len(voters(net)) == 4, LIMIT_S)
         net.run(20.0)
         self.assertEqual(len(voters(net)), 4)
 
-    def test_without_the_setting_they_stay_as_they_were_formed(self):
+    def test_without_the_setting_the_voters_stay_unchanged(self):
         net = network.Network(count=5, voters=3)
         net.run(20.0)
         self.assertEqual(len(voters(net)), 3)
@@ -77,12 +77,12 @@
         net.run_until(lambda: voters(net).get('gw-2') == 'disk-new', LIMIT_S)
         self.assertTrue(is_accepted(net, 'gw-1', 1))
 
-    def test_a_machine_that_is_gone_gives_its_vote_to_a_new_one(self):
-        """Symptom: each replaced machine makes the next loss more dangerous.
+    def test_a_new_machine_replaces_the_vote_of_a_lost_one(self):
+        """Guards against voters that accumulate with each replaced machine.
 
-        Sequence: a voter is gone for good; an empty machine comes.
-        Cause: the newcomer would vote beside the one that is gone, and a
-        majority would need one more of those that are left.
+        A voter is lost for good and an empty machine joins. If it voted
+        beside the lost one, a majority would need one more of the remaining
+        voters.
         """
         net = network.Network(count=6, voters=3, most_voters=5)
         net.crash('gw-6')
@@ -105,12 +105,11 @@
         net.run(20.0)
         self.assertNotIn('gw-6', voters(net))
 
-    def test_a_newcomer_that_dies_while_it_joins_is_given_up(self):
-        """Symptom: one more loss, and nothing is accepted any more.
+    def test_the_joining_of_a_disk_that_dies_is_withdrawn(self):
+        """Guards against blocked changes after one more loss.
 
-        Sequence: a disk joins and dies before it has caught up.
-        Cause: its step is never finished, and until then a majority of the
-        set with it is needed too.
+        A disk joins and dies before it has caught up. While its joining is
+        unfinished, a majority of the set that includes it is needed too.
         """
         net = network.Network(count=4, voters=3, most_voters=4)
         held = net.reducers_by_id['gw-1'].register
