--- a/dandeliongw/coordination/acceptor.py
+++ b/dandeliongw/coordination/acceptor.py
@@ -59,7 +59,7 @@
         records: tuple = ()
         if update.ballot != self.accepted:
             if not self.versions.advance(update):
-                return self._ask_for_full(update.ballot)
+                return self._request_full(update.ballot)
             self.promised = update.ballot
             records = (messages.AcceptanceRecord(update=update),)
         reply = messages.VersionAccepted(
@@ -119,7 +119,7 @@
         )
         return Answer(reply=reply)
 
-    def _ask_for_full(self, ballot: ballots.Ballot) -> Answer:
+    def _request_full(self, ballot: ballots.Ballot) -> Answer:
         reply = messages.FullVersionNeeded(
             from_disk_id=self.disk_id, ballot=ballot
         )
--- a/dandeliongw/coordination/changes.py
+++ b/dandeliongw/coordination/changes.py
@@ -283,9 +283,9 @@
             return f'{self.by!r} is a voter with its present disk'
         if self.by in present and self.by != self.instance_id:
             return f'{self.by!r} is a voter; replace it by itself'
-        going = set(present) - set(voters.joining_by_id)
-        if voters.joining_by_id and going - {self.instance_id}:
-            names = ', '.join(sorted(going))
+        leaving = set(present) - set(voters.joining_by_id)
+        if voters.joining_by_id and leaving - {self.instance_id}:
+            names = ', '.join(sorted(leaving))
             return f'the replacement of {names} is not finished'
         return None
 
--- a/dandeliongw/coordination/checker.py
+++ b/dandeliongw/coordination/checker.py
@@ -6,10 +6,10 @@
 from . import ballot as ballots
 from . import configuration as configurations
 from . import confirmation
-from . import half_done
 from . import knowledge as knowledges
 from . import parts
 from . import register_messages as messages
+from . import unfinished_changes
 
 #: A lagging disk is sent the version at most once in this many confirmation
 #: TTLs, as the full value may be large.
@@ -48,15 +48,17 @@
         self._knowledge = knowledge
         self._ttl_s = ttl_s
         self._confirm = confirm
-        self._waiting_by_id: dict[str, confirmation.WaitingAsk] = {}
+        self._waiting_requests_by_id: dict[
+            str, confirmation.WaitingRequest
+        ] = {}
         #: Checks that may still confirm a version, the oldest first.
         self._checks_by_id: dict[int, confirmation.Check] = {}
         #: ``None`` before the first tick, which brings the entropy for it.
         self._check_id: int | None = None
         self._last_at: float | None = None
-        self._is_wanted = False
+        self._is_check_requested = False
         self._caught_up_at_by_disk: dict[str, float] = {}
-        self._half_done = half_done.HalfDone(
+        self._detector = unfinished_changes.UnfinishedChangeDetector(
             knowledge=knowledge, timeout_s=confirmation.CHECK_TIMEOUT * ttl_s
         )
 
@@ -69,23 +71,23 @@
         self._check_id = first_id
 
     def ask(
-        self, sender: str, ask: messages.ConfirmConfiguration, now: float
+        self, sender: str, request: messages.ConfirmConfiguration, now: float
     ) -> list[typing.Any]:
         """Queue a confirmation request; the next check to begin answers it.
 
         It replaces an earlier request of the same instance, as an answer to
         the later one is valid for longer.
         """
-        self._waiting_by_id[sender] = confirmation.WaitingAsk(
+        self._waiting_requests_by_id[sender] = confirmation.WaitingRequest(
             arrived_at=now,
-            after_check=self._check_id or 0,
-            ask=ask,
+            after_check_id=self._check_id or 0,
+            request=request,
         )
         return self._begin_if_due(now)
 
-    def hurry(self, now: float) -> list[typing.Any]:
+    def check_soon(self, now: float) -> list[typing.Any]:
         """Check soon: a hint says that a later revision was accepted."""
-        self._is_wanted = True
+        self._is_check_requested = True
         return self._begin_if_due(now)
 
     def tick(self, now: float) -> list[typing.Any]:
@@ -97,10 +99,10 @@
             if age >= confirmation.CHECK_LIFE * self._ttl_s:
                 del self._checks_by_id[check.check_id]
             elif age >= timeout_s / 2:
-                effects += self._ask_others(check)
-            if self._half_done.is_met(check, now):
+                effects += self._query_others(check)
+            if self._detector.needs_repair(check, now):
                 self.is_repair_wanted = True
-        self._forget_old_asks(now)
+        self._remove_expired_requests(now)
         return [*effects, *self._begin_if_due(now)]
 
     def on_report(
@@ -115,7 +117,7 @@
         if check is None:
             return effects
         check.accepted_by_disk[message.from_disk_id] = message.accepted
-        self._half_done.note(message.accepted, now)
+        self._detector.note_ballot(message.accepted, now)
         return [
             *effects,
             *self._fetch_if_behind(sender, check, message),
@@ -151,7 +153,7 @@
             return []
         self._check_id += 1
         self._last_at = now
-        self._is_wanted = False
+        self._is_check_requested = False
         check = confirmation.Check(check_id=self._check_id, started_at=now)
         self._checks_by_id[check.check_id] = check
         return self._query(check, self._first_disks())
@@ -164,11 +166,11 @@
         age = now - check.started_at
         return age < confirmation.CHECK_TIMEOUT * self._ttl_s
 
-    def _forget_old_asks(self, now: float) -> None:
-        oldest = now - confirmation.LONGEST_ASK_TIMEOUT * self._ttl_s
-        for instance_id, waiting in list(self._waiting_by_id.items()):
+    def _remove_expired_requests(self, now: float) -> None:
+        oldest = now - confirmation.MAX_REQUEST_TIMEOUT * self._ttl_s
+        for instance_id, waiting in list(self._waiting_requests_by_id.items()):
             if waiting.arrived_at <= oldest:
-                del self._waiting_by_id[instance_id]
+                del self._waiting_requests_by_id[instance_id]
 
     def _first_disks(self) -> list[str]:
         """Return the disks to query first: a majority and a spare.
@@ -187,11 +189,11 @@
         turned.sort(key=lambda disk_id: disk_id != own)
         return turned[: len(disk_ids) // 2 + 1 + SPARE_DISKS]
 
-    def _ask_others(self, check: confirmation.Check) -> list[parts.Send]:
+    def _query_others(self, check: confirmation.Check) -> list[parts.Send]:
         """Query the disks that were not queried at first."""
         disk_ids = sorted(self._knowledge.voters.instance_by_disk)
         return self._query(
-            check, [d for d in disk_ids if d not in check.asked]
+            check, [d for d in disk_ids if d not in check.queried]
         )
 
     def _query(
@@ -200,7 +202,7 @@
         instance_by_disk = self._knowledge.voters.instance_by_disk
         sends = []
         for disk_id in disk_ids:
-            check.asked.add(disk_id)
+            check.queried.add(disk_id)
             message = messages.CheckAccepted(
                 to_disk_id=disk_id, check_id=check.check_id
             )
@@ -212,8 +214,8 @@
     def _is_due(self, now: float) -> bool:
         if self._last_at is None:
             return True
-        gap = confirmation.ASK_EVERY
-        if self._waiting_by_id or self._is_wanted:
+        gap = confirmation.REQUEST_EVERY
+        if self._waiting_requests_by_id or self._is_check_requested:
             gap = confirmation.CHECK_GAP
         return now - self._last_at >= gap * self._ttl_s
 
@@ -242,13 +244,13 @@
         now: float,
     ) -> list[typing.Any]:
         effects = self._confirm(versions.current, check.started_at, now)
-        for instance_id, waiting in list(self._waiting_by_id.items()):
-            if waiting.after_check >= check.check_id:
+        for instance_id, waiting in list(self._waiting_requests_by_id.items()):
+            if waiting.after_check_id >= check.check_id:
                 continue
-            del self._waiting_by_id[instance_id]
+            del self._waiting_requests_by_id[instance_id]
             answer = messages.ConfigurationConfirmed(
-                ask_id=waiting.ask.ask_id,
-                update=versions.update_for(waiting.ask.base),
+                ask_id=waiting.request.ask_id,
+                update=versions.update_for(waiting.request.base),
             )
             effects.append(parts.Send(to=instance_id, message=answer))
         return effects
@@ -260,7 +262,7 @@
         version = self._knowledge.confirmed
         if version is None or not _is_behind(report, version.ballot):
             return []
-        if not self._is_turn_to_catch_up():
+        if not self._is_own_turn_to_catch_up():
             return []
         if self._knowledge.known.ballot != version.ballot:
             # A later version is known here and not confirmed yet. If the
@@ -282,15 +284,15 @@
         )
         return [parts.Send(to=instance_by_disk[disk_id], message=message)]
 
-    def _is_turn_to_catch_up(self) -> bool:
+    def _is_own_turn_to_catch_up(self) -> bool:
         # Every voter detects the lagging one. If all sent it the version,
         # possibly as a full value, it would receive most of a megabyte a
         # dozen times. So the voters take turns by check id.
         voter_ids = self._knowledge.voter_ids
         if self._knowledge.instance_id not in voter_ids:
             return False
-        place = voter_ids.index(self._knowledge.instance_id)
-        return self._check_id % len(voter_ids) == place
+        turn = voter_ids.index(self._knowledge.instance_id)
+        return self._check_id % len(voter_ids) == turn
 
 
 def _is_behind(
--- a/dandeliongw/coordination/confirmation.py
+++ b/dandeliongw/coordination/confirmation.py
@@ -22,19 +22,19 @@
 # their request was sent.
 # The first request goes to one voter, the second to two, the third to four:
 # enough to tolerate any minority of twelve voters that does not answer.
-ASK_EVERY = 0.3
-ASK_TIMEOUT = 0.2
+REQUEST_EVERY = 0.3
+REQUEST_TIMEOUT = 0.2
 #: Where answers take longer than that, the timeout is this many times the
 #: last answer's round trip, up to a fraction of the TTL. Without this,
 #: repeated requests would delay the answers further on a saturated link.
 TIMEOUT_FACTOR = 1.5
-LONGEST_ASK_TIMEOUT = 0.4
+MAX_REQUEST_TIMEOUT = 0.4
 CHECK_GAP = 0.15
 CHECK_TIMEOUT = 0.1
 #: How long reports to a check are counted. A later one may have begun by
 #: then.
 CHECK_LIFE = 0.4
-MOST_DOUBLINGS = 2
+MAX_DOUBLINGS = 2
 #: A voter that did not answer is ranked last for this many TTLs.
 AVOID_FOR = 4.0
 
@@ -50,15 +50,15 @@
     def __init__(self, *, instance_id: str, ttl_s: float) -> None:
         self._instance_id = instance_id
         self._ttl_s = ttl_s
-        self._ask_id: int | None = None
+        self._request_id: int | None = None
         self._targets: list[str] = []
         self._unanswered = 0
         self._sent_at = 0.0
         #: Send times of the requests whose answers would still be valid.
-        self._sent_at_by_ask: dict[int, float] = {}
-        self._timeout_s = ASK_TIMEOUT * ttl_s
+        self._sent_at_by_request: dict[int, float] = {}
+        self._timeout_s = REQUEST_TIMEOUT * ttl_s
         self._next_at: float | None = None
-        self._is_hurried = False
+        self._is_due_now = False
         self._avoid_until_by_id: dict[str, float] = {}
         #: Requests since the last one that was answered in time, and answers
         #: to those that had timed out by then.
@@ -72,15 +72,15 @@
         taken for the answer to the first one after it, and count from that
         one's send time.
         """
-        self._ask_id = first_id
+        self._request_id = first_id
 
-    def hurry(self) -> None:
+    def request_soon(self) -> None:
         """Send a request as soon as none is pending: a change was made.
 
         The answer to a pending request does not suffice, as that one may
         have been sent before the change.
         """
-        self._is_hurried = True
+        self._is_due_now = True
 
     def tick(
         self,
@@ -95,19 +95,19 @@
             self._unanswered += 1
             for instance_id in self._targets:
                 self._avoid(instance_id, now)
-        return self._ask(now, candidates, base)
+        return self._send_request(now, candidates, base)
 
     def is_due(self, now: float) -> bool:
         """Return whether a request is due or the pending one timed out."""
-        if self._ask_id is None:
+        if self._request_id is None:
             return False
         if self._targets:
             return now - self._sent_at >= self._timeout_s
-        if self._is_hurried or self._next_at is None:
+        if self._is_due_now or self._next_at is None:
             return True
         return now >= self._next_at
 
-    def answered(self, sender: str, ask_id: int, now: float) -> float | None:
+    def on_answer(self, sender: str, ask_id: int, now: float) -> float | None:
         """Record an answer; return when its request was sent.
 
         The answer to a request that timed out is valid as well: it proves
@@ -119,15 +119,15 @@
         :returns: monotonic seconds; ``None`` for an answer that does not
             count.
         """
-        sent_at = self._sent_at_by_ask.pop(ask_id, None)
+        sent_at = self._sent_at_by_request.pop(ask_id, None)
         if sent_at is None:
             return None
         self._avoid_until_by_id.pop(sender, None)
         self._unanswered = 0
         self._timeout_s = self._timeout_after(now - sent_at)
-        if ask_id == self._ask_id:
+        if ask_id == self._request_id:
             self._targets = []
-            self._next_at = self._sent_at + ASK_EVERY * self._ttl_s
+            self._next_at = self._sent_at + REQUEST_EVERY * self._ttl_s
             self.asks = 0
             self.late_answers = 0
         else:
@@ -139,13 +139,13 @@
 
         :param took_s: how long the last answer took, in seconds.
         """
-        longest_s = LONGEST_ASK_TIMEOUT * self._ttl_s
-        wanted_s = min(longest_s, TIMEOUT_FACTOR * took_s)
-        return max(ASK_TIMEOUT * self._ttl_s, wanted_s)
+        max_s = MAX_REQUEST_TIMEOUT * self._ttl_s
+        wanted_s = min(max_s, TIMEOUT_FACTOR * took_s)
+        return max(REQUEST_TIMEOUT * self._ttl_s, wanted_s)
 
-    def refused(self, sender: str, ask_id: int, now: float) -> None:
+    def on_refusal(self, sender: str, ask_id: int, now: float) -> None:
         """Drop a recipient of the pending request that is no voter."""
-        if ask_id != self._ask_id or sender not in self._targets:
+        if ask_id != self._request_id or sender not in self._targets:
             return
         self._avoid(sender, now)
         self._targets.remove(sender)
@@ -155,32 +155,34 @@
     def _avoid(self, instance_id: str, now: float) -> None:
         self._avoid_until_by_id[instance_id] = now + AVOID_FOR * self._ttl_s
 
-    def _ask(
+    def _send_request(
         self,
         now: float,
         candidates: abc.Sequence[str],
         base: ballots.Ballot | None,
     ) -> list[parts.Send]:
         ranked = sorted(candidates, key=lambda i: self._rank(i, now))
-        doublings = min(self._unanswered, MOST_DOUBLINGS)
+        doublings = min(self._unanswered, MAX_DOUBLINGS)
         self._targets = ranked[: 2**doublings]
         if not self._targets:
             return []
-        self._is_hurried = False
+        self._is_due_now = False
         self.asks += 1
-        self._ask_id += 1
+        self._request_id += 1
         self._sent_at = now
-        self._sent_at_by_ask[self._ask_id] = now
-        self._forget_old_asks(now)
-        message = messages.ConfirmConfiguration(ask_id=self._ask_id, base=base)
+        self._sent_at_by_request[self._request_id] = now
+        self._remove_expired_requests(now)
+        message = messages.ConfirmConfiguration(
+            ask_id=self._request_id, base=base
+        )
         return [parts.Send(to=to, message=message) for to in self._targets]
 
-    def _forget_old_asks(self, now: float) -> None:
+    def _remove_expired_requests(self, now: float) -> None:
         """Remove requests whose answers would be older than the TTL."""
         oldest = now - self._ttl_s
-        for ask_id, sent_at in list(self._sent_at_by_ask.items()):
+        for request_id, sent_at in list(self._sent_at_by_request.items()):
             if sent_at <= oldest:
-                del self._sent_at_by_ask[ask_id]
+                del self._sent_at_by_request[request_id]
 
     def _rank(self, instance_id: str, now: float) -> tuple[float, bytes]:
         avoided_until = self._avoid_until_by_id.get(instance_id, now)
@@ -189,18 +191,18 @@
         return max(avoided_until, now), spread
 
 
-class WaitingAsk(msgspec.Struct, frozen=True, kw_only=True):
+class WaitingRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A confirmation request that waits for the result of a check.
 
     :param arrived_at: when it was received, in monotonic seconds.
-    :param after_check: id of the last check that had begun by then. Only
+    :param after_check_id: id of the last check that had begun by then. Only
         later checks answer the request, as this one and those before it may
         have read before the request was sent.
     """
 
     arrived_at: float
-    after_check: int
-    ask: messages.ConfirmConfiguration
+    after_check_id: int
+    request: messages.ConfirmConfiguration
 
 
 class Check:
@@ -211,7 +213,7 @@
         self.started_at = started_at
         self.accepted_by_disk: dict[str, ballots.Ballot | None] = {}
         #: The disks that were sent a query.
-        self.asked: set[str] = set()
+        self.queried: set[str] = set()
         #: The latest ballot whose version was requested from another disk.
         self.fetched: ballots.Ballot | None = None
 
--- a/dandeliongw/coordination/enforcement.py
+++ b/dandeliongw/coordination/enforcement.py
@@ -46,7 +46,7 @@
         known = self._revision_by_id.get(instance_id, revision)
         self._revision_by_id[instance_id] = max(known, revision)
 
-    def forget_others(self, instance_ids: abc.Collection[str]) -> None:
+    def retain_only(self, instance_ids: abc.Collection[str]) -> None:
         """Remove the records of all instances but these."""
         for instance_id in set(self._revision_by_id) - set(instance_ids):
             del self._revision_by_id[instance_id]
--- a/dandeliongw/coordination/hints.py
+++ b/dandeliongw/coordination/hints.py
@@ -27,7 +27,7 @@
         self._revision: int | None = None
         self._next_at = 0.0
         self._until = 0.0
-        self._hinters: set[str] = set()
+        self._hint_senders: set[str] = set()
 
     def begin(self, revision: int, now: float) -> None:
         """Send hints about a revision from now on, for one TTL.
@@ -66,16 +66,16 @@
             and instance_id != self._instance_id
         ]
 
-    def note_hinter(self, instance_id: str) -> None:
+    def add_hint_sender(self, instance_id: str) -> None:
         """Record the sender of a hint, to notify it of the confirmation."""
-        self._hinters.add(instance_id)
+        self._hint_senders.add(instance_id)
 
     def confirmed(self, revision: int) -> list[parts.Send]:
         """Notify the recorded senders of hints; forget them."""
         message = messages.RevisionConfirmed(revision=revision)
-        hinters = sorted(self._hinters)
-        self._hinters.clear()
+        senders = sorted(self._hint_senders)
+        self._hint_senders.clear()
         return [
             parts.Send(to=to, message=message, by_datagram=True)
-            for to in hinters
+            for to in senders
         ]
--- a/dandeliongw/coordination/learners.py
+++ b/dandeliongw/coordination/learners.py
@@ -18,13 +18,13 @@
 
 #: Instances queried per round. With two, each round reaches three times as
 #: many instances as the one before: all of 200 in five rounds.
-ASKED = 2
+FANOUT = 2
 #: Fraction of the TTL without an answer of a voter after which other
 #: instances are queried: a confirmation request is due after 0.3 of it, and
 #: times out after 0.2 more.
-PATIENCE = 0.5
+QUERY_AFTER = 0.5
 #: Fraction of the TTL between two rounds.
-EVERY = 0.1
+QUERY_EVERY = 0.1
 
 
 class Learners:
@@ -39,9 +39,9 @@
         self._next_at: float | None = None
         self._round = 0
 
-    def heard(self, now: float) -> None:
+    def note_confirmation(self, now: float) -> None:
         """Record a confirmation; queries are due only some time after it."""
-        self._next_at = now + PATIENCE * self._ttl_s
+        self._next_at = now + QUERY_AFTER * self._ttl_s
 
     def tick(
         self,
@@ -55,17 +55,17 @@
         :param base: the ballot of the version held here.
         """
         if self._next_at is None:
-            self.heard(now)
+            self.note_confirmation(now)
         if now < self._next_at:
             return []
-        self._next_at = now + EVERY * self._ttl_s
+        self._next_at = now + QUERY_EVERY * self._ttl_s
         self._round += 1
         others = [each for each in instance_ids if each != self._instance_id]
         others.sort(key=self._rank)
         message = messages.LearnerQuery(base=base)
         return [
             parts.Send(to=each, message=message, by_datagram=True)
-            for each in others[:ASKED]
+            for each in others[:FANOUT]
         ]
 
     def _rank(self, instance_id: str) -> bytes:
--- a/dandeliongw/coordination/proposer.py
+++ b/dandeliongw/coordination/proposer.py
@@ -17,7 +17,7 @@
 #: new one follows after a backoff.
 ATTEMPT_LIMIT_S = 1.0
 FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 0.8
+MAX_BACKOFF_S = 0.8
 
 
 class Job:
@@ -46,21 +46,21 @@
         self.tries = 0
         self._entropy = entropy
 
-    def draw(self, purpose: str) -> int:
+    def derive_bits(self, purpose: str) -> int:
         """Return 64 pseudo-random bits that differ by try and purpose."""
-        drawn = configurations.digest(self._entropy, self.tries, purpose)
-        return int.from_bytes(drawn[:8], 'big')
+        digest = configurations.digest(self._entropy, self.tries, purpose)
+        return int.from_bytes(digest[:8], 'big')
 
     def backoff_s(self) -> float:
         """Return an exponential backoff in seconds, with jitter.
 
         The jitter keeps competing proposers from colliding again.
         """
-        longest = FIRST_BACKOFF_S * 2 ** min(self.tries, 10)
-        share = 0.5 + self.draw('backoff') / 2**64
-        return min(longest, LONGEST_BACKOFF_S) * share
+        limit_s = FIRST_BACKOFF_S * 2 ** min(self.tries, 10)
+        share = 0.5 + self.derive_bits('backoff') / 2**64
+        return min(limit_s, MAX_BACKOFF_S) * share
 
-    def why_unanswered(self) -> str:
+    def expiry_message(self) -> str:
         """Return the error message for a job that expired.
 
         It says whether the change may still take effect.
@@ -105,7 +105,7 @@
         self._retry_at = now
         return self.start(now)
 
-    def add_later(self, job: Job, now: float) -> None:
+    def add_after_backoff(self, job: Job, now: float) -> None:
         """Queue a job that this instance started itself, after a backoff.
 
         All voters detect the need for it at the same time; the jitter of the
@@ -158,7 +158,7 @@
         if self._attempt is None:
             return [*effects, *self.start(now)]
         if now - self._attempt_started_at >= ATTEMPT_LIMIT_S:
-            self._give_up(now)
+            self._abandon(now)
         elif now >= self._resend_at:
             self._resend_at = now + RESEND_EVERY_S
             effects.extend(self._attempt.resend(now))
@@ -210,15 +210,15 @@
         return self._attempt is not None and self._attempt.ballot == ballot
 
     def _next_ballot(self, job: Job) -> ballots.Ballot:
-        heard = [self._knowledge.known.ballot]
+        seen = [self._knowledge.known.ballot]
         if self._knowledge.acceptor is not None:
-            heard.append(self._knowledge.acceptor.promised)
-        numbers = [ballot.number for ballot in heard if ballot is not None]
+            seen.append(self._knowledge.acceptor.promised)
+        numbers = [ballot.number for ballot in seen if ballot is not None]
         self._highest_number = max(self._highest_number, *numbers, 0) + 1
         return ballots.Ballot(
             number=self._highest_number,
             proposer=self._knowledge.instance_id,
-            nonce=job.draw('nonce'),
+            nonce=job.derive_bits('nonce'),
         )
 
     def _expire(self, now: float) -> list[typing.Any]:
@@ -226,13 +226,13 @@
         for job in [job for job in self.jobs if now >= job.deadline]:
             self.remove(job, now)
             if job.ticket is not None:
-                result = changes.Unavailable(message=job.why_unanswered())
+                result = changes.Unavailable(message=job.expiry_message())
                 effects.append(
                     parts.Complete(ticket=job.ticket, result=result)
                 )
         return effects
 
-    def _give_up(self, now: float) -> None:
+    def _abandon(self, now: float) -> None:
         highest = self._attempt.highest.number
         self._highest_number = max(self._highest_number, highest)
         self._attempt = None
@@ -244,7 +244,7 @@
         if attempt is None:
             return []
         if attempt.phase is attempts.Phase.REFUSED:
-            self._give_up(now)
+            self._abandon(now)
             return []
         if attempt.phase is not attempts.Phase.CHOSEN:
             return []
--- a/dandeliongw/coordination/register.py
+++ b/dandeliongw/coordination/register.py
@@ -216,7 +216,7 @@
         self._is_started = False
         self._is_disk_caught_up = False
         self._replacements_by_ticket: dict[str, ReplaceVoter] = {}
-        self._ask_for_disks_at = 0.0
+        self._query_disks_at = 0.0
         self._knowledge = knowledges.Knowledge(
             instance_id=instance_id, disk_id=disk_id
         )
@@ -234,10 +234,10 @@
             ttl_s=confirm_ttl_s,
             confirm=self._confirm,
         )
-        self._asker = confirmation.Asker(
+        self._requester = confirmation.Asker(
             instance_id=instance_id, ttl_s=confirm_ttl_s
         )
-        self._watch = standings.Watch()
+        self._monitor = standings.ConfirmationMonitor()
         self._tracker = enforcement.EnforcementTracker(ttl_s=confirm_ttl_s)
         self._learners = learning.Learners(
             instance_id=instance_id, ttl_s=confirm_ttl_s
@@ -410,22 +410,22 @@
     def _on_ticked(self, event: parts.Ticked) -> list[typing.Any]:
         if not self._is_started:
             self._start(event.entropy)
-        self._add_own_work(event)
+        self._add_own_job(event)
         return [
             *self._formation.tick(event.now),
-            *self._ask_for_disks(event.now),
+            *self._query_disks(event.now),
             *self._proposer.tick(event.now),
             *self._checker.tick(event.now),
-            *self._tick_asker(event.now),
+            *self._tick_requester(event.now),
             *self._learners.tick(
                 event.now, self._instance_ids, self._knowledge.known.ballot
             ),
             *self._hints.tick(event.now, self.in_force),
-            *self._watch.tick(
+            *self._monitor.tick(
                 event.now,
                 self.standing(event.now),
-                asks=self._asker.asks,
-                late_answers=self._asker.late_answers,
+                asks=self._requester.asks,
+                late_answers=self._requester.late_answers,
             ),
         ]
 
@@ -434,7 +434,7 @@
         first_id = entropy % FIRST_ID_LIMIT
         self._formation.start(first_id)
         self._checker.start(first_id)
-        self._asker.start(first_id)
+        self._requester.start(first_id)
 
     def _on_received(self, event: parts.Received) -> list[typing.Any]:
         receiver = self._receivers.get(type(event.message))
@@ -454,7 +454,7 @@
         self, event: InstancesChanged
     ) -> list[typing.Any]:
         self._instance_ids = event.instance_ids
-        self._tracker.forget_others(event.instance_ids)
+        self._tracker.retain_only(event.instance_ids)
         return []
 
     def _on_contacts_found(self, event: ContactsFound) -> list[typing.Any]:
@@ -587,8 +587,8 @@
             # not depend on the disk id.
             return self._add_replacement(event, '', event.now)
         self._replacements_by_ticket[event.ticket] = event
-        self._ask_for_disks_at = event.now
-        return self._ask_for_disks(event.now)
+        self._query_disks_at = event.now
+        return self._query_disks(event.now)
 
     def _add_replacement(
         self, request: ReplaceVoter, disk_id: str, now: float
@@ -631,12 +631,12 @@
             return False
         return known.configuration.find_change(change_id) is not None
 
-    def _ask_for_disks(self, now: float) -> list[typing.Any]:
+    def _query_disks(self, now: float) -> list[typing.Any]:
         """Query the new voters for their disk ids until they answer."""
         effects = self._expire_replacements(now)
-        if now < self._ask_for_disks_at:
+        if now < self._query_disks_at:
             return effects
-        self._ask_for_disks_at = now + DISK_QUERY_EVERY_S
+        self._query_disks_at = now + DISK_QUERY_EVERY_S
         for request in self._replacements_by_ticket.values():
             query = messages.DiskQuery(query_id=_query_id(request))
             effects.append(parts.Send(to=request.by, message=query))
@@ -674,10 +674,10 @@
         for ticket, request in self._replacements_by_ticket.items():
             if message.query_id == _query_id(request):
                 del self._replacements_by_ticket[ticket]
-                return self._take_disk(request, message.disk_id, event.now)
+                return self._on_disk_known(request, message.disk_id, event.now)
         return self._formation.on_report(event.sender, message, event.now)
 
-    def _take_disk(
+    def _on_disk_known(
         self, request: ReplaceVoter, disk_id: str | None, now: float
     ) -> list[typing.Any]:
         if disk_id is not None:
@@ -689,7 +689,7 @@
         self._is_disk_caught_up = event.disk_id == self.disk_id
         return []
 
-    def _add_own_work(self, event: parts.Ticked) -> None:
+    def _add_own_job(self, event: parts.Ticked) -> None:
         """Queue a job of this instance, if one is due and none is queued.
 
         That is the last step of its own joining, or the repair of a change
@@ -710,7 +710,7 @@
             entropy=event.entropy,
             deadline=event.now + self._propose_limit_s,
         )
-        self._proposer.add_later(job, event.now)
+        self._proposer.add_after_backoff(job, event.now)
 
     def _is_ready_to_vote(self) -> bool:
         version = self._knowledge.acceptor.versions.current
@@ -735,13 +735,13 @@
     ) -> list[typing.Any]:
         return self._checker.on_report(event.sender, message, event.now)
 
-    def _tick_asker(self, now: float) -> list[typing.Any]:
-        if not self._asker.is_due(now):
+    def _tick_requester(self, now: float) -> list[typing.Any]:
+        if not self._requester.is_due(now):
             return []
         if self._knowledge.is_voter and not self._is_overdue(now):
             return []
         return list(
-            self._asker.tick(
+            self._requester.tick(
                 now, self._candidates(), self._knowledge.known.ballot
             )
         )
@@ -753,7 +753,7 @@
         if self.confirmed_at is None:
             return True
         age = now - self.confirmed_at
-        return age > 2 * confirmation.ASK_EVERY * self._ttl_s
+        return age > 2 * confirmation.REQUEST_EVERY * self._ttl_s
 
     def _candidates(self) -> list[str]:
         ids = (
@@ -766,17 +766,19 @@
     def _on_confirmed(
         self, event: parts.Received, message: messages.ConfigurationConfirmed
     ) -> list[typing.Any]:
-        sent_at = self._asker.answered(event.sender, message.ask_id, event.now)
+        sent_at = self._requester.on_answer(
+            event.sender, message.ask_id, event.now
+        )
         if sent_at is None:
             return []
         known = self._knowledge.known.current
         version = configurations.resolve(message.update, known)
         if version is None:
-            self._asker.hurry()
+            self._requester.request_soon()
             return []
         self._knowledge.learn(message.update)
         effects = self._confirm(version, sent_at, event.now)
-        effects.extend(self._tick_asker(event.now))
+        effects.extend(self._tick_requester(event.now))
         effects.extend(self._proposer.on_version_known(event.now))
         return effects
 
@@ -784,7 +786,7 @@
         self, event: parts.Received, message: messages.ConfirmRefused
     ) -> list[typing.Any]:
         self._referred_ids = message.voter_ids
-        self._asker.refused(event.sender, message.ask_id, event.now)
+        self._requester.on_refusal(event.sender, message.ask_id, event.now)
         return []
 
     def _confirm(
@@ -797,7 +799,7 @@
         before = self.configuration
         if not self._knowledge.confirm(version, at):
             return []
-        self._learners.heard(now)
+        self._learners.note_confirmation(now)
         return self._put_in_force(before, now)
 
     def _put_in_force(
@@ -860,11 +862,11 @@
         if confirmed is not None and confirmed >= message.revision:
             reply = messages.RevisionConfirmed(revision=confirmed)
             return [parts.Send(to=event.sender, message=reply)]
-        self._hints.note_hinter(event.sender)
+        self._hints.add_hint_sender(event.sender)
         if self._knowledge.is_voter:
-            return self._checker.hurry(event.now)
-        self._asker.hurry()
-        return self._tick_asker(event.now)
+            return self._checker.check_soon(event.now)
+        self._requester.request_soon()
+        return self._tick_requester(event.now)
 
     def _on_revision_confirmed(
         self, event: parts.Received, message: messages.RevisionConfirmed
--- a/dandeliongw/coordination/standing.py
+++ b/dandeliongw/coordination/standing.py
@@ -56,7 +56,7 @@
     lapsed_s: float
 
 
-class Watch:
+class ConfirmationMonitor:
     """Reports when the confirmation expires and when it is regained."""
 
     def __init__(self) -> None:
--- a/dandeliongw/coordination/half_done.py
+++ b/dandeliongw/coordination/unfinished_changes.py
@@ -9,7 +9,7 @@
 from . import knowledge as knowledges
 
 
-class HalfDone:
+class UnfinishedChangeDetector:
     """Decides from the checks of one voter whether a repair is needed.
 
     :param timeout_s: timeout of a check, in seconds.
@@ -25,14 +25,14 @@
         self._latest: ballots.Ballot | None = None
         self._latest_at = 0.0
 
-    def note(self, ballot: ballots.Ballot | None, now: float) -> None:
+    def note_ballot(self, ballot: ballots.Ballot | None, now: float) -> None:
         """Record the ballot that a disk reported."""
         if ballot is None:
             return
         if self._latest is None or ballot > self._latest:
             self._latest, self._latest_at = ballot, now
 
-    def is_met(self, check: confirmation.Check, now: float) -> bool:
+    def needs_repair(self, check: confirmation.Check, now: float) -> bool:
         """Return whether a check shows a change that needs a repair.
 
         It does if, after the timeout of the check, a quorum has reported but
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -287,14 +287,14 @@
         self.assertEqual([], late)
 
 
-class AskerTest(unittest.TestCase):
+class RequesterTest(unittest.TestCase):
     def setUp(self):
-        self.asker = confirmation.Asker(instance_id='entry-1', ttl_s=TTL_S)
-        self.asker.start(100)
+        self.requester = confirmation.Asker(instance_id='entry-1', ttl_s=TTL_S)
+        self.requester.start(100)
 
     def ask(self, now):
         """Return the id and the first recipient of the request sent now."""
-        sends = self.asker.tick(now, ('voter-1', 'voter-2'), None)
+        sends = self.requester.tick(now, ('voter-1', 'voter-2'), None)
         (ask_id,) = {send.message.ask_id for send in sends}
         return ask_id, sends[0].to
 
@@ -302,34 +302,34 @@
         """From a later one it would stay valid after a change in between."""
         first, asked = self.ask(0.0)
         self.ask(0.4)
-        self.assertEqual(0.0, self.asker.answered(asked, first, 0.5))
+        self.assertEqual(0.0, self.requester.on_answer(asked, first, 0.5))
 
     def test_the_answer_to_the_later_request_counts_as_well(self):
         first, asked = self.ask(0.0)
         second, _ = self.ask(0.4)
-        self.asker.answered(asked, first, 0.5)
-        self.assertEqual(0.4, self.asker.answered('voter-2', second, 0.9))
+        self.requester.on_answer(asked, first, 0.5)
+        self.assertEqual(0.4, self.requester.on_answer('voter-2', second, 0.9))
 
     def test_an_answer_counts_once(self):
         first, asked = self.ask(0.0)
-        self.asker.answered(asked, first, 0.1)
-        self.assertIsNone(self.asker.answered(asked, first, 0.2))
+        self.requester.on_answer(asked, first, 0.1)
+        self.assertIsNone(self.requester.on_answer(asked, first, 0.2))
 
     def test_an_answer_to_a_request_older_than_the_ttl_is_ignored(self):
         first, asked = self.ask(0.0)
         for number in range(1, 6):
             self.ask(0.5 * number)
-        self.assertIsNone(self.asker.answered(asked, first, 2.6))
+        self.assertIsNone(self.requester.on_answer(asked, first, 2.6))
 
     def test_an_answer_from_before_a_restart_is_ignored(self):
         self.ask(0.0)
-        self.assertIsNone(self.asker.answered('voter-1', 7, 0.1))
+        self.assertIsNone(self.requester.on_answer('voter-1', 7, 0.1))
 
     def test_a_voter_that_answers_late_gets_requests_again(self):
         first, asked = self.ask(0.0)
         second, _ = self.ask(0.4)
-        self.asker.answered(asked, first, 0.5)
-        self.asker.answered('voter-2', second, 0.9)
+        self.requester.on_answer(asked, first, 0.5)
+        self.requester.on_answer('voter-2', second, 0.9)
         self.assertEqual(asked, self.ask(1.0)[1])
 
 
