--- a/dandeliongw/coordination/learners.py
+++ b/dandeliongw/coordination/learners.py
@@ -4,7 +4,7 @@
 power. Without this, the other instances would act on an older configuration
 until the voters are back, and a new route would work at some entries only.
 So an instance that gets no answer from voters queries other instances, chosen
-anew each round. A version that one of them has confirmed was chosen by a
+again each round. A version that one of them has confirmed was chosen by a
 majority, and nothing older can be chosen after it. It does not show whether
 there is a later one; so the time of the last confirmation stays unchanged.
 """
--- a/dandeliongw/coordination/register.py
+++ b/dandeliongw/coordination/register.py
@@ -99,7 +99,7 @@
 
 
 class ContactsFound(msgspec.Struct, frozen=True, kw_only=True):
-    """Instances that may know the voters, or may be the first voters.
+    """Instances to get the voters from, or that may be the first voters.
 
     :param instance_ids: the same at every instance where ``may_form``.
     :param may_form: whether these are the first voters of a system that has
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -88,13 +88,13 @@
             sent.append(message) if sender == 'entry-7' else None
         )
         self.network.run(10.0)
-        asks = [
+        requests = [
             each
             for each in sent
             if isinstance(each, messages.ConfirmConfiguration)
         ]
         # With answers in time, a request is sent every 0.56 s.
-        self.assertLess(len(asks), 45)
+        self.assertLess(len(requests), 45)
 
 
 class SlowVotersTest(unittest.TestCase):
@@ -219,9 +219,9 @@
             if isinstance(effect, parts.Send)
         ]
 
-    def ask(self, ask_id, sender='entry-1'):
-        ask = messages.ConfirmConfiguration(ask_id=ask_id, base=None)
-        return self.receive(sender, ask)
+    def request(self, ask_id, sender='entry-1'):
+        request = messages.ConfirmConfiguration(ask_id=ask_id, base=None)
+        return self.receive(sender, request)
 
     def report(self, check, voter):
         return self.receive(
@@ -239,30 +239,30 @@
         return [each.ask_id for each in answers]
 
     def test_a_check_answers_requests_from_before_it_began(self):
-        check = self.ask(1)[0]
+        check = self.request(1)[0]
         self.now += 0.01
-        self.ask(2, 'entry-2')
+        self.request(2, 'entry-2')
         self.assertEqual([1], self.end(check))
 
     def test_the_later_request_of_one_instance_is_answered(self):
         """The next check answers it, as the first one had begun before it."""
-        first = self.ask(1)[0]
-        self.ask(2)
+        first = self.request(1)[0]
+        self.request(2)
         self.assertEqual([], self.end(first))
         self.now += 0.3
-        second = self.ask(3, 'entry-2')[0]
+        second = self.request(3, 'entry-2')[0]
         self.assertEqual([2, 3], self.end(second))
 
     def test_a_later_check_answers_requests_left_by_an_earlier_one(self):
-        self.ask(1)
+        self.request(1)
         self.now += 0.3
-        check = self.ask(2, 'entry-2')[0]
+        check = self.request(2, 'entry-2')[0]
         self.assertEqual([1, 2], self.end(check))
 
     def test_an_earlier_check_that_ends_late_answers_its_requests(self):
-        first = self.ask(1)[0]
+        first = self.request(1)[0]
         self.now += 0.3
-        second = self.ask(2, 'entry-2')[0]
+        second = self.request(2, 'entry-2')[0]
         self.assertNotEqual(first.check_id, second.check_id)
         self.assertEqual([1], self.end(first))
         self.assertEqual([2], self.end(second))
@@ -292,7 +292,7 @@
         self.requester = confirmation.Asker(instance_id='entry-1', ttl_s=TTL_S)
         self.requester.start(100)
 
-    def ask(self, now):
+    def send_request(self, now):
         """Return the id and the first recipient of the request sent now."""
         sends = self.requester.tick(now, ('voter-1', 'voter-2'), None)
         (ask_id,) = {send.message.ask_id for send in sends}
@@ -300,37 +300,37 @@
 
     def test_an_answer_counts_from_its_own_request(self):
         """From a later one it would stay valid after a change in between."""
-        first, asked = self.ask(0.0)
-        self.ask(0.4)
-        self.assertEqual(0.0, self.requester.on_answer(asked, first, 0.5))
+        first, voter = self.send_request(0.0)
+        self.send_request(0.4)
+        self.assertEqual(0.0, self.requester.on_answer(voter, first, 0.5))
 
     def test_the_answer_to_the_later_request_counts_as_well(self):
-        first, asked = self.ask(0.0)
-        second, _ = self.ask(0.4)
-        self.requester.on_answer(asked, first, 0.5)
+        first, voter = self.send_request(0.0)
+        second, _ = self.send_request(0.4)
+        self.requester.on_answer(voter, first, 0.5)
         self.assertEqual(0.4, self.requester.on_answer('voter-2', second, 0.9))
 
     def test_an_answer_counts_once(self):
-        first, asked = self.ask(0.0)
-        self.requester.on_answer(asked, first, 0.1)
-        self.assertIsNone(self.requester.on_answer(asked, first, 0.2))
+        first, voter = self.send_request(0.0)
+        self.requester.on_answer(voter, first, 0.1)
+        self.assertIsNone(self.requester.on_answer(voter, first, 0.2))
 
     def test_an_answer_to_a_request_older_than_the_ttl_is_ignored(self):
-        first, asked = self.ask(0.0)
+        first, voter = self.send_request(0.0)
         for number in range(1, 6):
-            self.ask(0.5 * number)
-        self.assertIsNone(self.requester.on_answer(asked, first, 2.6))
+            self.send_request(0.5 * number)
+        self.assertIsNone(self.requester.on_answer(voter, first, 2.6))
 
     def test_an_answer_from_before_a_restart_is_ignored(self):
-        self.ask(0.0)
+        self.send_request(0.0)
         self.assertIsNone(self.requester.on_answer('voter-1', 7, 0.1))
 
     def test_a_voter_that_answers_late_gets_requests_again(self):
-        first, asked = self.ask(0.0)
-        second, _ = self.ask(0.4)
-        self.requester.on_answer(asked, first, 0.5)
+        first, voter = self.send_request(0.0)
+        second, _ = self.send_request(0.4)
+        self.requester.on_answer(voter, first, 0.5)
         self.requester.on_answer('voter-2', second, 0.9)
-        self.assertEqual(asked, self.ask(1.0)[1])
+        self.assertEqual(voter, self.send_request(1.0)[1])
 
 
 class RollingTest(unittest.TestCase):
@@ -399,14 +399,14 @@
 
     def test_the_answer_confirms_the_version_held(self):
         network = make_network()
-        asked_with = network.part('entry-7')._knowledge.known.ballot
+        requested_with = network.part('entry-7')._knowledge.known.ballot
         network.change('voter-1', 2)
         network.run(1.0)
         held = network.part('entry-7')._knowledge.known.current
         answer = configuration.VersionUpdate(
             ballot=held.ballot,
-            base=asked_with,
+            base=requested_with,
             steps=(configuration.ConfigurationStep(document=b'x'),),
         )
-        self.assertLess(asked_with, held.ballot)
+        self.assertLess(requested_with, held.ballot)
         self.assertIs(held, configuration.resolve(answer, held))
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -771,12 +771,12 @@
                 self.assertTrue(cluster.part(other).is_fresh(cluster.now))
         cluster.sent.clear()
         cluster.run(2)
-        asked = {
+        recipients = {
             to
             for _, to, m in cluster.sent
             if isinstance(m, messages.ConfirmConfiguration)
         }
-        self.assertNotIn(name, asked)
+        self.assertNotIn(name, recipients)
 
     def test_many_voters_query_few_and_tolerate_a_lost_minority(self):
         """Guards against twelve voters that overload the network with checks.
@@ -834,21 +834,21 @@
         cluster.sent.clear()
         while not any(isinstance(m, kind) for _, _, m in cluster.sent):
             cluster.run(TICK_S)
-        asked = [
+        requests = [
             m
             for _, _, m in cluster.sent
             if isinstance(m, messages.ConfirmConfiguration)
         ]
-        self.assertTrue(asked)
+        self.assertTrue(requests)
         answer = next(e for e in cluster.sent if isinstance(e[2], kind))
-        asked_by = cluster.now
+        requested_by = cluster.now
         cluster.down = {*VOTERS, 'gw-4'}
         cluster.run(TTL_S - 0.2)
         cluster.down = set()
         cluster.loses = lambda *_: False
         cluster.deliver_one(answer)
         confirmed_at = cluster.part('gw-4').confirmed_at
-        self.assertLessEqual(confirmed_at, asked_by)
+        self.assertLessEqual(confirmed_at, requested_by)
 
     def test_a_check_answers_only_requests_from_before_it_began(self):
         """Guards against confirming a revision after a later one was chosen.
@@ -870,10 +870,10 @@
             if reports:
                 break
             cluster.deliver()
-        ask = messages.ConfirmConfiguration(ask_id=99, base=None)
+        request = messages.ConfirmConfiguration(ask_id=99, base=None)
         cluster.handle(
             'gw-1',
-            parts.Received(now=cluster.now, sender='gw-4', message=ask),
+            parts.Received(now=cluster.now, sender='gw-4', message=request),
         )
         cluster.sent.clear()
         cluster.deliver()
