--- a/dandeliongw/coordination/changes.py
+++ b/dandeliongw/coordination/changes.py
@@ -278,15 +278,15 @@
         present = voters.voters_by_id
         if self.instance_id not in present:
             names = ', '.join(sorted(present))
-            return f'{self.instance_id!r} is no voter; voters: {names}'
+            return f'{self.instance_id!r} is not a voter; voters: {names}'
         if self.disk_id in present.values():
-            return f'{self.by!r} is a voter with its present disk'
+            return f'{self.by!r} is already a voter with its present disk'
         if self.by in present and self.by != self.instance_id:
-            return f'{self.by!r} is a voter; replace it by itself'
+            return f'{self.by!r} is a voter; it can replace only its own disk'
         leaving = set(present) - set(voters.joining_by_id)
         if voters.joining_by_id and leaving - {self.instance_id}:
             names = ', '.join(sorted(leaving))
-            return f'the replacement of {names} is not finished'
+            return f'the replacement of {names} is in progress'
         return None
 
 
@@ -312,10 +312,10 @@
         """Set the enlarged set as joining, beside the present voters."""
         voters = configuration.voters
         if voters.joining_by_id:
-            message = 'another change of the voters is not finished'
+            message = 'another change of the voters is in progress'
             return Decision(result=VoterRefused(message=message))
         if self.by in voters.voters_by_id:
-            message = f'{self.by!r} is a voter'
+            message = f'{self.by!r} is already a voter'
             return Decision(result=VoterRefused(message=message))
         step = configurations.ConfigurationStep(
             voters=voters.add(self.by, self.disk_id),
--- a/dandeliongw/coordination/checker.py
+++ b/dandeliongw/coordination/checker.py
@@ -184,10 +184,10 @@
         if voters.joining_by_id:
             return disk_ids
         start = self._check_id % len(disk_ids)
-        turned = [*disk_ids[start:], *disk_ids[:start]]
+        rotated = [*disk_ids[start:], *disk_ids[:start]]
         own = self._knowledge.disk_id
-        turned.sort(key=lambda disk_id: disk_id != own)
-        return turned[: len(disk_ids) // 2 + 1 + SPARE_DISKS]
+        rotated.sort(key=lambda disk_id: disk_id != own)
+        return rotated[: len(disk_ids) // 2 + 1 + SPARE_DISKS]
 
     def _query_others(self, check: confirmation.Check) -> list[parts.Send]:
         """Query the disks that were not queried at first."""
--- a/dandeliongw/coordination/register.py
+++ b/dandeliongw/coordination/register.py
@@ -113,7 +113,9 @@
 
 
 class ReplaceVoter(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator's request to replace a voter's disk or to add a voter.
+    """A request to replace a voter's disk or to add a voter.
+
+    The daemon's repair of the voters posts it.
 
     :param instance_id: the voter to remove; ``''`` to add a voter without
         removing one.
@@ -130,7 +132,7 @@
 
 
 class WithdrawJoining(msgspec.Struct, frozen=True, kw_only=True):
-    """The joining disk is gone, so its change of voters is to be dropped.
+    """A request to abandon a change of the voters whose new disk is gone.
 
     :param number: version of the sets of voters that is meant (see
         ``Voters.number``); ignored if the register holds another one.
@@ -649,7 +651,7 @@
                 continue
             del self._replacements_by_ticket[ticket]
             message = (
-                f'{request.by!r} did not say in time which disk it has; the '
+                f'{request.by!r} did not report its disk id in time; the '
                 'change did not take effect: resend it with the same change id'
             )
             result = Unavailable(message=message)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -665,7 +665,7 @@
         result = cluster.change('gw-2', change_id='c1', expected=0)
         self.assertEqual(register.Applied(revision=1, repeated=False), result)
         result = cluster.wait('gw-2', ticket)
-        self.assertIn("'gw-5' did not say", result.message)
+        self.assertIn("'gw-5' did not report its disk id", result.message)
 
     def test_a_late_disk_report_does_not_answer_a_later_request(self):
         """Guards against a replacement that waits forever for a lost disk.
@@ -703,7 +703,7 @@
         self.assertEqual([False, True], results)
 
     @params(
-        ('gw-4', 'gw-4', 'is no voter'),
+        ('gw-4', 'gw-4', 'is not a voter'),
         ('gw-1', 'gw-1', 'present disk'),
         ('gw-1', 'gw-4', 'has no disk'),
     )
