--- a/dandeliongw/cell/__init__.py
+++ b/dandeliongw/cell/__init__.py
@@ -1,1 +1,1 @@
-"""The backend servers of one service: who owns them and who gets them."""
+"""Cells: ownership of a service's backend servers, and their scheduling."""
--- a/dandeliongw/cell/backend_state.py
+++ b/dandeliongw/cell/backend_state.py
@@ -1,4 +1,4 @@
-"""What a cell's owner knows of one backend server."""
+"""The state that a cell's owner keeps for one backend server."""
 
 import collections
 from collections import abc
@@ -12,16 +12,17 @@
 from .vocabulary import Booking
 from .vocabulary import CellBackend
 
-#: Blocks remembered for each backend server, about 100 bytes each.
+#: Blocks kept for each backend server, about 100 bytes each.
 MOST_BLOCKS = 4_096
 
 
 class NoRoom(msgspec.Struct, frozen=True, kw_only=True):
-    """A forecast that an engine's memory has no room, kept for a moment.
+    """A cached forecast that an engine's KV cache has no room.
 
-    :param until: when it has to be made again.
-    :param tokens: of the work that it was made for, its answer included.
-    :param pace: of streams and the length of answers, as known then.
+    :param until: when it expires, in seconds of the monotonic clock.
+    :param tokens: size of the work that it was made for, prompt and longest
+        answer together.
+    :param pace: the rate of a stream and the answer ratio at that time.
     """
 
     until: float
@@ -31,15 +32,15 @@
     def covers(
         self, now: float, tokens: int, pace: tuple[float, float]
     ) -> bool:
-        """Return whether it holds for other work, too."""
+        """Return whether the forecast also rules out other work."""
         return now < self.until and tokens >= self.tokens and pace == self.pace
 
 
 class BackendState(msgspec.Struct, kw_only=True, eq=False):
-    """What the owner knows of one backend server."""
+    """The state that the owner keeps for one backend server."""
 
     backend: CellBackend
-    #: Live bookings here, by (request id, attempt id).
+    #: Live bookings on it, by (request id, attempt id).
     bookings_by_key: dict[tuple[str, str], Booking] = msgspec.field(
         default_factory=dict
     )
@@ -49,54 +50,56 @@
     reported_at: float | None = None
     #: When it left; ``None`` while it may get work.
     left_at: float | None = None
-    #: Most slots that the owner counted since the report before the last,
-    #: and since the last.
+    #: Peak of the owner's own slot count between the last two load reports,
+    #: and since the last one.
     peak_used_before: int = 0
     peak_used: int = 0
-    #: Slots in use that the owner knows nothing of.
+    #: Slots in use, as reported, for which the owner has no booking.
     foreign: int = 0
-    #: Streams that were cancelled; each holds its slot until confirmed.
+    #: Cancelled streams without a confirmation; each still holds its slot.
     cancelling: int = 0
-    #: Measured prefill time over predicted; above one is slow.
+    #: Measured prefill time divided by the predicted one; above 1 is slow.
     slowness: float = 1.0
     last_prefill_at: float = 0.0
-    #: When the transfers booked on this link will be over.
+    #: When the transfers booked on its link will have ended.
     link_free_at: float = 0.0
-    #: Until when it is taken for full, as it refused work it had room for by
-    #: our own count.
+    #: Until when it is treated as full, since it refused work for which the
+    #: owner's count had room.
     full_until: float = -math.inf
-    #: The last forecast that its memory has no room; see
+    #: The last forecast that its KV cache has no room; see
     #: :meth:`forget_forecast`.
     no_room: NoRoom | None = None
     batch: Batch = msgspec.field(default_factory=Batch)
     health: Health = msgspec.field(default_factory=lambda: Health())
-    #: Blocks that its prefix cache may hold, the last used at the end. A
-    #: guess: cache events come late and with gaps, and blocks count from
-    #: the moment a prompt is sent, long before an event tells.
+    #: Blocks that its prefix cache may hold, least recently used first. An
+    #: approximation: cache events come late and with gaps, and the blocks of
+    #: a prompt are added when it is sent, long before an event reports them.
     blocks: collections.OrderedDict[str, None] = msgspec.field(
         default_factory=collections.OrderedDict
     )
 
     @property
     def slots_open(self) -> int:
-        """Slots that may be used without slowing the batch too much."""
+        """Slots that may be used without exceeding the token gap's target."""
         if self.batch.cap is None:
             return self.backend.slots
         return min(self.backend.slots, self.batch.cap)
 
     @property
     def slots_used(self) -> int:
-        """Slots that are booked, used or not yet given back."""
+        """Slots that are booked, awaiting a cancel, or used by others."""
         return len(self.bookings_by_key) + self.cancelling + self.foreign
 
     def count_foreign(self, reported_used: int) -> None:
-        """Take in how many slots a report says are used.
+        """Update :attr:`foreign` from a load report.
 
-        A report is old, and the owner's own count newer; but a new owner
-        doesn't know yet what runs. What is reported above the most that the
-        owner counted lately is not its own: without this a new owner would
-        fill full engines, and one would notice refused imports after each
-        change of owner.
+        A report is older than the owner's own count, so only the slots above
+        the peak of that count since the report before the last are counted as
+        foreign. A new owner has no bookings yet: without this, it would book
+        slots of full engines, and imports would be refused after each change
+        of owner.
+
+        :param reported_used: slots in use, as reported.
         """
         own = max(self.peak_used_before, self.peak_used)
         self.foreign = max(0, reported_used - own)
@@ -104,11 +107,11 @@
         self.peak_used = len(self.bookings_by_key) + self.cancelling
 
     def forget_forecast(self) -> None:
-        """Note that work has ended here, so that there may be room."""
+        """Discard the cached forecast, as work has ended on this engine."""
         self.no_room = None
 
     def cached_tokens(self, prefix: abc.Sequence[str]) -> int:
-        """Return how many leading tokens are probably cached here."""
+        """Return how many leading tokens of a prompt are probably cached."""
         count = 0
         for block in prefix:
             if block not in self.blocks:
@@ -117,7 +120,7 @@
         return count * prefixes.BLOCK_TOKENS
 
     def add_blocks(self, prefix: abc.Iterable[str]) -> None:
-        """Take in that these blocks are, or soon will be, cached here."""
+        """Record that blocks are cached, or will be shortly."""
         for block in prefix:
             self.blocks[block] = None
             self.blocks.move_to_end(block)
@@ -125,12 +128,12 @@
             self.blocks.popitem(last=False)
 
     def drop_blocks(self, prefix: abc.Iterable[str]) -> None:
-        """Take in that these blocks are no longer cached here."""
+        """Record that blocks are no longer cached."""
         for block in prefix:
             self.blocks.pop(block, None)
 
     def prefill_free_at(self, now: float) -> float:
-        """Return when the prompts that were sent here will be done."""
+        """Return when the prefills that were sent here will have ended."""
         ends = [
             booking.prefill_ends_at
             for booking in self.bookings_by_key.values()
--- a/dandeliongw/cell/cancels.py
+++ b/dandeliongw/cell/cancels.py
@@ -1,4 +1,4 @@
-"""Cancels of streams, sent again until their engine confirms them."""
+"""Cancels of streams, resent until their engine confirms them."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 from .cell_messages import CancelStream
 from .cell_messages import StreamCancelled
 
-#: How often an unconfirmed cancel is sent again, in seconds.
+#: Interval between two sends of an unconfirmed cancel, in seconds.
 CANCEL_AGAIN_S = 1.0
 
 
 class PendingCancel(msgspec.Struct, kw_only=True):
-    """A cancel that its backend server hasn't confirmed."""
+    """A cancel that its backend server hasn't confirmed yet."""
 
     effect: CancelStream
     again_at: float
@@ -20,7 +20,7 @@
 class Cancels:
     """The cancels of one cell.
 
-    A stream that is cancelled holds its slot until that is confirmed.
+    A cancelled stream holds its slot until its engine confirms the cancel.
 
     :param epoch: of the owner's lease; every cancel carries it.
     """
@@ -32,7 +32,7 @@
     def send(
         self, now: float, state: BackendState, booking_key: tuple[str, str]
     ) -> CancelStream:
-        """Return a cancel, to be sent again until it is confirmed."""
+        """Return a cancel, which is resent until it is confirmed."""
         stream_id, attempt_id = booking_key
         effect = CancelStream(
             backend_id=state.backend.backend_id,
@@ -52,16 +52,16 @@
     def confirm(
         self, event: StreamCancelled, state: BackendState | None
     ) -> None:
-        """Take in that a stream has ended.
+        """Remove a confirmed cancel and free the stream's slot.
 
-        :param state: of its backend server, if that is still known.
+        :param state: of its backend server, if the cell still has it.
         """
         key = (event.backend_id, event.stream_id, event.attempt_id)
         if self.pending_by_key.pop(key, None) and state is not None:
             state.cancelling -= 1
 
     def forget(self, backend_id: str) -> None:
-        """Drop the cancels of an incarnation that is gone, memory and all."""
+        """Drop the cancels of a backend server that restarted or is gone."""
         self.pending_by_key = {
             key: pending
             for key, pending in self.pending_by_key.items()
@@ -69,7 +69,7 @@
         }
 
     def due(self, now: float) -> list[CancelStream]:
-        """Return the cancels that are sent again now."""
+        """Return the cancels that are due for another send."""
         effects = []
         for pending in self.pending_by_key.values():
             if now >= pending.again_at:
--- a/dandeliongw/cell/cell_messages.py
+++ b/dandeliongw/cell/cell_messages.py
@@ -1,4 +1,4 @@
-"""What goes in and out of a cell: messages, local events and effects.
+"""The messages, local events and effects of a cell.
 
 Messages go between entries and the owner, with the field names of
 ``protocol/cells.proto``. Events and effects stay within the owner's
@@ -16,7 +16,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """How an attempt ended, told by its entry."""
+    """How an attempt ended, as reported by its entry."""
 
     DONE = 'done'
     CANCELLED = 'cancelled'
@@ -25,18 +25,20 @@
 
 
 class Book(msgspec.Struct, frozen=True, kw_only=True):
-    """Entry to owner: find backend servers for one attempt.
+    """Entry to owner: book backend servers for one attempt.
 
-    Sending it again with the same ids gives the same answer.
+    Idempotent: a repeat with the same ids gets the same answer.
 
-    :param prefix: hashes of the prompt's blocks, see ``policy.hash_blocks``.
+    :param prefix: hashes of the prompt's blocks, see
+        ``prefixes.hash_blocks``.
     :param deadline_s: seconds that remain.
     :param exclude: ids of backend servers that failed for this request.
-    :param expected_tokens: the caller's guess of the answer's length; 0 for
+    :param expected_tokens: the client's hint of the answer's length; 0 for
         none.
-    :param unowned: an entry asks itself, as the owner is silent.
-    :param may_read_there: a decode engine takes it without its prompt read.
-    :param resent: the caller was turned away before; it won't come again.
+    :param unowned: sent by an entry to its own instance, as the owner doesn't
+        answer.
+    :param may_read_there: a decode engine can do the prefill itself.
+    :param resent: the client was refused before and won't send it again.
     """
 
     cell: str
@@ -57,7 +59,7 @@
 
 
 class PrefillDone(msgspec.Struct, frozen=True, kw_only=True):
-    """Entry to owner: the prefill engine answered."""
+    """Entry to owner: the prefill has ended."""
 
     cell: str
     request_id: str
@@ -75,7 +77,7 @@
 
 
 class Progress(msgspec.Struct, frozen=True, kw_only=True):
-    """Entry to owner: these bookings are still wanted."""
+    """Entry to owner: renews the leases of these bookings."""
 
     cell: str
     bookings: tuple[Holding, ...]
@@ -84,12 +86,12 @@
 class Release(msgspec.Struct, frozen=True, kw_only=True):
     """Entry to owner: an attempt ended.
 
-    :param wasted_tokens: prefill tokens whose result was thrown away.
+    :param wasted_tokens: prefill tokens whose result was discarded.
     :param backend_fault: id of the backend server at fault, or empty.
-    :param is_down: no connection could be made to it.
-    :param token_gap_s: mean gap between the tokens of a whole answer;
+    :param is_down: no connection to it could be made.
+    :param token_gap_s: mean gap between the pieces of a complete answer;
         zero if not measured.
-    :param answer_pieces: pieces of a whole answer; zero if not counted.
+    :param answer_pieces: pieces of a complete answer; zero if not counted.
     """
 
     cell: str
@@ -104,7 +106,7 @@
 
 
 class ReclaimedBooking(msgspec.Struct, frozen=True, kw_only=True):
-    """What an entry holds, told to a new owner."""
+    """A booking that an entry holds, as sent to a new owner."""
 
     request_id: str
     attempt_id: str
@@ -122,7 +124,7 @@
 
 
 class Reclaim(msgspec.Struct, frozen=True, kw_only=True):
-    """Entry to a new owner: all bookings of the cell that it holds."""
+    """Entry to a new owner: all bookings of the cell that the entry holds."""
 
     cell: str
     epoch: int
@@ -130,10 +132,10 @@
 
 
 class Booked(msgspec.Struct, frozen=True, kw_only=True):
-    """Owner to entry: start the attempt here, in ``start_in_s``.
+    """Owner to entry: start the attempt on these, in ``start_in_s``.
 
-    :param prefill_incarnation: which start of that engine is meant; so the
-        others.
+    :param prefill_incarnation: of the prefill engine that was booked; the
+        other incarnations likewise.
     """
 
     cell: str
@@ -174,7 +176,7 @@
 
 
 class NotOwner(msgspec.Struct, frozen=True, kw_only=True):
-    """Whoever got a ``Book`` doesn't own the cell.
+    """Reply to an entry: the recipient doesn't own the cell.
 
     :param holder: instance id of the owner, empty if unknown.
     """
@@ -186,7 +188,7 @@
 
 
 class Cancelled(msgspec.Struct, frozen=True, kw_only=True):
-    """Owner to entry: this booking is gone; stop the attempt."""
+    """Owner to entry: this booking has ended; stop the attempt."""
 
     cell: str
     epoch: int
@@ -195,7 +197,7 @@
 
 
 class ReclaimWanted(msgspec.Struct, frozen=True, kw_only=True):
-    """Owner to entry: a new owner; send ``Reclaim`` with all you hold."""
+    """New owner to entry: send a ``Reclaim`` with all bookings you hold."""
 
     cell: str
     epoch: int
@@ -217,21 +219,21 @@
 
 
 class BackendsChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """The backend servers of this cell that may get new work."""
+    """Event: the backend servers of this cell that may get new work."""
 
     now: float
     backends: tuple[CellBackend, ...]
 
 
 class TermsChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """The document says something else about the service now."""
+    """Event: the service's settings in the document changed."""
 
     now: float
     terms: CellTerms
 
 
 class LoadReported(msgspec.Struct, frozen=True, kw_only=True):
-    """A load report came in; it was true some time ago."""
+    """Event: a load report came in, with values from some time ago."""
 
     now: float
     backend_id: str
@@ -243,9 +245,9 @@
 
 
 class CacheHint(msgspec.Struct, frozen=True, kw_only=True):
-    """Cache events came in, perhaps late.
+    """Event: cache events came in, perhaps late.
 
-    :param gap: events before these were lost.
+    :param gap: earlier events were lost.
     """
 
     now: float
@@ -256,7 +258,7 @@
 
 
 class StreamCancelled(msgspec.Struct, frozen=True, kw_only=True):
-    """The backend server confirmed a cancel (or knew no such stream)."""
+    """Event: a cancel was confirmed, or there was no such stream."""
 
     now: float
     backend_id: str
@@ -282,16 +284,16 @@
 
 
 class HeldStream(msgspec.Struct, frozen=True, kw_only=True):
-    """A stream that a backend server holds memory for."""
+    """A stream for which a backend server holds memory."""
 
     stream_id: str
     attempt_id: str
 
 
 class StreamsListed(msgspec.Struct, frozen=True, kw_only=True):
-    """What a backend server holds, as it was at ``asked_at`` or later.
+    """Event: the streams of a backend server, as of ``asked_at`` or later.
 
-    :param asked_at: when the effect was performed, on this instance's clock.
+    :param asked_at: when the request was sent, on this instance's clock.
     """
 
     now: float
--- a/dandeliongw/cell/cell_view.py
+++ b/dandeliongw/cell/cell_view.py
@@ -1,6 +1,6 @@
-"""All that a policy may look at, and what is predicted from it.
+"""The state of a cell that policies read, and predictions made from it.
 
-Everything here is pure: the owner (:mod:`.cells`) keeps a :class:`CellView`
+There is no I/O here: the owner (:mod:`.cells`) keeps a :class:`CellView`
 up to date. Times are monotonic seconds of the owner's instance.
 """
 
@@ -20,27 +20,30 @@
 SMOOTHING = 0.1
 
 
-#: Weight of a caller's guess of its answer's length against the mean of all
-#: answers. By their measured errors, 0.47 and 0.61 of the length, the guess
-#: gets 0.62; by logarithms, since it may be off by a factor either way.
+#: Weight of the client's hint of its answer's length against the mean of all
+#: answers. Their errors are 0.47 and 0.61 of the length, which gives the hint
+#: 0.62. Logarithms are weighted, as either may be off by a factor in both
+#: directions.
 GUESS_PART = 0.6
 
 
-#: An answer that has passed its expected length goes on for this part of it.
+#: An answer that has passed its expected length is expected to go on for this
+#: part of it.
 OVERRUN_PART = 0.1
 
 
-#: A prefill that hung tells nothing about the next one beyond this.
+#: Cap of one measurement of slowness: a prefill that hung predicts nothing
+#: about the next one beyond this.
 MOST_SLOWNESS = 10.0
 
 
-#: Seconds for which a forecast that an engine has no room is kept, unless work
-#: ends there: a tick, in which each of its streams grows by some ten tokens.
+#: Seconds for which a forecast that an engine has no room is cached, unless
+#: work ends there: one tick, in which each stream grows by some ten tokens.
 FORECAST_S = 0.05
 
 
 class CellView(msgspec.Struct, kw_only=True):
-    """All that a policy may look at."""
+    """The state of a cell that policies read."""
 
     terms: CellTerms
     backends_by_id: dict[str, BackendState] = msgspec.field(
@@ -49,28 +52,29 @@
 
     #: Admitted work that has not been placed, in order of arrival.
     queue: list[Booking] = msgspec.field(default_factory=list)
-    #: Measured length of answers over the longest they may be.
+    #: Moving average of an answer's length divided by its ``max_tokens``.
     answer_ratio: float = 1.0
     #: Measured tokens a second of one stream; ``None`` until one has ended.
     measured_tokens_per_s: float | None = None
-    #: Answers that were measured.
+    #: Number of complete answers.
     answers_seen: int = 0
-    #: Engines that change their roles, and take no work meanwhile.
+    #: Engines that are changing their role; they get no work meanwhile.
     switching_ids: frozenset[str] = frozenset()
 
     def has_kv_room(
         self, now: float, state: BackendState, booking: Booking
     ) -> bool:
-        """Whether an engine's KV cache has room for a booking.
+        """Return whether an engine's KV cache has room for a booking.
 
-        An engine whose memory is full refuses with most of its slots free.
-        Counting slots alone, one would see prompts read whose decode engine
-        turns them away, and the prefill thrown away each time. Counting the
-        longest answers, a third of the memory would stay empty.
+        An engine whose memory is full refuses work even with most of its
+        slots free. If only slots were counted, decode engines would refuse
+        KV caches after their prefill, which would be wasted. If answers were
+        counted at ``max_tokens``, a third of the memory would stay unused.
         """
         if now < state.full_until:
             return False
-        # Work that is larger than the cache is the engine's to refuse.
+        # An idle engine gets work of any size: if it is larger than the KV
+        # cache, the engine refuses it.
         if not state.bookings_by_key:
             return True
         tokens = booking.prompt_tokens + booking.max_tokens
@@ -93,14 +97,14 @@
     def _kv_bounds(
         self, now: float, state: BackendState, booking: Booking
     ) -> tuple[float, float]:
-        """Return between which values the forecast lies.
-
-        Prompts are held all the while, and no answer gets longer than it may,
-        so the forecast itself is seldom needed; it takes many times as long.
-        With it for each engine and event, the owner of 59 engines was busy
-        for 0.74 s of each second in a burst of 115 requests a second, and
-        answered entries too late; with the bounds, and forecasts without room
-        kept for a tick, for 0.15 s.
+        """Return a lower and an upper bound of :meth:`kv_part`.
+
+        The prompts alone are the lower bound; the upper one adds every answer
+        at its ``max_tokens``. They are mostly decisive, and the forecast takes
+        many times as long. With a forecast for each engine and event, the
+        owner of 59 engines was busy for 0.74 s of each second in a burst of
+        115 requests a second and answered entries too late. With the bounds,
+        and forecasts without room cached for a tick, it is busy for 0.15 s.
         """
         capacity = self.terms.kv_tokens_by_role.get(state.backend.role)
         if capacity is None:
@@ -112,7 +116,8 @@
             prompts += each.prompt_tokens
             answers += each.max_tokens
             if each.transfer_ends_at > now:
-                # Forecast to grow from now on, though it hasn't begun.
+                # The forecast counts growth from now on, although the answer
+                # starts only after the transfer.
                 waits_s += each.transfer_ends_at - now
         grown = answers + waits_s * self.stream_tokens_per_s
         return prompts / capacity, (prompts + grown) / capacity
@@ -120,7 +125,10 @@
     def kv_part(
         self, now: float, state: BackendState, booking: Booking
     ) -> float:
-        """Return how full an engine's KV cache will get with a booking."""
+        """Return the forecast peak use of a KV cache, with one more booking.
+
+        :returns: as a fraction of its capacity; 0 if that is unknown.
+        """
         capacity = self.terms.kv_tokens_by_role.get(state.backend.role)
         if capacity is None:
             return 0.0
@@ -144,11 +152,11 @@
 
     @property
     def stream_tokens_per_s(self) -> float:
-        """Tokens a second of one stream, as measured or as nominal."""
+        """Tokens a second of one stream: measured, else from the document."""
         return self.measured_tokens_per_s or self.terms.decode_tokens_per_s
 
     def answer_tokens(self, booking: Booking) -> float:
-        """Return how long an answer will probably be."""
+        """Return the expected length of an answer, in tokens."""
         typical = booking.max_tokens * self.answer_ratio
         if not booking.expected_tokens:
             return typical
@@ -156,7 +164,7 @@
         return typical ** (1.0 - GUESS_PART) * guess**GUESS_PART
 
     def slots_for(self, state: BackendState, booking: Booking) -> int:
-        """Return how many bookings like this one an engine has room for."""
+        """Return how many bookings of this size an engine can hold at once."""
         capacity = self.terms.kv_tokens_by_role.get(state.backend.role)
         if capacity is None:
             return state.slots_open
@@ -168,7 +176,10 @@
     def candidates(
         self, role: Role, exclude: abc.Container[str]
     ) -> list[BackendState]:
-        """Return the backend servers of a role, in a stable order."""
+        """Return the backend servers of a role, sorted by id.
+
+        Excluded ones and those that are changing their role are left out.
+        """
         return [
             state
             for backend_id, state in sorted(self.backends_by_id.items())
@@ -178,22 +189,22 @@
         ]
 
     def prefill_work_s(self, state: BackendState, booking: Booking) -> float:
-        """Return how long an engine takes to compute a prompt."""
+        """Return how long an engine takes for a prefill, in seconds."""
         tokens = booking.prompt_tokens - state.cached_tokens(booking.prefix)
         rate = self.terms.prefill_tokens_per_s
         return max(0, tokens) / rate * state.slowness
 
     def transfer_s(self, booking: Booking) -> float:
-        """Return how long the KV cache of a prompt takes to move."""
+        """Return how long the transfer of a KV cache takes, in seconds."""
         kv_bytes = booking.prompt_tokens * self.terms.kv_bytes_per_token
         return kv_bytes / self.terms.link_bytes_per_s
 
     def decode_s(self, booking: Booking) -> float:
-        """Return how long an answer is expected to take."""
+        """Return how long an answer is expected to take, in seconds."""
         return self.answer_tokens(booking) / self.stream_tokens_per_s
 
     def plan(self, booking: Booking) -> None:
-        """Predict the times of a booking that has just been placed."""
+        """Set the predicted times of a booking that has just been placed."""
         state = self.backends_by_id.get(booking.prefill_id)
         ends_at = booking.start_at
         if state is not None and not booking.prefill_done:
@@ -223,7 +234,11 @@
     def learn_prefill(
         self, now: float, state: BackendState, booking: Booking, computed: int
     ) -> None:
-        """Take in that a prefill is done; ``state`` still counts it."""
+        """Update the predictions after a prefill has ended.
+
+        :param state: its engine, from which ``booking`` isn't removed yet.
+        :param computed: tokens that were not cached.
+        """
         began_at = max(booking.start_at or now, state.last_prefill_at)
         expected_s = computed / self.terms.prefill_tokens_per_s
         if expected_s > 0.0 and now > began_at:
@@ -235,8 +250,8 @@
             if not each.prefill_done and each is not booking:
                 at = max(at, each.start_at or at) + each.prefill_work_s
                 each.prefill_ends_at = at
-        # The links were booked with the pair; only a late prefill needs
-        # them for longer.
+        # The links are booked at placement already; only a late prefill
+        # occupies them for longer.
         transfer_ends_at = now + self.transfer_s(booking)
         if transfer_ends_at > booking.transfer_ends_at:
             self._plan_decode(booking, now)
@@ -244,15 +259,16 @@
     def learn_answer(
         self, now: float, booking: Booking, *, pieces: int, piece_gap_s: float
     ) -> None:
-        """Take in that an answer is complete.
+        """Update the mean rate and length of answers from a complete one.
 
-        The document's rate is nominal. With one that was twice the engines'
-        own, an answer seemed to hold half as much again as it did, work
-        waited for seconds beside engines whose memory was half empty, and
-        engines were moved away from the pool that was short of them.
+        The document's rate is nominal. Where it was twice the real one,
+        answers were taken to be half as long again as they were: work waited
+        for seconds although engines had half of their memory free, and
+        engines were moved away from the pool that lacked them.
 
         :param pieces: of the answer; zero if they were not counted.
-        :param piece_gap_s: between its pieces; zero if not measured.
+        :param piece_gap_s: mean gap between pieces, in seconds; zero if not
+            measured.
         """
         self.answers_seen += 1
         part = max(SMOOTHING, 1.0 / self.answers_seen)
--- a/dandeliongw/cell/cells.py
+++ b/dandeliongw/cell/cells.py
@@ -1,9 +1,11 @@
-"""A cell at its owner: exact bookings of slots, as leases.
+"""The state of a cell at its owner: which attempt holds which slots.
 
-A cell is the backend servers of one service in one region, or a part of
+A cell is the backend servers of one service in one region, or a subset of
 them. Exactly one instance owns it, under a lease with an epoch, so that two
-instances can't both spend the same free slot. The cell is a state machine:
-all time comes in events, all work leaves as effects.
+instances can't both book the same free slot. Each booking is itself a lease
+that its entry, the instance that accepted the request, renews. The cell is a
+state machine: it reads no clock and does no I/O. Events carry the time, and
+the effects that it returns say what to send.
 """
 
 import typing
@@ -82,33 +84,35 @@
     'TermsChanged',
 ]
 
-#: A booking that its entry hasn't renewed for so long has lost its entry.
+#: A booking that its entry hasn't renewed for this time is dropped: the entry
+#: is taken to have died.
 BOOKING_LEASE_S = 4.0
-#: How often an entry should send :class:`Progress`.
+#: How often an entry should send :class:`Progress`, in seconds.
 PROGRESS_EVERY_S = 1.0
-#: How often an owner asks backend servers for what they hold.
+#: How often an owner lists the streams of its backend servers, in seconds.
 LIST_EVERY_S = 5.0
-#: Seconds after a look at the queue that placed nothing until time alone is a
-#: reason to look again, half a tick of the runtime. In a burst each arrival
-#: looked at the memory of every engine once more: an owner of 59 engines took
-#: 0.99 of a core at 160 requests a second, and 0.70 since, on a busy machine.
+#: After a dispatch that placed nothing, events that free no capacity don't
+#: start another one for this time, half a tick of the runtime. Without this,
+#: each arrival in a burst checks the KV cache of every engine again: at 160
+#: requests a second, an owner of 59 engines used 0.99 of a core, against 0.70
+#: with it, on a busy machine.
 LOOK_AGAIN_S = 0.025
 
 
 def _frees(event: typing.Any) -> bool:
-    """Whether an event may make room for work that waits."""
+    """Return whether an event may free capacity for queued work."""
     if isinstance(event, parts.Received):
         return isinstance(event.message, (Release, PrefillDone))
     return not isinstance(event, parts.Ticked)
 
 
 def _is_same(known: Booking, book: Book) -> bool:
-    """Return whether a ``Book`` is one that was answered already.
+    """Return whether a ``Book`` repeats one that was answered already.
 
-    A second move of one KV cache has the same ids and stage as the first;
-    answered alike, it would go to the engine that has just refused it,
-    over and over. One would notice refused imports by the thousand. The
-    longer list of failed backend servers tells the two apart.
+    A second move of one KV cache has the same ids and stage as the first,
+    but a longer list of excluded backend servers. If it got the answer to
+    the first again, it would be sent to the engine that has just refused it,
+    over and over, and imports would be refused by the thousand.
     """
     unplaced = known.stage is Stage.DECODE and not known.decode_id
     if unplaced and known.start_at is not None:
@@ -120,8 +124,8 @@
     """The state of one cell at its owner.
 
     :param cell_id: ``service/region/k``.
-    :param epoch: of the owner's lease; every order carries it.
-    :param document_part: what the document says about the service.
+    :param epoch: of the owner's lease; every cancel carries it.
+    :param document_part: the service's settings from the document.
     """
 
     def __init__(
@@ -142,7 +146,8 @@
         self.roles = RoleBalance()
         self.bookings_by_key: dict[tuple[str, str], Booking] = {}
         self.cancels = Cancels(epoch=epoch)
-        #: Left, or cut off, with work of ours that may still run there.
+        #: Backend servers that left or were cut off, on which work of this
+        #: cell may still run.
         self.leaving_by_id: dict[str, BackendState] = {}
         self._began_at: float | None = None
         self._look_again_at = 0.0
@@ -156,7 +161,7 @@
         }
 
     def handle(self, event: typing.Any) -> list[typing.Any]:
-        """Take one event in; return what is to be done."""
+        """Apply an event and return the resulting effects."""
         if self._began_at is None:
             self._began_at = self._listed_at = event.now
         effects = self._take(event)
@@ -175,7 +180,7 @@
                 self._forget(booking)
                 effects.extend(self._apply(now, booking, decision))
                 if booking.stage is Stage.DECODE and booking.start_at is None:
-                    # Its KV cache is still held, until the entry gives it up.
+                    # Its KV cache is still held until the entry releases it.
                     self._remember(booking)
         return effects
 
@@ -201,10 +206,10 @@
         return []
 
     def restore(self, record: typing.Any) -> None:
-        """Nothing is journalled: entries reclaim what they hold."""
+        """Do nothing: bookings aren't journalled, entries reclaim them."""
 
     def snapshot(self) -> tuple[typing.Any, ...]:
-        """Return no records, see :meth:`restore`."""
+        """Return no records; see :meth:`restore`."""
         return ()
 
     def _book(self, now: float, sender: str, book: Book) -> list:
@@ -214,7 +219,7 @@
             known.renewed_at = now
             return [self._answer(now, known)]
         if known is not None and book.stage is Stage.PAIR:
-            # A late copy: this attempt has gone on to move its KV cache.
+            # A delayed duplicate: this attempt already moves its KV cache.
             return []
         told = []
         if known is not None:
@@ -242,7 +247,7 @@
             may_read_there=book.may_read_there,
         )
         if known is not None:
-            # Where the KV cache is, for as long as it waits for an engine.
+            # The KV cache stays there until a decode engine takes it.
             booking.prefill_id = known.prefill_id
         effects = self._decide(now, booking)
         if known is not None and booking.key not in self.bookings_by_key:
@@ -253,7 +258,10 @@
         return [*told, *effects]
 
     def review_roles(self, now: float) -> bool:
-        """Move engines between the pools; return whether that changed."""
+        """Start or end moves of engines between the pools.
+
+        :returns: whether the set of moving engines changed.
+        """
         if self._began_at is None or self._is_reclaiming(now):
             return False
         changed = self.roles.review(now, self.view)
@@ -333,7 +341,7 @@
         return state.backend.incarnation if state else 0
 
     def _state(self, backend_id: str) -> BackendState | None:
-        """Return a backend server, also one that is leaving."""
+        """Return a backend server's state, also while it is leaving."""
         leaving = self.leaving_by_id.get(backend_id)
         return self.view.backends_by_id.get(backend_id, leaving)
 
@@ -376,17 +384,18 @@
         return []
 
     def _is_reclaiming(self, now: float) -> bool:
-        """Return whether entries may still have to tell what they hold."""
+        """Return whether entries may still send their ``Reclaim``."""
         return now < self._began_at + BOOKING_LEASE_S
 
     def _gone(
         self, now: float, entry: str, booking_key: tuple[str, str]
     ) -> parts.Send:
-        """Tell an entry that its booking isn't known.
+        """Answer an entry whose booking isn't in the table.
 
-        A new owner knows none at first. Told that it is gone, entries
-        would stop every running stream; one would notice each change of
-        owner as a wave of attempts and of prefills computed twice.
+        A new owner starts with an empty table, so it asks for a ``Reclaim``
+        first. If it sent ``Cancelled``, entries would stop every running
+        stream: each change of owner would cause a wave of new attempts and of
+        prefills computed twice.
         """
         if self._is_reclaiming(now):
             wanted = ReclaimWanted(cell=self.cell_id, epoch=self.epoch)
@@ -443,7 +452,7 @@
     ) -> None:
         state = self.view.backends_by_id.get(booking.decode_id)
         if state is not None and token_gap_s > 0.0:
-            # The answer's own slot counts: it was in the batch.
+            # One more: this booking was in the batch, too.
             streams = len(state.bookings_by_key) + 1
             target_s = self.view.terms.token_gap_s
             state.batch.learn(now, token_gap_s, target_s, streams)
@@ -515,11 +524,13 @@
         return effects
 
     def _end_work_of(self, former: BackendState) -> list:
-        """End the bookings of a start that another one has followed.
+        """Cancel the bookings of a backend server that has restarted.
+
+        None of its streams and KV caches has survived. If the bookings were
+        kept, they would hold slots of the new incarnation, and entries whose
+        connection gives no error would wait for streams that no longer exist.
 
-        Nothing of it is left: no stream, no KV cache. Kept, its bookings
-        would hold slots of the new start, and entries behind a silent
-        connection would wait for streams that no longer exist.
+        :param former: the state of the previous incarnation.
         """
         effects = []
         for booking in list(former.bookings_by_key.values()):
@@ -528,11 +539,11 @@
         return effects
 
     def _drop_left(self, now: float) -> None:
-        """Drop what left long ago or holds nothing of ours.
+        """Drop leaving backend servers that are idle or timed out.
 
-        A backend server that leaves finishes its streams. Dropped at once,
-        its cancels would have no address, and its memory would stay held
-        for callers who have gone.
+        A backend server that leaves still finishes its streams. If it were
+        dropped at once, there would be no address for cancels, and it would
+        hold memory for clients that have disconnected.
         """
         for backend_id, state in list(self.leaving_by_id.items()):
             idle = not state.bookings_by_key and not state.cancelling
@@ -543,9 +554,11 @@
     def _first_health(
         self, event: BackendsChanged, backend: CellBackend
     ) -> Health:
-        """Return the health of a backend server that the cell meets.
+        """Return the initial health of a backend server.
 
-        A new owner meets all at once, and none of them is new.
+        It goes through slow start only if the cell has others of its role
+        already: a new owner discovers all of them at once, and none of them
+        has just started.
         """
         others = self.view.candidates(backend.role, ())
         return Health(came_at=event.now if others else None)
@@ -564,10 +577,10 @@
         state = self.view.backends_by_id.get(event.backend_id)
         if state is not None:
             if event.gap:
-                # Evictions may be among the lost events. One would notice
-                # prompts sent to a cache that has forgotten them, and a
-                # first token that comes late; what is dropped in vain is
-                # learned again with the next prompt.
+                # Evictions may be among the lost events. With stale blocks,
+                # prompts would be sent to a cache that no longer has them,
+                # and their first token would come late. Blocks that are
+                # dropped needlessly are added again with the next prompt.
                 state.blocks.clear()
             state.add_blocks(event.stored)
             state.drop_blocks(event.evicted)
@@ -586,12 +599,13 @@
         ]
 
     def _cancel_unknown(self, event: StreamsListed) -> list:
-        """Cancel the streams that no entry has claimed.
+        """Cancel the streams that no entry has reclaimed.
 
-        An owner and an entry that die together leave streams which the new
-        owner never hears of. One would notice engines with slots in use
-        and no booking for them. Entries have had a whole lease to reclaim
-        by then, and a stream begins only after its booking.
+        If an owner and an entry die together, nobody reclaims the entry's
+        streams at the new owner: they would use slots of engines without a
+        booking. A listing is ignored until entries have had a whole booking
+        lease to reclaim. A stream starts only after its booking, so one
+        without a booking is an orphan.
         """
         state = self.view.backends_by_id.get(event.backend_id)
         if state is None or self._is_reclaiming(event.asked_at):
@@ -607,9 +621,9 @@
         self._drop_left(now)
         effects = [*self._list_streams(now), *self._trust.tell_regained(now)]
         for booking in list(self.bookings_by_key.values()):
-            # An entry that died sends no release. One would notice slots
-            # that stay taken with no stream behind them; the lease frees
-            # them, and the cancel frees the engine's memory.
+            # An entry that died sends no release, and its slots would stay
+            # taken. The end of the lease frees the slots, the cancel frees
+            # the engine's memory.
             if now - booking.renewed_at >= BOOKING_LEASE_S:
                 self._forget(booking)
                 effects.extend(self._cancel(now, booking))
--- a/dandeliongw/cell/declines.py
+++ b/dandeliongw/cell/declines.py
@@ -1,4 +1,4 @@
-"""How the owner of a cell turns work away, and when to come back."""
+"""Refusals by the owner of a cell, and their Retry-After."""
 
 import math
 
@@ -10,18 +10,18 @@
 from .vocabulary import Booking
 from .vocabulary import Stage
 
-#: Shortest Retry-After. Bunches of work last for seconds; who comes back
-#: within one is turned away again, for good.
+#: Shortest Retry-After, in seconds. Bursts last for seconds; a retry within
+#: the same burst is refused again, for good.
 LEAST_RETRY_AFTER_S = 1.5
-#: Longest, however much is ahead.
+#: Longest Retry-After, in seconds, however long the queue.
 MOST_RETRY_AFTER_S = 30.0
-#: Retry-After is stretched by up to this part, so that those who were
-#: refused together don't come back together.
+#: Jitter: Retry-After is lengthened by up to this part, so that clients that
+#: were refused together don't retry together.
 RETRY_JITTER = 0.5
 
 
 def full(booking: Booking) -> Decline:
-    """No slot is free, and none is waited for."""
+    """Return the refusal if no slot is free and the work can't be queued."""
     role = 'plain' if booking.stage is Stage.PLAIN else 'decode'
     return Decline(
         reason=RefusalReason.NO_CAPACITY,
@@ -31,7 +31,7 @@
 
 
 def over_share(booking: Booking) -> Decline:
-    """An account has what it is due, and others wait."""
+    """Return the refusal if an account exceeds its share of a full cell."""
     return Decline(
         reason=RefusalReason.ACCOUNT_LIMIT,
         message=(
@@ -42,7 +42,10 @@
 
 
 def late(booking: Booking, late_s: float) -> Decline:
-    """Work would start so many seconds past its latest start."""
+    """Return the refusal if work would start after its latest start.
+
+    :param late_s: by how many seconds; infinite if no start can be predicted.
+    """
     return Decline(
         reason=RefusalReason.TARGET_UNREACHABLE,
         message=f'the first token would be {late_s:.1f} s late',
@@ -51,7 +54,7 @@
 
 
 def waited(booking: Booking) -> Decline:
-    """Work was queued up to its latest start."""
+    """Return the refusal if work was queued until its latest start."""
     return Decline(
         reason=RefusalReason.TARGET_UNREACHABLE,
         message='no backend server had room while it could still wait',
@@ -60,14 +63,14 @@
 
 
 def _retry_after(booking: Booking, late_s: float) -> float:
-    """Return when to come back: once what is ahead now should be done."""
-    # The identity stands in for a random number, which a reducer must not
-    # draw; callers who were refused together have different ones.
+    """Return a Retry-After by which the present queue should be done."""
+    # A reducer must be deterministic, so the jitter is a hash of the request
+    # id. Requests that were refused together have different ids.
     digest = xxhash.xxh32_intdigest(booking.request_id.encode())
     stretch = 1.0 + RETRY_JITTER * digest / 2**32
     if math.isinf(late_s):
-        # No end can be foreseen; backend servers that are left out are tried
-        # again within seconds.
+        # No start can be predicted; ejected backend servers are tried again
+        # within seconds.
         late_s = LEAST_RETRY_AFTER_S
     wanted_s = (late_s + LEAST_RETRY_AFTER_S) * stretch
     return min(wanted_s, MOST_RETRY_AFTER_S)
--- a/dandeliongw/cell/document_terms.py
+++ b/dandeliongw/cell/document_terms.py
@@ -1,4 +1,4 @@
-"""What the document and announcements say of a cell, in its own words."""
+"""Converts the document and announcements to the cell's own types."""
 
 import typing
 
@@ -11,7 +11,7 @@
 def terms_of(
     described: document_module.Document, service_name: str
 ) -> vocabulary.CellTerms | None:
-    """Return what the document says about a service, for its cells."""
+    """Return a service's settings for its cells; ``None`` if it is unknown."""
     service = described.services_by_name.get(service_name)
     if service is None:
         return None
@@ -49,7 +49,7 @@
 def wanted_of(
     described: document_module.Document, service_name: str
 ) -> dict[vocabulary.Role, dict[orders.OrderKind, str]]:
-    """Return what the engines of each role should have loaded."""
+    """Return what the engines of each role should load, by kind of order."""
     wanted = {}
     for pool in described.pools_of(service_name):
         values = {
@@ -71,8 +71,8 @@
         fields['kv_bytes_per_token'] = pool.kv_bytes_per_token
         fields['link_bytes_per_s'] = pool.link_bytes_per_s
     if pool.role == 'decode':
-        # The document has the rate of a backend server, the policy that of
-        # one of its streams.
+        # The document has the rate of a backend server; cells need that of
+        # one stream.
         fields['decode_tokens_per_s'] = pool.decode_tokens_per_s / pool.slots
         fields['tokens_per_piece'] = pool.tokens_per_piece
 
@@ -81,9 +81,9 @@
     announcement: presence.BackendAnnouncement,
     slots_by_role: dict[str, int],
 ) -> vocabulary.CellBackend:
-    """Return an announced backend server.
+    """Convert the announcement of a backend server.
 
-    :param slots_by_role: used where the announcement says none.
+    :param slots_by_role: defaults, used if the announcement has no slots.
     """
     role = vocabulary.Role(announcement.role)
     return vocabulary.CellBackend(
--- a/dandeliongw/cell/forecast.py
+++ b/dandeliongw/cell/forecast.py
@@ -1,25 +1,25 @@
-"""How full an engine's KV cache will get with the work that it has.
+"""Forecasts the peak use of an engine's KV cache.
 
-An answer's cache grows with each token and is free again at its end. Work
-that began at different times ends at different times, so an engine never
-holds the whole of all answers at once; counting as if it did would leave a
-tenth of its memory unused.
+The cache of an answer grows with each token and is freed at its end. Answers
+that began at different times end at different times, so an engine never holds
+the full length of all answers at once. Counting the sum of the full lengths
+would leave a tenth of its memory unused.
 """
 
 from collections import abc
 
 import msgspec
 
-#: Part of the cache that forecasts may fill. Lengths of answers are guesses;
-#: the sum over some ten of them errs by about 4 in 100.
+#: Part of the cache that forecasts may fill. Lengths of answers are estimates;
+#: the sum over some ten of them is off by about 4 in 100.
 FILL_PART = 0.95
 
 
 class Growth(msgspec.Struct, frozen=True, kw_only=True):
-    """One piece of work in an engine's cache.
+    """The growth of one booking in an engine's KV cache.
 
     :param held: tokens that it holds now.
-    :param ends_in_s: seconds until its end, when it holds nothing any more.
+    :param ends_in_s: seconds until its end, when its tokens are freed.
     """
 
     held: float
@@ -27,12 +27,12 @@
 
 
 def peak_tokens(growths: abc.Sequence[Growth], tokens_per_s: float) -> float:
-    """Return the most tokens that this work will hold at one time.
+    """Return the most tokens that these bookings will hold at one time.
 
-    The sum grows steadily between two ends, so the most is held right before
-    one of them.
+    The sum grows steadily between two ends, so the peak is right before one
+    of them.
 
-    :param tokens_per_s: at which each piece of work grows.
+    :param tokens_per_s: growth of each booking.
     """
     most = 0.0
     held = 0.0
--- a/dandeliongw/cell/health.py
+++ b/dandeliongw/cell/health.py
@@ -1,73 +1,78 @@
-"""How far the owner of a cell trusts a backend server with new work."""
+"""Outlier detection: when a backend server is ejected, and its slow start."""
 
 import math
 
 import msgspec
 
-#: So many faults within the window leave a backend server out.
+#: Number of faults within the window that ejects a backend server, if the
+#: next two conditions hold as well.
 FAULTS_TO_EJECT = 3
 FAULT_WINDOW_S = 5.0
-#: ... if they are this part of what it was given and ended in the window.
-#: Some services fail one call in ten all the time, on every backend server.
+#: Least failure rate, of the work that ended in the window. Some services
+#: fail one call in ten all the time, on every backend server.
 FAULT_PART = 0.34
-#: ... and so many times the part that fails on its peers. What all share, such
-#: as answers that are lost on a network, says nothing of one of them.
+#: Least failure rate, as a multiple of the peers' rate. Faults that all share,
+#: such as answers that the network loses, are no reason to eject one of them.
 FAULT_PARTS_OF_PEERS = 1.5
-#: No part of faults above this is put down to what is shared.
+#: A failure rate above this is never attributed to shared faults.
 MOST_SHARED_PART = 0.8
-#: Pieces of work that have to end on a server before it counts as a peer.
+#: Number of calls that must have ended on a server before its failure rate is
+#: compared with that of its peers.
 LEAST_ENDED = 3
-#: How long it is left out the first time, and at most.
+#: Duration of the first ejection, and the longest one, in seconds.
 EJECTED_S = 2.0
 MOST_EJECTED_S = 60.0
-#: Pause between the first pieces of work after it came back.
+#: Pause between bookings at the begin of slow start, in seconds.
 PACE_S = 1.0
-#: Parts of the token gap's target above and below which the cap moves.
+#: Parts of the token gap's target: the cap is lowered above the first, and
+#: raised below the second.
 GAP_HIGH = 0.95
 GAP_LOW = 0.90
-#: Pause between two moves of the cap.
+#: Pause between two changes of the cap, in seconds.
 BATCH_RESTS_S = 1.0
-#: How long it takes from one slot to all of them.
+#: Duration of slow start, from one slot to all of them, in seconds.
 RAMP_S = 4.0
-#: So long after it came back its earlier faults no longer lengthen the time
-#: for which it is left out. Estimate: a few windows without a new reason.
+#: This long after the end of the last ejection, earlier ones no longer
+#: lengthen the next: a few fault windows have passed without a reason for one.
 FORGIVEN_AFTER_S = 15.0
 
 
 class Health(msgspec.Struct, kw_only=True, eq=False):
-    """Whether a backend server is trusted with new work.
+    """Whether a backend server may get new work, and on how many slots.
 
-    One that keeps failing is left out for a while, longer each time, and
-    comes back slowly: without this each request would find out anew, and
-    one would notice a steady stream of retries against one backend server.
-    A new one comes in as slowly, as its caches are cold.
+    One that keeps failing is ejected, for longer each time, and then goes
+    through slow start. Without this, requests would go on failing on it, and
+    there would be a steady stream of retries. A new one goes through slow
+    start as well, as its caches are cold.
     """
 
     recent_faults: list[float] = msgspec.field(default_factory=list)
     recent_successes: list[float] = msgspec.field(default_factory=list)
     ejected_until: float = 0.0
     ejections: int = 0
-    #: When it came, or came back; ``None`` if it has always been there.
+    #: Begin of its slow start: when it appeared, or its last ejection ended.
+    #: ``None`` if it was there when the cell was created.
     came_at: float | None = None
+    #: When it was last booked.
     last_given_at: float = -math.inf
-    #: Whether a line told that it is left out, and none that it is back.
+    #: Whether its ejection was logged, and its recovery not yet.
     is_told_distrusted: bool = False
-    #: Whether the last that was heard of it is that it took no connection.
+    #: Whether a connection failed, and no work has succeeded since.
     refuses_connections: bool = False
-    #: Whether some work went well lately, or did when it was left out.
+    #: Whether some work succeeded lately, or did before its last ejection.
     works_in_part: bool = True
-    #: Part of its work that had failed when it was left out the last time.
+    #: Failure rate at its last ejection.
     part_when_left_out: float = 0.0
 
     def is_ejected(self, now: float) -> bool:
         return now < self.ejected_until
 
     def is_new(self, now: float) -> bool:
-        """Return whether it came, or came back, a short while ago."""
+        """Return whether it is ejected or in slow start."""
         return self.came_at is not None and now < self.came_at + RAMP_S
 
     def open_part(self, now: float) -> float:
-        """Return which part of its slots may be used now."""
+        """Return the part of its slots that may be used now, from 0 to 1."""
         if not self.is_new(now):
             return 1.0
         return max(0.0, (now - self.came_at) / RAMP_S)
@@ -75,8 +80,8 @@
     def may_get_work(self, now: float) -> bool:
         """Return whether it may get new work now.
 
-        A fault may take seconds to show. Until the ramp is over the work
-        is spaced, so that little is lost if the fault is still there.
+        A fault may take seconds to show. During slow start, bookings are
+        spaced out, so that little work is lost if the fault persists.
         """
         if self.is_ejected(now):
             return False
@@ -84,12 +89,12 @@
         return now >= self.last_given_at + pause_s
 
     def add_fault(self, now: float, shared_part: float = 0.0) -> None:
-        """Count a fault; leave the backend server out if it is one of many.
+        """Record a fault, and eject the backend server if there are too many.
 
-        The faults that come in while it is left out are of work from
+        Faults that come in during an ejection are of work that was placed
         before, and don't count again.
 
-        :param shared_part: of the work of its peers that fails just now.
+        :param shared_part: the peers' mean failure rate, from 0 to 1.
         """
         if self.is_ejected(now):
             return
@@ -102,29 +107,32 @@
             self._eject(now)
 
     def add_refusal(self, now: float) -> None:
-        """Leave out a backend server to which no connection was made.
+        """Eject a backend server to which no connection could be made.
 
-        One that has died refuses every one, and each costs its caller an
-        attempt: waiting for more of them tells nothing new.
+        One is enough: a dead server refuses every connection, and each
+        costs a request an attempt.
         """
         self.refuses_connections = True
         self.works_in_part = False
         if self.is_ejected(now):
             return
         self._eject(now)
-        # Whether connections are made shows at the first of them, and costs
-        # little; a ramp would leave its places empty for seconds.
+        # No slow start: a failing connection shows at once and costs little,
+        # while slow start would leave slots unused for seconds.
         self.came_at = self.ejected_until - RAMP_S
 
     def add_success(self, now: float) -> None:
-        """Count work that ended well."""
+        """Record work that ended successfully."""
         self.refuses_connections = False
         self.works_in_part = True
         self._forget_old(now)
         self.recent_successes.append(now)
 
     def failed_part(self, now: float) -> float | None:
-        """Return the part of its work that fails; ``None`` if unknown."""
+        """Return its failure rate, from 0 to 1; ``None`` if unknown.
+
+        During an ejection this is the rate that led to it.
+        """
         if self.is_ejected(now):
             return (
                 None if self.refuses_connections else self.part_when_left_out
@@ -133,7 +141,7 @@
         return faults / ended if ended >= LEAST_ENDED else None
 
     def count_lately(self, now: float) -> tuple[int, int]:
-        """Return how many pieces of work failed lately, and how many ended."""
+        """Return the numbers of faults and of ended work in the window."""
         self._forget_old(now)
         faults = len(self.recent_faults)
         return faults, faults + len(self.recent_successes)
@@ -146,7 +154,10 @@
         ]
 
     def _is_suspect(self, now: float) -> bool:
-        """Whether it came back a short while ago; one fault may be enough."""
+        """Return whether one fault may be enough to eject it again.
+
+        That holds during slow start after an ejection.
+        """
         return self.ejections > 0 and self.is_new(now)
 
     def _failed_part(self) -> float:
@@ -154,11 +165,11 @@
         return len(self.recent_faults) / max(1, ended)
 
     def _fails_a_large_part(self, shared_part: float) -> bool:
-        """Whether the faults are a large part of all that ended.
+        """Return whether the failure rate is high enough for an ejection.
 
-        With their number alone, a busy pool whose calls fail now and then
-        would leave out all its backend servers in turn; one would see calls
-        refused with most places free.
+        If only the number of faults counted, all backend servers of a busy
+        pool whose calls fail now and then would be ejected in turn, and calls
+        would be refused with most slots free.
         """
         bound = max(FAULT_PART, FAULT_PARTS_OF_PEERS * shared_part)
         return self._failed_part() >= min(bound, MOST_SHARED_PART)
@@ -180,24 +191,28 @@
 
 
 class Batch(msgspec.Struct, kw_only=True, eq=False):
-    """How many streams a decode engine carries within the token gap.
+    """Limits the streams of a decode engine to meet the token gap's target.
 
-    A batch steps more slowly the fuller it is. With more slots than the
-    target bears, every answer of a full engine is too slow; one would
-    notice token gaps just above the target on all of them at once.
+    The larger a batch, the longer each of its steps. If an engine has more
+    slots than the target allows, all its streams have token gaps just above
+    the target once it is full.
     """
 
-    #: ``None`` until answers have been too slow.
+    #: Most streams at one time; ``None`` until answers have been too slow.
     cap: int | None = None
     changed_at: float = -math.inf
 
     def learn(
         self, now: float, gap_s: float, target_s: float, streams: int
     ) -> None:
-        """Take in the mean gap of a whole answer.
+        """Adjust the cap to the mean token gap of a complete answer.
+
+        The gap is a mean over seconds, so the cap changes by one and is then
+        kept until answers reflect the new one.
 
-        An answer tells of the batch as it was over seconds, so the cap
-        moves by one and then rests until answers tell of the new one.
+        :param gap_s: measured mean gap.
+        :param target_s: target of the token gap.
+        :param streams: size of the batch at the answer's end.
         """
         if now < self.changed_at + BATCH_RESTS_S:
             return
--- a/dandeliongw/cell/options.py
+++ b/dandeliongw/cell/options.py
@@ -1,4 +1,4 @@
-"""Which decisions the scheduler makes, for tools that compare versions."""
+"""Feature switches of the scheduler, for tools that compare variants."""
 
 import enum
 
@@ -6,32 +6,37 @@
 
 
 class Order(enum.Enum):
-    """Who goes first among those who wait."""
+    """The order of queued work."""
 
+    #: First come, first served.
     ARRIVAL = 'arrival'
-    #: By the latest start that still meets the target: urgent work passes
-    #: patient work until that has waited as long as it may.
+    #: By latest start: urgent work goes before patient work, unless that has
+    #: waited almost as long as it may.
     DEADLINE = 'deadline'
+    #: By the rank of its priority.
     RANK = 'rank'
 
 
 class Options(msgspec.Struct, frozen=True, kw_only=True):
-    """Which decisions are made; earlier versions lack the later ones.
+    """Features of the scheduler that can be switched off.
 
     :param queue: let admitted work wait at the owner for a slot; refuse
         what can't meet its first-token target.
-    :param order: of those who wait.
-    :param foresee: count on the work that will pass while one waits.
+    :param order: of queued work.
+    :param foresee: predict a wait with the work of better rank that will
+        arrive meanwhile and go first.
     :param affinity: prefer a prefill engine that has cached the prefix.
-    :param links: book the links with the pair.
-    :param cap: hold the token gap by using fewer slots.
-    :param weigh: let the document's weights say how long a KV cache may
+    :param links: book the links of a prefill and a decode engine as well.
+    :param cap: use fewer slots where the token gap would miss its target.
+    :param weigh: let the document's weights decide how long a KV cache may
         wait for a link.
-    :param fair: hold accounts to their share when the cell is full.
-    :param spare: part of the longest wait that predictions must leave over.
-    :param health: leave out what keeps failing; let new ones in slowly.
-    :param timely: within a rank, work that can still meet its target passes
-        work that can't; after a burst only the surplus is late, not all.
+    :param fair: limit accounts to their share when the cell is full.
+    :param spare: safety margin of predicted starts, as a part of the longest
+        wait.
+    :param health: eject failing backend servers; slow start for new ones.
+    :param timely: within a rank, work that can still meet its target goes
+        before work that can't; after a burst only the surplus is late, not
+        all.
     """
 
     queue: bool = True
--- a/dandeliongw/cell/ordering.py
+++ b/dandeliongw/cell/ordering.py
@@ -1,4 +1,4 @@
-"""The orders that an instance gives to the engines of the cells it owns."""
+"""The orders that an instance sends to the engines of the cells it owns."""
 
 from collections import abc
 import typing
@@ -13,18 +13,19 @@
 from . import orders
 from . import roles
 
-#: Loads from the weight store that an instance may save up.
+#: Burst of loads from the weight store, all cells of an instance together.
 STORE_BURST = 2.0
 
 
 class Ordering:
-    """Says what is wanted of engines, and hands on what may be ordered.
+    """Sets the desired state of engines, and returns the orders for it.
 
     Only a cell that is owned under a lease has orders.
 
     :param store_loads_per_s: loads from the weight store, all cells together.
-    :param longest_order_s: after which an order can take no effect any more.
-    :param lease_wait_s: until the orders of a former owner are over.
+    :param longest_order_s: time after which an order can't take effect any
+        more.
+    :param lease_wait_s: lease and margin, see :class:`.orders.Orders`.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         self.counts = orders.OrderCounts()
 
     def gain(self, cell: str, epoch: int) -> None:
-        """Give orders for a cell whose lease was gained."""
+        """Start sending orders for a cell whose lease was gained."""
         self.orders_by_cell[cell] = orders.Orders(
             cell=cell,
             epoch=epoch,
@@ -62,16 +63,19 @@
         )
 
     def drop(self, cell: str) -> None:
-        """Give no orders for a cell any more."""
+        """Stop sending orders for a cell."""
         self.orders_by_cell.pop(cell, None)
 
     def may_send(self, wanted: effects.GiveOrder, now: float) -> bool:
-        """Whether an order may leave at this very moment; any thread."""
+        """Return whether an order may be sent now.
+
+        Safe to call from any thread.
+        """
         held = self.orders_by_cell.get(wanted.cell)
         return held is not None and held.may_send(wanted.order, now)
 
     def answer(self, event: orders.OrderAnswered) -> list[typing.Any]:
-        """Take the end of one send of an order."""
+        """Process the result of one attempt of an order."""
         for held in self.orders_by_cell.values():
             held.handle(event)
         return []
@@ -97,7 +101,7 @@
         return out
 
     def tell(self, now: float, cell: cells.Cell) -> None:
-        """Say which engines there are and what the document wants of them."""
+        """Update a cell's engines and their desired state."""
         held = self.orders_by_cell.get(cell.cell_id)
         if held is None:
             return
@@ -131,7 +135,11 @@
         )
 
     def _next_revision(self) -> int:
-        """Number what is desired; it changes with the engines as well."""
+        """Return a number for the desired state.
+
+        The document's revision won't do: the desired state also changes with
+        the engines.
+        """
         self._revision += 1
         return self._revision
 
--- a/dandeliongw/cell/orders.py
+++ b/dandeliongw/cell/orders.py
@@ -1,11 +1,13 @@
-"""Orders to the engines of one cell: what to load, which role to play.
+"""Orders to the engines of one cell: what to load, which role to take.
 
 The document says what each backend server should run; the holder of the
-cell's lease brings it about. An engine gets one order at a time, and a
-different one only when no earlier one can still take effect: fencing numbers
-can't tell two orders of one holder apart, and some engines ignore them.
+cell's lease sends the orders for it. An engine gets one order at a time, and
+a different one only when no earlier one can still take effect: fencing
+numbers can't tell two orders of one holder apart, and some engines ignore
+them.
 
-A pure part: time comes in events, orders leave as :class:`SendOrder`.
+There is no I/O here: events carry the time, orders are returned as
+:class:`SendOrder`.
 """
 
 import collections
@@ -35,20 +37,20 @@
 LOADS = frozenset(
     {OrderKind.LOAD_MODEL, OrderKind.LOAD_VERSION, OrderKind.LOAD_ADAPTER}
 )
-#: What an engine no longer has once another model was loaded.
+#: What an engine drops when it loads another model.
 _DROPPED_WITH_MODEL = (OrderKind.LOAD_VERSION, OrderKind.LOAD_ADAPTER)
-#: Pause before an order that was proved not to have run is sent again.
+#: Seconds until an order that was proved not to have run is sent again.
 RETRY_S = 1.0
 
 
 class HoldReason(enum.StrEnum):
-    """Why an order that is due was not given now (a counter label)."""
+    """Why an order that is due was not sent (a metric label)."""
 
     LEASE_NOT_HELD = 'lease_not_held'
     #: The engine ignores fencing numbers, and a predecessor's order may
     #: still take effect there.
     PREDECESSOR_UNSETTLED = 'predecessor_unsettled'
-    #: An own order without an answer may still take effect.
+    #: Another order of this holder, without an answer, may still take effect.
     ORDER_UNSETTLED = 'order_unsettled'
     STORE_BUDGET = 'store_budget'
     #: The engine has seen a higher fencing number.
@@ -56,7 +58,7 @@
 
 
 class Guard(typing.Protocol):
-    """Whether this instance may give orders; ``Leases`` is one."""
+    """Checks whether this instance may send orders; see ``Leases``."""
 
     def epoch_if_held(self, name: str, now: float) -> int | None: ...
 
@@ -66,12 +68,13 @@
 
 
 class StoreBudget:
-    """Tokens for reads from the weight store; shared by an instance's cells.
+    """A token bucket for loads from the weight store.
 
-    It starts empty, so that failovers in a row can't each spend a burst.
+    All cells of an instance share it. It starts empty, so that successive
+    failovers can't each spend a burst.
 
     :param loads_per_s: this instance's share of the store's rate.
-    :param burst: most loads that may be saved up.
+    :param burst: capacity of the bucket, in loads.
     """
 
     def __init__(self, *, loads_per_s: float, burst: float) -> None:
@@ -95,8 +98,9 @@
 class EngineSeen(msgspec.Struct, frozen=True, kw_only=True):
     """Event: a backend server announced itself.
 
-    :param incarnation: a new one has nothing that the last one had loaded.
-    :param checks_fence: as announced; one that says nothing ignores them.
+    :param incarnation: a new one has nothing loaded.
+    :param checks_fence: whether it refuses old fencing numbers, as announced;
+        false if the announcement doesn't say.
     """
 
     now: float
@@ -106,16 +110,16 @@
 
 
 class EngineGone(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: a backend server left or fell silent."""
+    """Event: a backend server left or its announcement expired."""
 
     now: float
     backend_id: str
 
 
 class DesiredChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: the configuration in force says what engines should run.
+    """Event: the desired state of the engines changed.
 
-    :param revision: of the document; an older one is ignored.
+    :param revision: ascending number; an older one is ignored.
     :param values_by_backend: for each backend server the value of each kind;
         a kind that is missing is left as it is.
     """
@@ -126,11 +130,12 @@
 
 
 class OrderAnswered(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: one send of an order ended.
+    """Event: one attempt of an order ended.
 
     :param attempt: of the :class:`SendOrder` that it answers.
-    :param run: ``RAN``: confirmed. ``NOT_RUN``: proved that it had no effect
-        and will have none. ``MAY_HAVE_RUN``: anything else, a timeout too.
+    :param run: ``RAN``: confirmed. ``NOT_RUN``: proved to have had no effect
+        and to have none later. ``MAY_HAVE_RUN``: anything else, including a
+        timeout.
     :param is_fenced: the engine refused the fencing number.
     """
 
@@ -142,11 +147,12 @@
 
 
 class SendOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Effect: send an order, if :meth:`Orders.may_send` still says so.
+    """Effect: send an order, if :meth:`Orders.may_send` still allows it.
 
-    :param order_id: the same for each attempt, so that the engine can tell
-        a repeat from another order.
-    :param send_by: no byte may leave after this time of the own clock.
+    :param order_id: an idempotency key, the same for each attempt.
+    :param fence: the fencing number, the epoch of the cell's lease.
+    :param send_by: no byte may be sent after this time of the monotonic
+        clock of this instance.
     """
 
     order_id: str
@@ -159,7 +165,7 @@
 
 
 class _Order(msgspec.Struct, kw_only=True):
-    """The order that an engine was last given, until it is confirmed."""
+    """The last order for an engine, until it is confirmed."""
 
     order_id: str
     kind: OrderKind
@@ -171,8 +177,9 @@
 class _Engine(msgspec.Struct, kw_only=True):
     """One backend server.
 
-    :param settled_at_by_attempt: when each attempt without a definite answer
-        can take effect no more, by order id and attempt.
+    :param settled_at_by_attempt: for each attempt without a definite answer,
+        by order id and attempt: the time from which it can no longer take
+        effect.
     """
 
     incarnation: int
@@ -188,18 +195,18 @@
 
 
 class OrderCounts:
-    """What an instance's orders count for the metrics, over all cells.
+    """Counters for the metrics, over all cells of an instance.
 
-    They outlive the cells: a counter that falls when a cell is lost looks
-    like a restart of the process.
+    They outlive the cells: a counter that falls when a cell is lost would
+    look like a restart of the process.
     """
 
     def __init__(self) -> None:
-        #: How often an order that was due was held back.
+        #: How often an order that was due was not sent.
         self.holds_by_reason: collections.Counter[HoldReason] = (
             collections.Counter()
         )
-        #: Attempts after the first.
+        #: Attempts after the first one of each order.
         self.repeats = 0
 
 
@@ -208,14 +215,14 @@
 
     :param cell: the name of the lease.
     :param epoch: the holder's epoch, sent as the fencing number.
-    :param guard: tells whether the lease is held.
+    :param guard: checks whether the lease is held.
     :param budget: of the weight store.
     :param longest_order_s: an order takes effect within this time of the
         check before its send, or never; the sender's timeout.
-    :param counts: where to count; shared by an instance's cells.
-    :param lease_wait_s: lease and margin. A sender that freezes between the
-        check and the send for longer than this has lost its lease.
-    :param send_within_s: patience until an order leaves the queue.
+    :param counts: shared by an instance's cells.
+    :param lease_wait_s: lease and margin. A sender that is suspended between
+        the check and the send for longer than this has lost its lease.
+    :param send_within_s: longest time until an order is sent.
     """
 
     def __init__(
@@ -246,20 +253,23 @@
         self._order_count = 0
 
     def may_send(self, order: SendOrder, now: float) -> bool:
-        """Return whether an order may leave at this very moment.
+        """Return whether an order may be sent now.
 
-        The sending thread asks with a fresh reading of the clock. An order
-        waits in its queue, and the process may have been frozen meanwhile:
-        it would reach the engine after the next holder's.
+        The sending thread checks this right before the send, with a fresh
+        reading of the clock. An order waits in a queue, and the process may
+        have been suspended meanwhile: without this check, the order could
+        reach the engine after one of the next holder.
+
+        :param now: seconds of the monotonic clock.
         """
         if now > order.send_by:
             return False
         return self._guard.epoch_if_held(self.cell, now) == order.fence
 
     def handle(self, event: typing.Any) -> list[SendOrder]:
-        """Take one event in and return the orders to send.
+        """Apply an event and return the orders to send.
 
-        :raises TypeError: for an event that the part doesn't know.
+        :raises TypeError: for an unknown type of event.
         """
         if isinstance(event, parts.Ticked):
             return self._on_ticked(event.now)
@@ -283,8 +293,8 @@
             )
             self._engines_by_id[event.backend_id] = engine
         if engine.incarnation < event.incarnation:
-            # What is under way may reach the new process at the same
-            # address, so it stays noted until it has settled.
+            # Orders in flight may reach the new process at the same address,
+            # so they stay recorded until they have settled.
             engine.incarnation = event.incarnation
             engine.confirmed_by_kind.clear()
             engine.is_fenced = False
@@ -295,14 +305,15 @@
         engine = self._engines_by_id.get(event.backend_id)
         if engine is None:
             return
-        # Kept while an order may still reach it, should it come back.
+        # Kept while an order may still reach it: it may come back.
         engine.confirmed_by_kind.clear()
         if not engine.settled_at_by_attempt:
             del self._engines_by_id[event.backend_id]
 
     def _on_desired(self, event: DesiredChanged) -> None:
-        # Of two operators with equal numbers the register lets one win. An
-        # older revision that comes late must not take orders back.
+        # An older revision that comes late must not revert newer orders. Two
+        # different values can't have one number: of two operators' documents
+        # with equal revisions the register accepts only one.
         if event.revision <= self._revision:
             return
         self._revision = event.revision
@@ -402,9 +413,9 @@
     ) -> bool:
         """Return whether another order may still take effect.
 
-        An order whose answer was lost may sit in a socket, and an attempt
-        may have been confirmed while another one of it still does. It would
-        undo a newer order, and both carry the same fencing number.
+        An order without an answer may still be in a socket; so may one
+        attempt of an order when another one has been confirmed. It could undo
+        a newer order, as both carry the same fencing number.
         """
         engine.settled_at_by_attempt = {
             attempt: settled_at
--- a/dandeliongw/cell/owner.py
+++ b/dandeliongw/cell/owner.py
@@ -17,9 +17,9 @@
 from . import takeover
 from . import vocabulary
 
-#: Seconds between two looks at the pools' sizes.
+#: Seconds between two reviews of the pools' sizes.
 ROLES_EVERY_S = 0.5
-#: Every message that goes to the owner of ``message.cell``.
+#: The messages that are addressed to the owner of ``message.cell``.
 TO_OWNER = (
     cells.Book,
     cells.PrefillDone,
@@ -30,10 +30,11 @@
 
 
 class Owner:
-    """Makes a cell when its lease is gained, drops it when it is lost.
+    """Creates a cell when its lease is gained, drops it when that is lost.
 
-    A cell's state is not handed over: entries tell a new owner what they
-    hold, see ``takeover.py``, and backend servers renew within a second.
+    A cell's state is not handed over: entries send a new owner the bookings
+    that they hold, see ``takeover.py``, and backend servers renew their
+    announcements within a second.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         self._epochs_by_cell: dict[str, int] = {}
         self._loads_told_by_id: dict[str, float] = {}
         self._takeovers_by_cell: dict[str, takeover.Takeover] = {}
-        #: Cells without a lease, see :meth:`keep`.
+        #: Cells that are kept without a lease, see :meth:`keep`.
         self._kept_cells: set[str] = set()
         self.cells_by_id: dict[str, cells.Cell] = {}
         self.stand_ins = stand_in.StandIns(
@@ -78,7 +79,7 @@
     ) -> list[typing.Any]:
         """Start owning a cell.
 
-        :param instance_ids: all that may hold bookings of it.
+        :param instance_ids: the instances that may hold bookings of it.
         """
         self._epochs_by_cell[cell] = epoch
         self._kept_cells.discard(cell)
@@ -101,23 +102,24 @@
         return [*self._tell_backends(now, cell), *begun.announce()]
 
     def make_policy(self) -> policy.Policy:
-        """Return the policy of a new cell; a hook."""
+        """Return the policy of a new cell; subclasses may override this."""
         return scheduler.Scheduler()
 
     def lose(self, cell: str) -> None:
-        """Stop owning a cell; the next owner starts from what it is told."""
+        """Stop owning a cell and drop its state."""
         self._epochs_by_cell.pop(cell, None)
         self._drop(cell)
 
     def keep(self, cell: str) -> bool:
-        """Go on with a cell whose lease ran out while no voter was heard.
+        """Keep a cell whose lease expired while no voter could be reached.
 
-        Nobody can get the lease meanwhile. If the cell were dropped, each
-        entry would place into its own part of every backend server: among
-        200 that part is smaller than one request, and among more than 20 the
-        entries aren't told of backend servers at all. One would see "no
-        backend server is ready" from all entries until the voters are back.
-        No orders are given, for that takes a lease.
+        No other instance can get the lease meanwhile. If the cell were
+        dropped, each entry would place work within its own part of every
+        backend server. With 200 entries that part is smaller than one
+        request, and with more than 20 the entries don't get announcements of
+        backend servers at all: all would answer "no backend server is ready"
+        until the voters are back. No orders are sent to engines, as those
+        need a lease.
 
         :returns: whether there was a cell to keep.
         """
@@ -129,7 +131,7 @@
         return True
 
     def yield_to(self, cell: str, epoch: int) -> None:
-        """Drop a kept cell, as it has an owner with a lease again."""
+        """Drop a kept cell once another owner has a lease for it."""
         held = self.cells_by_id.get(cell)
         if cell in self._kept_cells and held.epoch < epoch:
             self._drop(cell)
@@ -143,10 +145,11 @@
     def change_document(
         self, now: float, instance_ids: frozenset[str]
     ) -> list[typing.Any]:
-        """Take the document's new terms; drop cells whose service is gone.
+        """Apply a new document; drop cells whose service was removed.
 
-        A service can be back before the lease of its cell is released. The
-        lease is then held already, and no news of gaining it will come.
+        A service can be added again before the lease of its cell is released.
+        No event will then announce the lease, as it is held already, so the
+        cell is created here.
         """
         out = []
         for cell_id, cell in list(self.cells_by_id.items()):
@@ -162,7 +165,7 @@
         return out
 
     def receive(self, event: parts.Received) -> list[typing.Any]:
-        """Take a message for a cell, or say that it isn't owned here."""
+        """Handle a message for a cell, or answer that it isn't owned here."""
         message = event.message
         if self._is_for_stand_in(event):
             return self.stand_ins.receive(event)
@@ -179,7 +182,7 @@
         return [*cell.handle(event), *self._end_takeovers(event.now)]
 
     def _is_for_stand_in(self, event: parts.Received) -> bool:
-        """Whether it is about work that an entry here places by itself."""
+        """Return whether it is for work that this entry places by itself."""
         message = event.message
         if isinstance(message, cells.Book):
             return message.unowned
@@ -200,12 +203,12 @@
         return out
 
     def _held_cell(self, now: float, cell_id: str) -> cells.Cell | None:
-        """Return the cell if its lease is held at this very moment.
+        """Return a cell if its lease is valid now.
 
-        A process that was frozen past its lease wakes up with its cells
-        still in memory and messages waiting in its sockets. Asking the
-        clock before each message keeps it from spending slots that the
-        next owner has already given away.
+        A process that was suspended past its lease resumes with its cells
+        still in memory and messages waiting in its sockets. The lease is
+        checked for each message, so that no slots are booked that the next
+        owner has already booked.
         """
         cell = self.cells_by_id.get(cell_id)
         if cell is None or cell_id in self._kept_cells:
@@ -231,7 +234,7 @@
         return [parts.Send(to=event.sender, message=reply)]
 
     def handle_in_all(self, event: typing.Any) -> list[typing.Any]:
-        """Give an event to every cell that is held."""
+        """Pass an event to every cell whose lease is held."""
         out = []
         for cell_id in list(self.cells_by_id):
             cell = self._held_cell(event.now, cell_id)
@@ -240,7 +243,7 @@
         return out
 
     def tick(self, event: parts.Ticked) -> list[typing.Any]:
-        """Let time pass and pass on the load reports that came since."""
+        """Run the periodic work, after passing on new load reports."""
         return [
             *self._tell_loads(event.now),
             *self.handle_in_all(event),
@@ -251,7 +254,7 @@
         ]
 
     def change_backend(self, now: float, backend_id: str) -> list[typing.Any]:
-        """Tell the backend server's cell that its presence changed."""
+        """Update the cell of a backend server whose presence changed."""
         backend = self._presence.backends_by_id.get(backend_id)
         if backend is None:
             return []
@@ -262,7 +265,7 @@
         return [] if cell is None else self._tell_backends(now, cell)
 
     def hint(self, now: float, hints: presence.CacheHints) -> list[typing.Any]:
-        """Pass cache events on; they are late and may have gaps."""
+        """Pass cache events on; they come late and may have gaps."""
         kind = presence.CacheEventKind
         return self.handle_in_all(
             cells.CacheHint(
@@ -275,7 +278,7 @@
         )
 
     def _review_roles(self, now: float) -> list[typing.Any]:
-        """Move engines between the pools of cells where that gains much."""
+        """Move engines between the pools of a cell, and log each move."""
         if now < self._roles_at or not self._moves_engines:
             return []
         self._roles_at = now + ROLES_EVERY_S
@@ -297,11 +300,14 @@
         return out
 
     def epochs_by_cell(self) -> dict[str, int]:
-        """Return the epochs of cells owned here; callable in any thread."""
+        """Return the epochs of the cells owned here.
+
+        Safe to call from any thread.
+        """
         return self._epochs_by_cell.copy()
 
     def pool_loads(self) -> tuple[effects.PoolLoad, ...]:
-        """Return slots and queues of every pool, as far as owned here."""
+        """Return slots and queue of every pool, summed over owned cells."""
         return tuple(
             self._pool_load(pool) for pool in self._directory.document.pools
         )
--- a/dandeliongw/cell/pairs.py
+++ b/dandeliongw/cell/pairs.py
@@ -1,4 +1,4 @@
-"""Which reader and which decode engine take a prompt together."""
+"""Chooses the prefill engine and the decode engine for a prompt."""
 
 from collections import abc
 import math
@@ -16,36 +16,39 @@
 from .vocabulary import Stage
 from .vocabulary import Weights
 
-#: A prompt goes to its engine so long before the one ahead of it is done. Sent
-#: 0.02 s before, an only reader passed 5.5 prompts a second where it reads one
-#: in 0.09 s: the hops from its answer to the next prompt left it idle.
+#: A prompt is sent to its engine this long before the prefill ahead of it
+#: ends. With 0.02 s, a single prefill engine served 5.5 prompts a second,
+#: although it takes 0.09 s for each: it was idle during the network hops from
+#: its answer to the next prompt.
 SEND_AHEAD_S = 0.1
-#: Times that differ by less than 10 ms count as equal.
+#: Decimal places of compared link times: equal ones differ by at most 10 ms.
 LINK_DIGITS = 2
-#: Planned wait of a KV cache for a link, the longest where wasted prefill
-#: is all that counts and where goodput is. Engines keep the cache for
-#: somewhat under a second, and predictions err by some tenths.
+#: Longest planned wait of a KV cache for a link: the first applies if only
+#: wasted prefill has a weight, the second if only goodput has. Engines keep
+#: the cache for somewhat under a second, and predictions are off by some
+#: tenths.
 LEAST_LINK_WAIT_S = 0.1
 MOST_LINK_WAIT_S = 0.7
-#: Of the versions that didn't look at the weights.
+#: The same, if the weights aren't used.
 FIXED_LINK_WAIT_S = 0.25
-#: Seconds of work that all readers of prompts must have before a decode
-#: engine reads one by itself, which takes it some 0.2 s for 3,000 tokens.
+#: Wait for a prefill engine, in seconds, above which a decode engine does the
+#: prefill itself, which takes it some 0.2 s for 3,000 tokens.
 READ_THERE_AFTER_S = 0.4
-#: How full its KV cache may get by that while readers go on: a queue beside
-#: full engines waits for memory, not for readers, and reading slows what would
-#: free it. Of the value of all calls 0.336 and 0.538 was delivered in one run
-#: each of two loads without this bound and that on pauses, 0.514 and 0.604
-#: with both.
+#: How full a decode engine's KV cache may get by a prefill while prefill
+#: engines are available. A queue beside full decode engines waits for memory,
+#: not for prefill engines, and a prefill slows the streams that would free it.
+#: Without this bound and the one on pauses 0.336 and 0.538 of the value of all
+#: calls was delivered, with both 0.514 and 0.604, in one run each of two
+#: loads.
 READ_THERE_FILL = 0.6
 
 
 class _Source(msgspec.Struct, frozen=True, kw_only=True):
-    """A reader that a prompt may be sent to.
+    """A prefill engine that a prompt may be sent to.
 
-    :param number: its place among all of them; the first wins a tie.
-    :param done_at: when it would have read the prompt.
-    :param ready_at: when its link could then carry the KV cache.
+    :param number: its index in the list of all; the lowest wins a tie.
+    :param done_at: predicted end of the prefill.
+    :param ready_at: when its link could then transfer the KV cache.
     """
 
     state: BackendState
@@ -55,12 +58,12 @@
 
     @property
     def times(self) -> tuple[float, float]:
-        """What its cost depends on, with any decode engine."""
+        """The times that determine its cost with any given decode engine."""
         return self.ready_at, self.done_at
 
 
 class Pairs:
-    """Chooses pairs; keeps nothing from one choice to the next.
+    """Chooses pairs of a prefill and a decode engine; stateless.
 
     :param rooms: finds engines that have room.
     """
@@ -72,11 +75,13 @@
     def place(
         self, now: float, view: CellView, booking: Booking
     ) -> Place | None:
-        """Choose a pair; without a reader in time, a decode engine alone.
+        """Choose a pair, or a decode engine alone if prefill engines are busy.
 
-        It reads the prompt between the tokens of its other work, at half
-        the pace. With no reader left, or all of them busy for long, that is
-        sooner than to wait for one.
+        A decode engine does the prefill between the tokens of its streams, at
+        half the speed. If there is no prefill engine, or all are busy for
+        long, that is faster than waiting for one.
+
+        :returns: ``None`` if the booking has to wait.
         """
         placed = self._choose_pair(now, view, booking)
         if placed is not None or not booking.may_read_there:
@@ -98,11 +103,15 @@
     def _reader_wait_s(
         self, now: float, view: CellView, booking: Booking
     ) -> tuple[float, float]:
-        """Return when a reader is free, and how long its queue then takes.
+        """Return the wait for a prefill engine, in two parts.
+
+        An engine's own backlog isn't enough: it gets its next prompt only
+        when it is nearly done. Without the queue, one prefill engine would
+        have a queue of two seconds while decode engines, which could do
+        prefills, are half empty.
 
-        The reader alone tells little: it gets its next prompt when it is
-        nearly done. One would see a queue of two seconds before one reader
-        while the decode engines, which could read, are half empty.
+        :returns: seconds until the first prefill engine is free, and how long
+            each then needs for its part of the queue.
         """
         readers = self._rooms.readers(now, view, booking)
         if not readers:
@@ -118,10 +127,10 @@
     def _choose_pair(
         self, now: float, view: CellView, booking: Booking
     ) -> Place | None:
-        """Choose the pair over which the KV cache would be moved first.
+        """Choose the pair whose transfer of the KV cache can start first.
 
-        What an engine has cached shortens its work, so prompts go back to
-        the cache they know unless it is busier by more than it saves.
+        Cached blocks shorten a prefill, so a prompt goes to the engine that
+        has cached its prefix, unless that is busier by more than it saves.
         """
         rooms = self._rooms.find(now, view, Role.DECODE, booking)
         if not rooms:
@@ -133,10 +142,11 @@
         best: tuple[tuple[float, ...], int, Place] | None = None
         times: tuple[float, float] | None = None
         for source in sources:
-            # Most readers are ready too late to cost less than one that was
-            # looked at, or exactly when it is. A look at each pair of 20
-            # readers and 39 decode engines took 0.044 of a core at 60
-            # requests a second, and takes 0.020 like this.
+            # Most prefill engines are ready too late to be better than the
+            # best pair so far, or at the same time as the one before.
+            # Comparing all pairs of 20 prefill and 39 decode engines took
+            # 0.044 of a core at 60 requests a second, and takes 0.020 if
+            # these are skipped.
             if best is not None and self._earliest(source) > best[0][0]:
                 break
             if source.times == times:
@@ -157,7 +167,7 @@
     def _sources(
         self, now: float, view: CellView, booking: Booking
     ) -> abc.Iterator[_Source]:
-        """Yield the readers that a prompt may be sent to now."""
+        """Yield the prefill engines that a prompt may be sent to now."""
         readers = self._rooms.readers(now, view, booking)
         for number, state in enumerate(readers):
             done_at = state.prefill_free_at(now)
@@ -176,7 +186,7 @@
             )
 
     def _earliest(self, source: _Source) -> float:
-        """Return the least first part of a cost with this reader."""
+        """Return a lower bound of the first part of this source's costs."""
         if not self._options.links:
             return source.done_at
         return round(source.ready_at, LINK_DIGITS)
@@ -189,9 +199,12 @@
     ) -> tuple[tuple[float, ...], BackendState] | None:
         """Return the least cost and its decode engine.
 
-        A KV cache that waits for a link is evicted in under a second. One
-        would notice imports answered with "evicted" and prompts computed
-        twice; a prefill that would wait long is not started yet.
+        A KV cache that waits for a link is evicted in under a second. So a
+        prefill whose KV cache would wait too long isn't started yet:
+        otherwise imports would be answered with "evicted" and prompts be
+        computed twice.
+
+        :returns: ``None`` if there is no decode engine in time.
         """
         if not self._options.links:
             room = max(rooms, key=lambda each: each.free)
@@ -215,10 +228,11 @@
 def _may_read(
     now: float, view: CellView, state: BackendState, booking: Booking
 ) -> bool:
-    """Whether an engine may read a prompt though readers go on.
+    """Return whether a decode engine may do a prefill beside prefill engines.
 
-    It has to be half empty, and the streams beside it have to stay in time:
-    one prompt at a time, and none that takes longer than they may pause.
+    Its KV cache may get only so full by it, see :data:`READ_THERE_FILL`. Its
+    streams must stay within the token gap's target, so there is one prefill
+    at a time, and none that pauses them for longer.
     """
     pause_s = view.terms.token_gap_s
     has_just_read = any(
@@ -233,10 +247,10 @@
 
 
 def link_wait_s(weights: Weights) -> float:
-    """Return the longest planned wait of a KV cache for a link.
+    """Return the longest planned wait of a KV cache for a link, in seconds.
 
-    A long wait keeps prefill engines busy and risks that results are
-    evicted: the document's weights say which matters more.
+    A longer wait keeps prefill engines busier, but risks that KV caches are
+    evicted: the document's weights decide which matters more.
     """
     total = weights.goodput + weights.wasted_prefill
     part = weights.goodput / total if total > 0.0 else 0.5
--- a/dandeliongw/cell/policy.py
+++ b/dandeliongw/cell/policy.py
@@ -1,7 +1,8 @@
-"""What a policy decides for a cell.
+"""The interface of scheduling policies.
 
-The owner (:mod:`.cells`) asks a :class:`Policy` where a piece of work goes,
-when, or why not. Policies are pure.
+The owner of a cell (:mod:`.cells`) calls a :class:`Policy` to decide where
+and when a booking starts, or why it is refused. Policies do no I/O and read
+no clock.
 """
 
 import typing
@@ -13,12 +14,12 @@
 from .vocabulary import Booking
 from .vocabulary import Role
 
-#: Retry-After where nothing better is known.
+#: Retry-After in seconds, if there is no better estimate.
 DEFAULT_RETRY_AFTER_S = 1.0
 
 
 class Place(msgspec.Struct, frozen=True, kw_only=True):
-    """Start the work on these backend servers in ``start_in_s``."""
+    """Start the work on these backend servers, in ``start_in_s``."""
 
     prefill_id: str = ''
     decode_id: str = ''
@@ -27,13 +28,13 @@
 
 
 class Wait(msgspec.Struct, frozen=True, kw_only=True):
-    """Keep the work in the queue; it starts in about ``expected_s``."""
+    """Queue the work; it is expected to start in ``expected_s``."""
 
     expected_s: float
 
 
 class Decline(msgspec.Struct, frozen=True, kw_only=True):
-    """Refuse at once."""
+    """Refuse the work."""
 
     reason: RefusalReason
     message: str
@@ -49,22 +50,22 @@
     def decide(
         self, *, now: float, view: CellView, booking: Booking
     ) -> Decision:
-        """Say where a new piece of work goes."""
+        """Decide on a new booking."""
         ...
 
     def dispatch(
         self, *, now: float, view: CellView
     ) -> list[tuple[Booking, Decision]]:
-        """Say which of ``view.queue`` start now, or are refused after all.
+        """Decide which bookings of ``view.queue`` start now or are refused.
 
-        The caller applies the decisions and asks again until there are
+        The caller applies the decisions and calls this again until there are
         none, so an implementation may return one at a time.
         """
         ...
 
 
 def no_backend(role: Role) -> Decline:
-    """Return the refusal for a role that no backend server fills."""
+    """Return the refusal if there is no backend server of a role."""
     return Decline(
         reason=RefusalReason.NO_BACKEND,
         message=f'no {role.value} backend server is ready',
--- a/dandeliongw/cell/prediction.py
+++ b/dandeliongw/cell/prediction.py
@@ -1,4 +1,4 @@
-"""When work would start, and until when it may."""
+"""Predicts when work will start, and computes until when it may."""
 
 import heapq
 import math
@@ -8,31 +8,34 @@
 from .vocabulary import Booking
 from .vocabulary import Role
 
-#: Engine seconds of a decode engine for each second that a reader needs for
-#: the same prompt: it reads at half of a reader's pace.
+#: How many times as long a decode engine takes for a prefill as a prefill
+#: engine: it works at half the speed.
 READ_THERE_SLOWER = 2.0
-#: Tokens of a prompt that a decode engine reads between two tokens of its
-#: streams: a quarter of the 2,048 of a reader, by the engines' description.
+#: Tokens of a prompt that a decode engine computes at once, as one chunk,
+#: between two tokens of its streams: a quarter of a prefill engine's 2,048, by
+#: the engines' description.
 READ_PART_TOKENS = 512
-#: Of a priority that the document doesn't know.
+#: Rank of a priority that isn't in the document.
 LAST_RANK = 1_000
 
 
 def rank_of(view: CellView, booking: Booking) -> int:
-    """Return the rank of work; lower goes first."""
+    """Return the rank of a booking's priority; lower goes first."""
     return view.terms.rank_by_priority.get(booking.priority, LAST_RANK)
 
 
 def prefill_s(view: CellView, booking: Booking) -> float:
-    """Return how long a prompt takes on an engine of usual speed."""
+    """Return how long a prefill takes at nominal speed, in seconds."""
     return booking.prompt_tokens / view.terms.prefill_tokens_per_s
 
 
 def reading_pause_s(view: CellView, prompt_tokens: float) -> float:
-    """Return the longest pause in streams beside a prompt that is read there.
+    """Return the longest pause of streams by a prefill on a decode engine.
 
-    A decode engine reads between the tokens of its streams, so a piece of
-    many tokens waits for many parts of the prompt.
+    The engine computes one chunk of the prefill between two tokens of its
+    streams, so a piece of many tokens is delayed by many chunks.
+
+    :returns: in seconds, between two pieces of a stream.
     """
     read_s = READ_THERE_SLOWER / view.terms.prefill_tokens_per_s
     part_s = READ_PART_TOKENS * read_s
@@ -40,9 +43,9 @@
 
 
 def latest_start(view: CellView, booking: Booking) -> float:
-    """Return until when work may start and isn't refused after all.
+    """Return the latest start of a booking; after it, the work is refused.
 
-    Work that would miss it on idle engines may start only at once.
+    That is its arrival, if it would be late even on idle engines.
     """
     terms = view.terms
     patience_s = terms.max_wait_s_by_priority.get(booking.priority, 0.0)
@@ -55,26 +58,29 @@
 
 
 def timely_start(view: CellView, booking: Booking) -> float:
-    """Return until when work may start and still meet its target."""
+    """Return the latest start at which a booking meets its target."""
     target_at = booking.arrived_at + view.terms.first_token_s
     return target_at - first_token_s(view, booking)
 
 
 def first_token_s(view: CellView, booking: Booking) -> float:
-    """Return how long from the start to the first token."""
+    """Return the time from the start to the first token, in seconds."""
     work_s = prefill_s(view, booking)
     gap_s = view.terms.tokens_per_piece / view.stream_tokens_per_s
-    # The first step may have to wait for the end of the one that runs.
+    # The first decode step may have to wait for the one in progress.
     return work_s + view.transfer_s(booking) + 2 * gap_s
 
 
 def expected_start(
     now: float, view: CellView, ordered: list[Booking]
 ) -> float:
-    """Return when the last of some queued work will start.
+    """Return when the last of some queued bookings will start.
+
+    Simulates the queue: in order, each booking gets the next slot and the
+    next prefill engine to become free.
 
-    Goes through the work in order, giving each the next slot and the next
-    prefill engine to be free.
+    :param ordered: the queue, in the order in which it is served.
+    :returns: infinity if there are no engines for it.
     """
     slots = _slot_times(now, view, ordered[-1])
     engines = [
@@ -82,7 +88,7 @@
         for state in rooms.serving(now, view, Role.PREFILL)
     ]
     if not engines and ordered[-1].may_read_there:
-        # Decode engines read then, each one prompt at a time.
+        # Decode engines do the prefills, each one at a time.
         engines = [now for _ in rooms.serving(now, view, Role.DECODE)]
     if not slots or not engines:
         return math.inf
@@ -93,8 +99,8 @@
         starts_at = max(heapq.heappop(slots), engines[0])
         done_at = starts_at + prefill_s(view, booking)
         moved_at = done_at + view.transfer_s(booking)
-        # Prefill and link of an engine work at the same time, each on
-        # another prompt; the slower of the two sets the pace.
+        # An engine computes one prompt while it transfers another one; the
+        # slower of the two determines the throughput.
         paced_at = max(done_at, starts_at + view.transfer_s(booking))
         heapq.heapreplace(engines, paced_at)
         heapq.heappush(slots, moved_at + view.decode_s(booking))
@@ -102,7 +108,7 @@
 
 
 def _slot_times(now: float, view: CellView, booking: Booking) -> list[float]:
-    """Return when each decode slot is free that such work fits in."""
+    """Return when each decode slot with room for a booking will be free."""
     times = []
     for state in rooms.serving(now, view, Role.DECODE):
         free = view.slots_for(state, booking) - state.slots_used
@@ -111,6 +117,7 @@
             max(now, booking.decode_ends_at)
             for booking in state.bookings_by_key.values()
         )
-        # Above the cap the first to end give no slot back.
+        # If more slots are used than are open, the first ones that end
+        # free no slot.
         times.extend(ends[max(0, -free) :])
     return times
--- a/dandeliongw/cell/prefixes.py
+++ b/dandeliongw/cell/prefixes.py
@@ -1,18 +1,18 @@
-"""Which leading parts of a prompt an engine may have cached."""
+"""Hashes of a prompt's prefixes, to match them with engines' caches."""
 
 import xxhash
 
-#: Words of a prompt that share one prefix hash.
+#: Size of a block, in words; each block has one hash.
 BLOCK_TOKENS = 64
 
 
 def hash_blocks(
     prompt: str, block_tokens: int = BLOCK_TOKENS
 ) -> tuple[str, ...]:
-    """Return a hash for each whole block of a prompt.
+    """Return a hash for each full block of a prompt.
 
     Each hash covers the prompt up to the end of its block, so that equal
-    hashes mean equal prefixes. A last block that isn't full has none.
+    hashes mean equal prefixes. An incomplete last block has no hash.
     """
     words = prompt.split()
     hashes = []
--- a/dandeliongw/cell/roles.py
+++ b/dandeliongw/cell/roles.py
@@ -1,12 +1,12 @@
-"""How many engines of a cell should read prompts, and how many decode.
-
-Both pools work on every request. With too many engines in one of them the
-other is full first, and callers are turned away while engines stand idle.
-Where decode engines can read prompts without pauses that make the streams
-beside them late, they are the reserve: what the readers have no time for is
-read there, more slowly. An engine that changes its role takes no work for some
-seconds, so engines are moved only where that gains much, a few at a time, and
-the next ones not before a good while.
+"""Balances the engines of a cell between the prefill and the decode pool.
+
+Every request needs an engine of each pool. If one pool has too many engines,
+the other one is full first, and requests are refused while engines are idle.
+Decode engines can serve as a reserve for prefills, if that doesn't pause their
+other streams for too long: they do what the prefill engines have no time for,
+more slowly. An engine that changes its role gets no work for some seconds. So
+engines are moved only if that can raise the cell's throughput by over a fifth,
+at most a tenth of them at a time, and with a cooldown between moves.
 """
 
 from collections import abc
@@ -20,36 +20,39 @@
 from . import vocabulary
 from .forecast import FILL_PART
 
-#: Requests seen before their mean counts for anything.
+#: Number of requests before their mean is used.
 LEAST_SEEN = 12
-#: Smallest gain in the requests a second that all engines carry together,
-#: between what is and the best split, that is worth a move. Weighing a single
-#: move instead would leave a large cell as it is: with 11 and 19 engines one
-#: more gains 1 part in 20.
+#: Least throughput of the best split, as a multiple of the present one, that
+#: is worth a move. The gain of a single move is no measure: with 11 and 19
+#: engines one more gains only 1 part in 20, and a large cell would never
+#: change.
 LEAST_GAIN = 1.2
-#: Part of a cell's engines that move at one time; one engine at the least.
+#: Most of a cell's engines that move at one time, as a part of them; at least
+#: one engine.
 MOST_MOVING_PART = 0.1
-#: Seconds in which an engine should have taken its new role on.
+#: Seconds after which a move is given up if the engine hasn't taken its role.
 MOST_SWITCH_S = 15.0
-#: Seconds between two moves in one cell. An order that got no answer may be
-#: carried out a dozen seconds later; it must not cross the next one.
+#: Cooldown between two moves in one cell, in seconds. An order that got no
+#: answer may take effect a dozen seconds later; it must not cross the next
+#: one.
 REST_S = 20.0
-#: Engines that a pool keeps when it gives one to a pool that has some: with
-#: a single one, decode engines read what it has no time for, and everything
-#: once it fails; the streams beside a prompt pause. In the same four seconds
-#: 27 of 139 requests were late with one, 2 with two.
+#: Engines that a pool keeps when it gives some to a pool that isn't empty.
+#: With a single prefill engine, decode engines do the prefills that it has no
+#: time for, and all of them if it fails, which pauses their other streams. In
+#: the same four seconds 27 of 139 requests were late with one, 2 with two.
 LEAST_LEFT = 2
-#: Seconds that a pool must have been empty before the rest is cut short;
-#: longer than all engines take to show up again after a power loss.
+#: Seconds for which a pool must have been empty before the cooldown is cut
+#: short; longer than all engines take to reappear after a power loss.
 EMPTY_S = 3.0
-#: Times in a row that a dead engine has been left out, as it refused.
+#: An engine that refuses connections counts as dead from this number of
+#: successive ejections.
 EJECTIONS_OF_DEAD = 2
-#: Weight of a new request in the means.
+#: Weight of a new request in the moving averages.
 SMOOTHING = 0.05
 
 
 class Switch(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine on its way to another role."""
+    """A move of an engine to another role, not yet completed."""
 
     backend_id: str
     role: vocabulary.Role
@@ -57,7 +60,7 @@
 
 
 class RoleBalance:
-    """Watches the work of one cell and moves engines between its pools."""
+    """Measures the load of one cell and moves engines between its pools."""
 
     def __init__(self) -> None:
         self.switches_by_id: dict[str, Switch] = {}
@@ -65,7 +68,7 @@
         self._rest_until = -math.inf
         self._empty_since: float | None = None
         self._may_read_there = False
-        #: Engine seconds that a request takes, by role.
+        #: Mean engine seconds that a request takes, by role.
         self._work_by_role = {
             vocabulary.Role.PREFILL: 0.0,
             vocabulary.Role.DECODE: 0.0,
@@ -74,7 +77,7 @@
     def note(
         self, view: cell_view.CellView, booking: vocabulary.Booking
     ) -> None:
-        """Take a request into the means."""
+        """Update the means with a new request."""
         self._seen += 1
         pause_s = prediction.reading_pause_s(view, math.inf)
         self._may_read_there = (
@@ -103,11 +106,11 @@
         }
 
     def forget(self, backend_id: str) -> None:
-        """End the move of an engine that has started again meanwhile."""
+        """End the move of an engine that has restarted meanwhile."""
         self.switches_by_id.pop(backend_id, None)
 
     def review(self, now: float, view: cell_view.CellView) -> bool:
-        """Begin or end moves; return whether anything changed."""
+        """Begin or end moves; return whether any were begun or ended."""
         if self.switches_by_id:
             return self._end_switches(now, view)
         rests = now < self._rest_until and not self._stays_empty(now, view)
@@ -121,7 +124,7 @@
         return True
 
     def _stays_empty(self, now: float, view: cell_view.CellView) -> bool:
-        """Return whether a pool has had no engine at all for a while."""
+        """Return whether a pool has been empty for :data:`EMPTY_S`."""
         if all(view.candidates(role, ()) for role in self._work_by_role):
             self._empty_since = None
             return False
@@ -142,7 +145,7 @@
     def _choose(
         self, now: float, view: cell_view.CellView
     ) -> dict[str, Switch]:
-        """Return the moves to begin, by engine; mostly none."""
+        """Return the moves to begin, by backend id; empty in most cases."""
         well_by_role = self._well_by_role(now, view)
         counts = {role: len(well) for role, well in well_by_role.items()}
         splits = [
@@ -172,7 +175,7 @@
         }
 
     def _rate(self, counts: abc.Mapping[vocabulary.Role, int]) -> float:
-        """Return how many requests a second a split of the engines carries."""
+        """Return the requests a second that a split of the engines serves."""
         readers, decoders = (
             counts[vocabulary.Role.PREFILL],
             counts[vocabulary.Role.DECODE],
@@ -185,19 +188,19 @@
         decoded = decoders / decode_s if decode_s else math.inf
         if decoded <= read or not self._may_read_there:
             return min(read, decoded)
-        # Of each request beyond what the readers carry, a decode engine has
-        # the prompt to read as well.
+        # Decode engines also do the prefills of the requests beyond the
+        # capacity of the prefill engines.
         slower = prediction.READ_THERE_SLOWER
         return (decoders + readers * slower) / (decode_s + slower * read_s)
 
 
 def _carries_work(now: float, state: backend_state.BackendState) -> bool:
-    """Whether an engine counts, though it may be left out for the moment.
+    """Return whether an engine counts, even if it is ejected right now.
 
-    A move takes an engine out of work for ten seconds; one that loses some
-    of its work, or a connection, is left out for two. With those counted for
-    nothing, a pool whose engines were all left out at once got one from the
-    other pool. One that is dead fails again, or is told gone.
+    A move costs ten seconds of an engine's work, an ejection for some failed
+    work or one connection two. If ejected engines didn't count, a pool whose
+    engines are all ejected at once would get one from the other pool. A dead
+    engine is ejected again, or its announcement expires.
     """
     health = state.health
     if not health.is_ejected(now):
@@ -220,7 +223,7 @@
     giver: vocabulary.Role,
     to: vocabulary.Role,
 ) -> list[dict[vocabulary.Role, int]]:
-    """Return the splits that one pool can come to by giving engines."""
+    """Return the splits that moves from ``giver`` to ``to`` can lead to."""
     left = LEAST_LEFT if counts[to] else 1
     return [
         {to: counts[to] + moved, giver: counts[giver] - moved}
@@ -237,7 +240,11 @@
 def _decode_work_s(
     view: cell_view.CellView, booking: vocabulary.Booking
 ) -> float:
-    """Return engine seconds, by slots or by memory, whichever is scarcer."""
+    """Return the engine seconds that an answer takes.
+
+    They follow from its part of the slots or of the KV cache, whichever is
+    larger.
+    """
     answer = view.answer_tokens(booking)
     stream_s = view.decode_s(booking)
     slots = view.terms.slots_by_role.get(vocabulary.Role.DECODE, 1)
--- a/dandeliongw/cell/rooms.py
+++ b/dandeliongw/cell/rooms.py
@@ -1,4 +1,4 @@
-"""Which backend servers may get new work, and how much."""
+"""Selects the backend servers that may get new work, and their free slots."""
 
 import math
 
@@ -10,13 +10,13 @@
 from .vocabulary import Role
 from .vocabulary import Stage
 
-#: With less than half of a role's places trusted, the rest is used, too.
-#: Estimate: up to then others can carry what a distrusted one would.
+#: If a smaller part of a role's slots than this is open to new work, ejected
+#: backend servers are used, too: above it, the others can carry their work.
 LEAST_TRUSTED_PART = 0.5
 
 
 class Room(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server with slots that may be booked now."""
+    """A backend server that may be booked now, with its free slots."""
 
     state: BackendState
     free: int
@@ -25,8 +25,8 @@
 class Rooms:
     """Finds the backend servers of a role that have room for a booking.
 
-    :param heeds_health: leave out what keeps failing.
-    :param heeds_cap: use no more slots than the token gap's target bears.
+    :param heeds_health: leave out ejected backend servers.
+    :param heeds_cap: use no more slots than meet the token gap's target.
     """
 
     def __init__(self, *, heeds_health: bool, heeds_cap: bool) -> None:
@@ -36,9 +36,9 @@
     def usable(
         self, now: float, view: CellView, role: Role, booking: Booking
     ) -> list[BackendState]:
-        """Return those that may get work.
+        """Return the backend servers of a role that may get work.
 
-        If every one is left out, these are those that take connections; if
+        If all are ejected, these are the ones that accept connections; if
         none does, all.
         """
         candidates = candidates_for(view, role, booking)
@@ -60,14 +60,15 @@
     ) -> list[Room]:
         """Return the backend servers with free slots.
 
-        Where faults take trust from most of a role at once, the rest can't
-        do their work. Of two servers that lose some answers each would
-        carry one call instead of all it has slots for; one would see calls
-        refused while places are free. Their slots are used then, once those
-        of trusted ones are full; but none of one that is dead.
+        If no healthy one has a free slot, ejected ones are used where most of
+        the role's slots are held back, since the rest can't carry all the
+        work. Otherwise two servers that both lose some answers would take one
+        call each instead of one for each slot, and calls would be refused
+        while slots are free. Servers that refuse connections stay left out.
 
-        A decode engine some of whose work goes well is used even before
-        that: six in ten of its streams served are more than none.
+        An ejected decode engine on which some work succeeds is used even if
+        most of its role is healthy: serving six in ten of its streams is
+        better than serving none.
         """
         rooms = [
             Room(state=state, free=self._trusted_slots(now, state))
@@ -94,11 +95,12 @@
     ) -> list[BackendState]:
         """Return the prefill engines that may get a prompt.
 
-        A decode engine that reads in their place is slow at both, and all
-        its streams with it. With readers left out for failing now and then,
-        one would see streams late for seconds while readers are idle. Where
-        all failed some of their calls, 0.96 of the calls of a day were
-        served instead of 0.81, one run each.
+        Ejected ones on which some work succeeds are included where most of
+        the role's slots are held back. Otherwise decode engines would do the
+        prefills, which is slow and delays their streams, while prefill
+        engines are idle. Where all prefill engines failed some of their
+        calls, 0.96 of the calls of a day were served instead of 0.81, one run
+        each.
         """
         usable = self.usable(now, view, Role.PREFILL, booking)
         if not booking.may_read_there or not self._heeds_health:
@@ -118,7 +120,10 @@
         return state.slots_open if self._heeds_cap else state.backend.slots
 
     def _trusted_slots(self, now: float, state: BackendState) -> int:
-        """Return how many slots are free of those open to new work now."""
+        """Return the free slots, counting only those open to new work now.
+
+        During slow start only a part of the slots is open.
+        """
         slots = self._slots(state)
         if self._heeds_health:
             slots = max(1, math.floor(slots * state.health.open_part(now)))
@@ -126,12 +131,18 @@
 
 
 def freest(rooms: list[Room]) -> BackendState:
-    """Return the one with the most free slots; ``rooms`` must not be empty."""
+    """Return the backend server with the most free slots.
+
+    :param rooms: must not be empty.
+    """
     return max(rooms, key=lambda room: room.free).state
 
 
 def is_most_distrusted(now: float, view: CellView, role: Role) -> bool:
-    """Return whether over half of a role's places are held back."""
+    """Return whether over half of a role's slots are closed to new work.
+
+    Slots are closed while their backend server is ejected or in slow start.
+    """
     parts = [
         state.health.open_part(now) for state in view.candidates(role, ())
     ]
@@ -139,10 +150,11 @@
 
 
 def _is_of_use(state: BackendState) -> bool:
-    """Whether a distrusted server is better than none.
+    """Return whether an ejected server is better than none.
 
-    Decode engines can read in the place of a prefill engine, so that one has
-    to have done some work; of the others it is enough that they take any.
+    A prefill engine must have done some work well, as decode engines can do
+    prefills in its place. For other roles it is enough that connections to
+    the server aren't refused.
     """
     if state.backend.role is Role.PREFILL:
         return state.health.works_in_part
@@ -155,7 +167,7 @@
 
 
 def serving(now: float, view: CellView, role: Role) -> list[BackendState]:
-    """Return those that get work now, whether or not they have room."""
+    """Return the backend servers that get work now, even if they are full."""
     candidates = view.candidates(role, ())
     if is_most_distrusted(now, view, role):
         return [state for state in candidates if _is_of_use(state)]
@@ -170,10 +182,11 @@
 def candidates_for(
     view: CellView, role: Role, booking: Booking
 ) -> list[BackendState]:
-    """Return the backend servers that this work may go to.
+    """Return the backend servers that a booking may be placed on.
 
-    A whole new attempt may go where one failed, if there is nowhere else;
-    a KV cache that was refused everywhere may not, at once.
+    A new attempt that needs a prefill may go to excluded backend servers if
+    there are no others. A KV cache that all decode engines refused may not:
+    they would refuse it again.
     """
     candidates = view.candidates(role, booking.exclude)
     if not candidates and booking.stage is Stage.PAIR:
--- a/dandeliongw/cell/scheduler.py
+++ b/dandeliongw/cell/scheduler.py
@@ -1,4 +1,4 @@
-"""The policy in force: exact slots, booked before a prefill starts."""
+"""The default policy: decode slots are booked before the prefill starts."""
 
 import enum
 
@@ -21,38 +21,41 @@
 from .vocabulary import ROLES_BY_STAGE
 from .vocabulary import Stage
 
-#: Of a KV cache that waits for an engine: before all others.
+#: Rank of a KV cache that waits for a decode engine: before all other work.
 MOVE_RANK = -1
-#: Patient work keeps at least a tenth in every prediction.
+#: Cap of the part of a cell that predictions reserve for work of better rank,
+#: so that a tenth is always left for the rest.
 MOST_PASSING = 0.9
-#: Part of its caller's time for which a last chance may wait.
+#: Part of its deadline for which resent work may wait.
 LAST_CHANCE_PART = 0.85
-#: Seconds that work goes back in the queue for each second that its answer
-#: will take. Memory is held for as long, and answers differ by a factor of
-#: eight: with the short ones first more are in time. An answer of 8 s, the
-#: longest, goes back by 2 s, so that none waits without end.
+#: Seconds that work is moved back in the queue for each second that its
+#: answer is expected to take. Memory is held for as long, and answers differ
+#: by a factor of eight: if short ones go first, more are in time. The longest
+#: answer, of 8 s, is moved back by 2 s, so none starves.
 LENGTH_HANDICAP = 0.25
-#: Part of its time that a call of a plain service waits for a slot.
+#: Part of its deadline for which a call of a plain service waits for a slot.
 PLAIN_WAIT_PART = 0.25
 #: Calls that may wait for each slot. They take about a tenth of a second, so
-#: the last is served within half a second, a quarter of what callers wait.
+#: the last is served within half a second, a quarter of the clients' timeout.
 PLAIN_QUEUE_PER_SLOT = 4
 
 
 class _Hope(enum.IntEnum):
-    """Whom a start now helps most; lower goes first."""
+    """Order of work within a rank; lower goes first."""
 
+    #: Can still meet its first-token target.
     IN_TIME = 0
+    #: Was refused before and won't be sent again.
     LAST_CHANCE = 1
-    #: Late, and not yet turned away once.
+    #: Late, but not refused before: its client may send it again.
     MAY_COME_AGAIN = 2
 
 
 class Scheduler:
     """Books a prefill engine and a decode slot together, or refuses.
 
-    A decode slot is taken before the prefill starts, so that its result
-    never waits for one until it is evicted.
+    The decode slot is booked before the prefill starts. Otherwise the KV
+    cache could wait for one until it is evicted.
     """
 
     def __init__(self, *, options: Options = Options()) -> None:
@@ -61,7 +64,7 @@
             heeds_health=options.health, heeds_cap=options.cap
         )
         self._pairs = pairs.Pairs(options=options, rooms=self._rooms)
-        #: Slot seconds and prefill seconds that were let in, by rank.
+        #: Slot seconds and prefill seconds of admitted work, by rank.
         self._slot_flow_by_rank: dict[int, Flow] = {}
         self._prefill_flow_by_rank: dict[int, Flow] = {}
         self._shares_by_rank: dict[int, FairShares] = {}
@@ -93,9 +96,9 @@
     def _decide_plain(
         self, now: float, view: CellView, booking: Booking
     ) -> Decision:
-        """Let a call of a plain service wait a little for a free slot.
+        """Place a call of a plain service, queue it shortly, or refuse it.
 
-        Calls come in bunches that are over sooner than a caller is back.
+        Bursts of such calls end sooner than a refused client would retry.
         """
         placed = None if view.queue else self._place(now, view, booking)
         if placed is not None:
@@ -109,11 +112,12 @@
     def _decide_move(
         self, now: float, view: CellView, booking: Booking
     ) -> Decision:
-        """Let a KV cache wait for an engine as long as it is kept.
+        """Place a KV cache, or let it wait until it is evicted.
 
-        Where memory is short, an engine with room right now is rare: what
-        becomes free goes to the queue at once. Refused at once, one would
-        see each prompt read again whose first engine refused it.
+        Where memory is short, an engine rarely has room right now, as freed
+        memory goes to the queue at once. If the move were refused at once,
+        each prompt whose first decode engine refused it would need a second
+        prefill.
         """
         placed = self._place(now, view, booking)
         if placed is not None:
@@ -137,10 +141,10 @@
     def _is_over_share(
         self, now: float, view: CellView, booking: Booking
     ) -> bool:
-        """Return whether the account has its share of what its rank gets.
+        """Return whether an account exceeds its share of its rank's capacity.
 
-        Ranks are held apart: an account's many patient calls say nothing
-        against its urgent ones.
+        Ranks are counted separately: many patient calls of an account don't
+        limit its urgent ones.
         """
         rank = prediction.rank_of(view, booking)
         slots = sum(
@@ -161,10 +165,11 @@
     def _passing_part(
         self, now: float, view: CellView, booking: Booking
     ) -> float:
-        """Return the part of the cell that goes to work of better rank.
+        """Return the part of the cell that work of better rank takes.
 
-        Such work keeps coming while this waits, and passes it. One would
-        notice work that was admitted, waited to its bound and was refused.
+        Such work keeps arriving while this booking waits, and goes first.
+        Without this, work would be admitted, wait until its latest start and
+        then be refused.
         """
         rank = prediction.rank_of(view, booking)
         parts = []
@@ -184,7 +189,10 @@
     def dispatch(
         self, *, now: float, view: CellView
     ) -> list[tuple[Booking, Decision]]:
-        """Place the first in the queue, or refuse one that is too late."""
+        """Place the first of the queue, or refuse one past its latest start.
+
+        :returns: one decision; none if the first can't be placed yet.
+        """
         late = [each for each in view.queue if now > each.latest_start_at]
         if late:
             first = self._first(now, view, late)
@@ -202,7 +210,7 @@
         self, now: float, view: CellView, booking: Booking
     ) -> tuple[float, ...]:
         if booking.stage is Stage.DECODE:
-            # A KV cache is kept for half a second only.
+            # Engines keep a KV cache for half a second only.
             return MOVE_RANK, booking.arrived_at
         if self._options.order is Order.ARRIVAL:
             return (booking.arrived_at,)
@@ -239,8 +247,8 @@
             starts_at = now + (starts_at - now) / left
         latest = prediction.latest_start(view, booking)
         if booking.resent:
-            # Turned away once more, its caller would be lost; but it is told
-            # before it leaves by itself.
+            # Its client doesn't retry after another refusal, so it may wait
+            # longer; but it gets an answer before its own deadline.
             patience_s = booking.deadline_at - booking.arrived_at
             latest = booking.arrived_at + LAST_CHANCE_PART * patience_s
         spare_s = self._options.spare * (latest - booking.arrived_at)
@@ -266,11 +274,10 @@
 
 
 def _hope(now: float, view: CellView, booking: Booking) -> _Hope:
-    """Return what a start now is worth to its caller.
+    """Return how urgent a booking is within its rank.
 
-    With those who came before in front, one overload would make all that
-    follows late; one would see a queue in which nothing is in time for
-    minutes after its cause.
+    In order of arrival, late work would go first and make all that follows
+    late, too: for minutes after an overload nothing would be in time.
     """
     if booking.resent:
         return _Hope.LAST_CHANCE
@@ -280,7 +287,7 @@
 
 
 def _plain_slots(view: CellView) -> int:
-    """Return how many calls of a plain service run at one time."""
+    """Return how many calls of a plain service can run at one time."""
     return sum(
         state.backend.slots for state in view.candidates(Role.PLAIN, ())
     )
--- a/dandeliongw/cell/shares.py
+++ b/dandeliongw/cell/shares.py
@@ -3,44 +3,44 @@
 from collections import abc
 import math
 
-#: How fast a measured rate forgets, in seconds.
+#: Time constant of the exponential decay of rates, in seconds.
 FADES_S = 10.0
-#: An account may exceed its share by this part before it is limited, so
-#: that the noise of a few seconds limits nobody.
+#: An account is limited above this multiple of its share, so that noise over
+#: a few seconds limits none.
 SLACK = 1.2
-#: How long a computed level is used again.
+#: Seconds for which a computed fair level is reused.
 LEVEL_KEPT_S = 0.5
-#: Accounts that used less than this are forgotten, in slots.
+#: Accounts with a lower rate are dropped, in slots.
 LEAST_RATE = 1e-3
 
 
 class Flow:
-    """A rate, as a moving average that fades over :data:`FADES_S`."""
+    """A rate as an exponentially decaying average, see :data:`FADES_S`."""
 
     def __init__(self) -> None:
         self._rate = 0.0
         self._at = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Count an amount."""
+        """Add an amount."""
         self._rate = self.rate(now) + amount / FADES_S
         self._at = now
 
     def rate(self, now: float) -> float:
-        """Return the rate a second."""
+        """Return the average amount a second."""
         return self._rate * math.exp((self._at - now) / FADES_S)
 
 
 def fair_level(
     demands: abc.Iterable[tuple[float, float]], capacity: float
 ) -> float:
-    """Return the level at which shares use up the capacity.
+    """Return the level of a weighted max-min fair allocation.
 
-    Who wants less than the level times its weight gets all it wants; what
-    it leaves is divided between the others.
+    An account whose demand is below the level times its weight gets all of
+    it; the rest is divided between the others.
 
     :param demands: (demand, weight) of each account.
-    :return: infinity if there is enough for all.
+    :returns: infinity if the capacity is enough for all.
     """
     ordered = sorted(demands, key=lambda each: each[0] / each[1])
     left = capacity
@@ -55,10 +55,10 @@
 
 
 class FairShares:
-    """Tells which accounts take more than their share of a full cell.
+    """Finds the accounts that take more than their share of a full cell.
 
-    One busy account would else fill the queue, and all others would be
-    refused with it; one would notice refusals of accounts that ask little.
+    Without this, one busy account would fill the queue, and accounts with
+    little work would be refused, too.
     """
 
     def __init__(self) -> None:
@@ -68,12 +68,18 @@
         self._level_at = -math.inf
 
     def want(self, now: float, account: str, slot_s: float) -> None:
-        """Count what an account asks for."""
+        """Add work that an account requested.
+
+        :param slot_s: slots times seconds.
+        """
         flow = self._wanted_by_account.setdefault(account, Flow())
         flow.add(now, slot_s)
 
     def give(self, now: float, account: str, slot_s: float) -> None:
-        """Count what an account gets."""
+        """Add work of an account that was admitted.
+
+        :param slot_s: slots times seconds.
+        """
         flow = self._given_by_account.setdefault(account, Flow())
         flow.add(now, slot_s)
 
@@ -84,7 +90,7 @@
         weights: abc.Mapping[str, float],
         capacity: float,
     ) -> bool:
-        """Return whether an account has more than its share.
+        """Return whether an account uses more than its share.
 
         :param weights: by account; one if absent.
         :param capacity: slots of the cell.
--- a/dandeliongw/cell/stand_in.py
+++ b/dandeliongw/cell/stand_in.py
@@ -1,11 +1,12 @@
-"""Places the work of one entry while a cell's owner is silent.
+"""Places the work of one entry while a cell's owner doesn't answer.
 
-A lease has to run out before another instance may own a cell. For those
+A lease has to expire before another instance may own a cell. For those
 seconds, and for as long as no majority of the voters can be reached, an entry
-would turn every caller away although backend servers are free. Instead it
-places its own work, within its share of every backend server: all entries
-together spend no more than there is. What the former owner gave away is not
-known here, so a backend server may refuse; it says then that nothing ran.
+would refuse all requests although backend servers are free. Instead it places
+its own work, within its share of every backend server, so that all entries
+together use no more than there is. The bookings of the former owner are
+unknown here, so a backend server may be full and refuse; it then reports that
+nothing ran.
 """
 
 from collections import abc
@@ -19,17 +20,17 @@
 from . import policy
 from . import vocabulary
 
-#: Its epoch is below that of any owner.
+#: Epoch of these cells, below that of any owner.
 EPOCH = 0
 
 
 class StandIns:
-    """One cell of its own for each that an entry places into.
+    """Local cells, one for each cell whose owner doesn't answer.
 
-    :param terms_of: what the document says about a cell, or ``None``.
-    :param backends_of: the backend servers of a cell that may get work.
-    :param entries: how many entries share them, this one included.
-    :param make_policy: of a new cell.
+    :param terms_of: returns a cell's settings from the document, or ``None``.
+    :param backends_of: returns a cell's backend servers that may get work.
+    :param entries: returns how many entries share them, with this one.
+    :param make_policy: returns the policy of a new cell.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self.cells_by_id: dict[str, cells.Cell] = {}
 
     def receive(self, event: parts.Received) -> list[typing.Any]:
-        """Take a message of this instance's own entry."""
+        """Handle a message of this instance's own entry."""
         message = event.message
         if isinstance(message, cells.Book):
             cell = self._refreshed(event.now, message.cell)
@@ -58,12 +59,12 @@
         return [] if cell is None else _messages(cell.handle(event))
 
     def holds(self, cell_id: str, key: tuple[str, str]) -> bool:
-        """Whether work was placed here, and not by the cell's owner."""
+        """Return whether a booking was made here, not by the cell's owner."""
         cell = self.cells_by_id.get(cell_id)
         return cell is not None and key in cell.bookings_by_key
 
     def tick(self, event: parts.Ticked) -> list[typing.Any]:
-        """Let time pass; forget cells that hold nothing any more."""
+        """Pass a tick to all local cells; drop those without bookings."""
         out: list[typing.Any] = []
         for cell_id, cell in list(self.cells_by_id.items()):
             out += _messages(cell.handle(event))
@@ -72,7 +73,7 @@
         return out
 
     def _refreshed(self, now: float, cell_id: str) -> cells.Cell | None:
-        """Return a cell as the document and the heartbeats have it now."""
+        """Return a local cell, updated from document and announcements."""
         terms = self._terms_of(cell_id)
         if terms is None:
             return None
@@ -109,6 +110,6 @@
 
 
 def _messages(wanted: list[typing.Any]) -> list[typing.Any]:
-    """Drop orders to engines: only the owner of a cell gives any."""
+    """Drop cancels and listings: only the owner of a cell may send them."""
     kept = parts.Send | effects.Log
     return [each for each in wanted if isinstance(each, kept)]
--- a/dandeliongw/cell/succession.py
+++ b/dandeliongw/cell/succession.py
@@ -1,4 +1,8 @@
-"""Which cells this instance should own, and who gets them when it leaves."""
+"""Decides which cells this instance should own, and hands them over.
+
+The directory ranks the instances for each cell. The first should own it; the
+others are its deputies.
+"""
 
 import typing
 
@@ -9,23 +13,23 @@
 from ..coordination import lease
 from . import owner as owner_module
 
-#: Seconds for which a deputy that was asked keeps trying for a lease.
+#: Seconds for which a deputy tries to get a lease after the last request.
 DEPUTY_S = 10.0
-#: Seconds that each further deputy gives the one before it.
+#: Delay before the next deputy in rank also tries, in seconds.
 DEPUTY_TURN_S = 3.0
 
 
 class _Asked(msgspec.Struct, kw_only=True):
-    """When entries asked for a cell that this instance doesn't own."""
+    """When entries sent requests for a cell that isn't owned here."""
 
     first_at: float
     last_at: float
 
 
 class Succession:
-    """Tries for the leases of cells, by rank or because entries ask.
+    """Requests the leases of cells, by rank or as entries need an owner.
 
-    :param instance_id: this instance.
+    :param instance_id: of this instance.
     """
 
     def __init__(
@@ -43,10 +47,10 @@
         self._asked_by_cell: dict[str, _Asked] = {}
 
     def note_asked(self, now: float, cell: str) -> None:
-        """Note that an entry asks this instance for a cell it doesn't own.
+        """Record a request from an entry for a cell that isn't owned here.
 
-        Entries ask a deputy when the owner doesn't answer them. Its lease
-        may be free long before its death is certain.
+        Entries turn to a deputy when the owner doesn't answer. The owner's
+        lease may expire long before its failure is confirmed.
         """
         asked = self._asked_by_cell.get(cell)
         if asked is None or now - asked.last_at >= DEPUTY_S:
@@ -55,7 +59,7 @@
         asked.last_at = now
 
     def review(self, now: float) -> list[typing.Any]:
-        """Say which leases to try for, when that has changed."""
+        """Return the set of wanted leases as an effect, if it changed."""
         wanted = frozenset(
             cell
             for cell in self._directory.all_cells()
@@ -67,15 +71,16 @@
         return [effects.Dispatch(event=lease.Wanted(now=now, names=wanted))]
 
     def hand_over(self, now: float) -> list[typing.Any]:
-        """Give every cell to the instance that is next for it."""
+        """Release every cell to the first instance of its ranking."""
         self.is_leaving = True
-        # Ranked before, this instance would be its own successor.
+        # Cached ranks still include this instance, which would be its own
+        # successor.
         self._directory.forget_ranks()
         out: list[typing.Any] = []
         for cell in list(self._owner.cells_by_id):
             successors = self._directory.ranked_owners(cell)
             if not successors:
-                # The last instance serves its callers to the end.
+                # The last instance serves its clients to the end.
                 continue
             release = lease.Release(
                 now=now, name=cell, successor=successors[0]
@@ -84,11 +89,11 @@
         return [*out, *self.review(now)]
 
     def _should_own(self, now: float, cell: str) -> bool:
-        """Whether to try for a cell's lease.
+        """Return whether to request a cell's lease.
 
-        Deputies that are asked for it try one after the other: when several
-        try at once, none gets a majority, and the cell has no owner for
-        seconds longer than it need be.
+        Deputies request it one after the other: if several do so at once,
+        none may get a majority, and the cell is without an owner for seconds
+        longer than necessary.
         """
         ranked = self._directory.ranked_owners(cell)
         if self._instance_id not in ranked:
--- a/dandeliongw/cell/takeover.py
+++ b/dandeliongw/cell/takeover.py
@@ -1,10 +1,10 @@
-"""What a new owner of a cell does before it gives anything away.
+"""Collects the existing bookings of a cell at its new owner.
 
-The owner before it may have died with its bookings. Whoever starts with an
-empty table would book slots that are full: one would see streams of twenty
-become batches of forty for a second, and token gaps to match. So the new
-owner tells every instance, and holds new work back until each has said what
-it holds, or a short time is over.
+The former owner may have died with its bookings. A new owner that started
+with an empty table would book slots that are in use: for a second, batches of
+twenty streams would become batches of forty, with longer token gaps. So the
+new owner asks every instance for its bookings, and delays new work until all
+have answered or a short timeout is over.
 """
 
 import typing
@@ -14,17 +14,17 @@
 from . import cells
 from ..coordination import parts
 
-#: Seconds after which instances that haven't answered are given up on.
+#: Timeout for the answers, in seconds.
 LONGEST_S = 0.5
-#: Seconds after which they are asked again, over a stream: a datagram may be
-#: lost, and there is time for one more answer.
+#: Seconds after which the request is repeated over a connection: a datagram
+#: may be lost, and there is time for one more answer.
 REMIND_S = 0.2
 
 
 class Takeover:
-    """The first moments of a cell at a new owner.
+    """The takeover of one cell by this instance.
 
-    :param awaited: instances that are asked what they hold.
+    :param awaited: instances that may hold bookings of the cell.
     """
 
     def __init__(
@@ -38,15 +38,15 @@
         self._held_back: list[parts.Received] = []
 
     def announce(self) -> list[typing.Any]:
-        """Return the question to all.
+        """Return the request to all instances.
 
-        As datagrams: connections to 200 instances would take longer to open
-        than the answers are waited for (estimate).
+        It is sent by datagram: opening connections to 200 instances would
+        take longer than the timeout for the answers.
         """
         return self._ask(by_datagram=True)
 
     def remind(self, now: float) -> list[typing.Any]:
-        """Return the question to those that haven't answered, once."""
+        """Return the repeated request to those without an answer, once."""
         if now < self._remind_at:
             return []
         self._remind_at = self._ends_at
@@ -62,14 +62,14 @@
         ]
 
     def note_reclaim(self, sender: str) -> None:
-        """Note that an instance has said what it holds."""
+        """Record that an instance has sent its bookings."""
         self._awaited.discard(sender)
 
     def is_over(self, now: float) -> bool:
         return not self._awaited or now >= self._ends_at
 
     def hold_back(self, event: parts.Received) -> list[typing.Any]:
-        """Keep a ``Book`` for later and tell its entry to wait."""
+        """Delay a ``Book`` until the takeover is over; answer ``Queued``."""
         self._held_back.append(event)
         queued = cells.Queued(
             cell=self._cell,
@@ -81,7 +81,7 @@
         return [parts.Send(to=event.sender, message=queued)]
 
     def release(self, now: float) -> list[parts.Received]:
-        """Return the kept bookings, to be decided now."""
+        """Return the delayed ``Book`` messages, to be handled now."""
         return [
             msgspec.structs.replace(event, now=now)
             for event in self._held_back
--- a/dandeliongw/cell/trust.py
+++ b/dandeliongw/cell/trust.py
@@ -1,19 +1,19 @@
-"""What the owner of a cell makes of failed work, and tells of it."""
+"""Records faults of backend servers, and logs ejections and recoveries."""
 
 from .. import decisions
 from .. import effects
 from .backend_state import BackendState
 from .cell_view import CellView
 
-#: How long an engine that refused a KV cache gets no work. Estimate: some ten
-#: streams of a few seconds each end about as often.
+#: Seconds for which an engine that refused a KV cache gets no work. Of some
+#: ten streams of a few seconds each, one ends about as often.
 REFUSED_REST_S = 0.5
 
 
 class Trust:
-    """Takes trust from backend servers, and logs it.
+    """Records faults in the health of backend servers, and logs ejections.
 
-    :param view: their state; the health in it decides.
+    :param view: holds the backend servers' health.
     """
 
     def __init__(self, *, cell_id: str, epoch: int, view: CellView) -> None:
@@ -24,7 +24,12 @@
     def blame(
         self, now: float, backend_id: str, *, is_down: bool = False
     ) -> list[effects.Log]:
-        """Count a fault; return the line that tells what it changed."""
+        """Record a fault of a backend server.
+
+        :param backend_id: unknown ones, and the empty id, are ignored.
+        :param is_down: no connection to it could be made.
+        :returns: a log line if the fault ejected it, else nothing.
+        """
         state = self._view.backends_by_id.get(backend_id)
         if state is None:
             return []
@@ -51,11 +56,14 @@
         return [distrusted.log()]
 
     def _shared_part(self, now: float, state: BackendState) -> float:
-        """Return the part of work that fails on the peers of a server.
+        """Return the mean failure rate of a server's peers.
+
+        Answers that the network loses are lost for all backend servers. When
+        each was judged alone, one of two engines was ejected for six seconds
+        while the other one, which lost as much, was full and calls were
+        refused.
 
-        Answers that are lost on their way are lost for all. Judged alone,
-        one of two engines was left out for six seconds while the other one,
-        which lost as much, was full and calls were turned away.
+        :returns: between 0 and 1; 0 if it isn't known for any peer.
         """
         found = [
             part
@@ -66,18 +74,18 @@
         return sum(found) / len(found) if found else 0.0
 
     def rest(self, now: float, backend_id: str) -> None:
-        """Send no work for a moment to an engine that refused some.
+        """Send no work to an engine that refused some, for a short time.
 
-        Its streams fill its memory whether or not the owner knows of all of
-        them. Sent on at once, one prompt after the other would be read and
-        refused there; one would see five refused imports in a second.
+        Its memory may be full of streams for which the owner has no booking.
+        Without this, one KV cache after another would be sent to it and
+        refused, five in a second, each after its prefill.
         """
         state = self._view.backends_by_id.get(backend_id)
         if state is not None:
             state.full_until = now + REFUSED_REST_S
 
     def tell_regained(self, now: float) -> list[effects.Log]:
-        """Return a line for each that has all its slots open again."""
+        """Return a log line for each that has all its slots open again."""
         back = [
             (backend_id, state.health)
             for backend_id, state in self._view.backends_by_id.items()
--- a/dandeliongw/cell/vocabulary.py
+++ b/dandeliongw/cell/vocabulary.py
@@ -1,4 +1,4 @@
-"""The words in which a cell speaks of work and of who does it.
+"""The types that describe a cell's work, terms and backend servers.
 
 Times are monotonic seconds of the owner's instance.
 """
@@ -14,14 +14,14 @@
 
     #: A prefill engine and a decode engine.
     PAIR = 'pair'
-    #: Another decode engine for a prefill that is done.
+    #: Another decode engine, after the prefill has ended.
     DECODE = 'decode'
     #: A plain service.
     PLAIN = 'plain'
 
 
 class Role(enum.StrEnum):
-    """What a backend server does."""
+    """What kind of work a backend server does."""
 
     PREFILL = 'prefill'
     DECODE = 'decode'
@@ -36,27 +36,27 @@
 
 
 class Weights(msgspec.Struct, frozen=True, kw_only=True):
-    """How much each of the two measures counts for this service."""
+    """Weights of the two objectives of a service."""
 
     goodput: float = 1.0
     wasted_prefill: float = 1.0
 
 
 class CellTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """What the document says about the service of a cell.
+    """The settings of a cell's service, from the document.
 
     :param first_token_s: target from arrival to first token.
     :param token_gap_s: target between tokens.
     :param timeout_s: longest life of a request.
     :param prefill_tokens_per_s: of one prefill engine.
-    :param decode_tokens_per_s: of one stream in a full batch, until the
-        engines' own pace is learned.
-    :param tokens_per_piece: that one piece of an answer brings.
+    :param decode_tokens_per_s: of one stream in a full batch, until a rate
+        has been measured.
+    :param tokens_per_piece: tokens in one piece of a streamed answer.
     :param kv_bytes_per_token: size of the KV cache that moves.
     :param link_bytes_per_s: of the link out of one prefill engine.
     :param slots_by_role: used where an announcement says none.
-    :param kv_tokens_by_role: what the KV cache of one engine holds; a role
-        that is missing is bounded by its slots alone.
+    :param kv_tokens_by_role: capacity of one engine's KV cache, in tokens; a
+        role that is missing is bounded by its slots alone.
     :param max_wait_s_by_priority: how much longer than ``first_token_s`` a
         request may wait for its first token.
     :param rank_by_priority: lower goes first.
@@ -115,16 +115,17 @@
     start_at: float | None = None
     #: When the queue is expected to let it start.
     expected_at: float = 0.0
-    #: Until when it may wait, by the terms it was admitted under.
+    #: Until when it may wait, computed at admission.
     latest_start_at: float = math.inf
     prefill_done: bool = False
-    #: The caller's guess of the answer's length; 0 for none.
+    #: The client's hint of the answer's length, in tokens; 0 for none.
     expected_tokens: int = 0
-    #: A decode engine may read the prompt by itself.
+    #: A decode engine can do the prefill itself.
     may_read_there: bool = False
-    #: The caller was turned away before, and won't come again.
+    #: The client was refused before and won't send the request again.
     resent: bool = False
-    #: Predictions, made anew as facts come in; zero where none is made.
+    #: Predictions, updated as events come in; zero if there is none. The
+    #: first is a duration, the others are times.
     prefill_work_s: float = 0.0
     prefill_ends_at: float = 0.0
     transfer_ends_at: float = 0.0
