--- a/tests/test_backend_state.py
+++ b/tests/test_backend_state.py
@@ -1,4 +1,4 @@
-"""What a cell's owner knows of one backend server."""
+"""The state that a cell's owner keeps for one backend server."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class BlocksTest(unittest.TestCase):
-    def test_hints_are_bounded_and_forget_the_oldest(self):
+    def test_blocks_are_bounded_and_the_oldest_are_dropped(self):
         backend = vocabulary.CellBackend(
             backend_id='p1',
             incarnation=1,
--- a/tests/test_cell_properties.py
+++ b/tests/test_cell_properties.py
@@ -1,4 +1,4 @@
-"""Whatever comes in whichever order, a cell overbooks and leaks nothing."""
+"""For any sequence of events, no cell overbooks slots or leaks state."""
 
 import unittest
 
@@ -27,13 +27,13 @@
     test_cells.make_backend('d1', 'decode', slots=1),
     test_cells.make_backend('d2', 'decode', slots=2),
 )
-# CI must say the same on every run.
+# Deterministic, so that every run in CI has the same result.
 SETTINGS = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=300
 )
 
 
-class World:
+class Simulation:
     """A cell, and engines that confirm every second cancel."""
 
     def __init__(self) -> None:
@@ -107,19 +107,19 @@
 class CellPropertyTest(unittest.TestCase):
     @SETTINGS
     @hypothesis.given(STEPS)
-    def test_slots_are_never_given_twice_and_all_come_back(self, steps):
-        world = World()
+    def test_slots_are_never_booked_twice_and_all_are_freed(self, steps):
+        simulation = Simulation()
         for name, request_id, priority, after_s in steps:
-            world.step(name, request_id, priority)
-            for state in world.cell.view.backends_by_id.values():
+            simulation.step(name, request_id, priority)
+            for state in simulation.cell.view.backends_by_id.values():
                 if state.backend.role is vocabulary.Role.DECODE:
                     self.assertLessEqual(state.slots_used, state.backend.slots)
-            world.tick(after_s)
+            simulation.tick(after_s)
         for _ in range(80):
-            world.tick(1.0)
-        self.assertEqual({}, world.cell.bookings_by_key)
-        self.assertEqual({}, world.cell.cancels.pending_by_key)
-        self.assertEqual([], world.cell.view.queue)
-        self.assertEqual({}, world.cell.leaving_by_id)
-        for state in world.cell.view.backends_by_id.values():
+            simulation.tick(1.0)
+        self.assertEqual({}, simulation.cell.bookings_by_key)
+        self.assertEqual({}, simulation.cell.cancels.pending_by_key)
+        self.assertEqual([], simulation.cell.view.queue)
+        self.assertEqual({}, simulation.cell.leaving_by_id)
+        for state in simulation.cell.view.backends_by_id.values():
             self.assertEqual(0, state.slots_used)
--- a/tests/test_cell_view.py
+++ b/tests/test_cell_view.py
@@ -1,4 +1,4 @@
-"""What a cell's owner learns of answers and their pace."""
+"""The measured rate and length of answers."""
 
 import unittest
 
@@ -8,12 +8,13 @@
 from tests import test_cells
 
 
-class LearnedPaceTest(unittest.TestCase):
-    """Symptom: work waits for seconds beside engines that are half empty.
+class MeasuredRateTest(unittest.TestCase):
+    """Rate and length of answers must come from their pieces.
 
-    Sequence: engines give half as many tokens a second as the document says.
-    Cause: lengths were told by times, so that an answer seemed to hold twice
-    the tokens that it had, and to grow twice as fast.
+    The engines' real rate is half of the document's. If lengths were computed
+    from durations and the document's rate, answers would count for twice
+    their tokens and growth, and work would wait for seconds although engines
+    are half empty.
     """
 
     def setUp(self):
@@ -54,7 +55,7 @@
             )
 
     def fill(self):
-        """Return how many streams the engine has room for at once."""
+        """Book streams until the KV cache is full, and return their number."""
         for number in range(64):
             booking = self.booking(f'r{number}')
             if not self.view.has_kv_room(0.0, self.state, booking):
@@ -62,7 +63,7 @@
             self.state.bookings_by_key[booking.key] = booking
         return 64
 
-    def test_pace_and_length_come_from_the_pieces(self):
+    def test_rate_and_length_come_from_the_pieces(self):
         self.learn()
         self.assertAlmostEqual(160.0, self.view.stream_tokens_per_s)
         self.assertAlmostEqual(512, self.view.answer_tokens(self.booking()))
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""The owner of a cell books exactly, and leaks nothing."""
+"""The state of a cell at its owner: bookings, cancels and reclaims."""
 
 import typing
 import unittest
@@ -71,7 +71,7 @@
 
 
 def without_listing(effects: list) -> list:
-    """Leave out the regular listing of streams."""
+    """Return the effects without the periodic listing of streams."""
     return [
         each for each in effects if not isinstance(each, cells.ListStreams)
     ]
@@ -96,8 +96,8 @@
         self.assertIs(RefusalReason.NO_BACKEND, effect.message.reason)
 
 
-class StartTest(unittest.TestCase):
-    """A booking names the start of each backend server that is meant."""
+class IncarnationTest(unittest.TestCase):
+    """A booking has the incarnation of each backend server."""
 
     def test_each_of_a_pair_has_its_own(self):
         backends = [
@@ -108,12 +108,12 @@
             )
         ]
         (booked,) = send(make_cell(*backends), make_book())
-        told = booked.message
-        self.assertEqual(3, told.prefill_incarnation)
-        self.assertEqual(8, told.decode_incarnation)
-        self.assertEqual(0, told.plain_incarnation)
+        message = booked.message
+        self.assertEqual(3, message.prefill_incarnation)
+        self.assertEqual(8, message.decode_incarnation)
+        self.assertEqual(0, message.plain_incarnation)
 
-    def test_a_plain_one(self):
+    def test_a_plain_service_has_its_own(self):
         backend = msgspec.structs.replace(
             make_backend('s1', 'plain'), incarnation=5
         )
@@ -123,10 +123,11 @@
 
 
 class MoveTest(unittest.TestCase):
-    """Symptom: thousands of refused imports for a handful of requests.
+    """A second move of a KV cache must not repeat the first one's answer.
 
-    A KV cache is refused by one decode engine, then by the next. The second
-    move looks like the first one sent again, and gets its answer.
+    Both have the same ids and stage. If a decode engine refuses the KV cache
+    and then another one, the second move must not be taken for a repeat of
+    the first: imports would be refused by the thousand.
     """
 
     def setUp(self):
@@ -161,10 +162,10 @@
 
 
 class OrphanTest(unittest.TestCase):
-    """Symptom: slots stay taken and no stream runs.
+    """Slots of a failed entry must become free again.
 
-    An entry books, starts a stream and dies. Nobody sends a release, and
-    the first cancel is lost.
+    The entry books, starts a stream and fails, so it sends no release; the
+    first cancel of its stream is lost.
     """
 
     def test_a_dead_entrys_streams_are_cancelled_until_confirmed(self):
@@ -194,7 +195,7 @@
         send(cell, progress, now=3.0)
         self.assertEqual([], tick(cell, cells.BOOKING_LEASE_S))
 
-    def test_progress_for_a_lost_booking_is_told(self):
+    def test_progress_for_an_unknown_booking_is_answered(self):
         cell = make_pair_cell()
         holding = cells.Holding(request_id='r9', attempt_id='a1')
         progress = cells.Progress(cell=cell.cell_id, bookings=(holding,))
@@ -202,10 +203,11 @@
         self.assertIsInstance(effect.message, cells.Cancelled)
 
     def test_a_new_owner_asks_before_it_gives_a_booking_up(self):
-        """Symptom: a wave of new attempts at each change of owner.
+        """A new owner must not cancel running streams that it doesn't have.
 
-        Entries renew at the new owner before they have told it what they
-        hold; it takes their running streams for lost ones.
+        Entries may renew bookings at a new owner before they have sent their
+        ``Reclaim``. If it cancelled those, each change of owner would cause a
+        wave of new attempts.
         """
         cell = make_pair_cell()
         held = tuple(
@@ -233,13 +235,12 @@
         self.assertEqual({'p1', 'd1'}, {each.backend_id for each in cancels})
 
 
-class StartedAgainTest(unittest.TestCase):
-    """Symptom: slots of an engine that came back look taken for seconds.
+class RestartTest(unittest.TestCase):
+    """Bookings of an engine end when it restarts under the same id.
 
-    Sequence: a decode engine crashes behind a connection that stays silent,
-    and starts again under its id.
-    Cause: work of the start before would count as running on the new one;
-    its entry would wait for a stream that no longer exists.
+    It crashes without an error on its connections. If its old bookings were
+    kept, they would hold slots of the new incarnation, and their entries
+    would wait for streams that no longer exist.
     """
 
     def setUp(self):
@@ -251,21 +252,21 @@
         state.slowness, state.full_until = 3.0, 60.0
         state.add_blocks(('a', 'b'))
 
-    def start_again(self):
+    def restart(self):
         again = msgspec.structs.replace(self.decode, incarnation=2)
         return self.cell.handle(
             cells.BackendsChanged(now=1.0, backends=(self.prefill, again))
         )
 
-    def test_its_work_is_told_to_have_ended(self):
-        (told,) = without_listing(self.start_again())
-        self.assertEqual('gw-1', told.to)
-        self.assertIsInstance(told.message, cells.Cancelled)
-        self.assertEqual('r1', told.message.request_id)
+    def test_its_bookings_are_cancelled(self):
+        (sent,) = without_listing(self.restart())
+        self.assertEqual('gw-1', sent.to)
+        self.assertIsInstance(sent.message, cells.Cancelled)
+        self.assertEqual('r1', sent.message.request_id)
         self.assertEqual({}, self.cell.bookings_by_key)
 
-    def test_nothing_that_was_learned_of_it_holds(self):
-        self.start_again()
+    def test_its_measured_state_is_reset(self):
+        self.restart()
         state = self.cell.view.backends_by_id['d1']
         self.assertEqual(0, state.slots_used)
         self.assertEqual(1.0, state.slowness)
@@ -277,15 +278,16 @@
             backend_id='d1', role=vocabulary.Role.PREFILL, since=0.5
         )
         self.cell.roles.switches_by_id['d1'] = switch
-        self.start_again()
+        self.restart()
         self.assertEqual({}, self.cell.roles.switches_by_id)
 
 
-class LostTogetherTest(unittest.TestCase):
-    """Symptom: an engine's slots are in use and no booking tells of them.
+class OrphanedStreamTest(unittest.TestCase):
+    """Streams without a booking are cancelled after a change of owner.
 
-    The owner and an entry die together. The other entries reclaim what they
-    hold at the new owner; nobody speaks for the streams of the dead one.
+    The owner and an entry fail together. The other entries reclaim their
+    bookings at the new owner; nobody reclaims those of the failed entry, and
+    its streams would use slots without a booking.
     """
 
     def setUp(self):
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""How full a cache will get: against going through every moment."""
+"""The forecast peak of a KV cache, compared with all points in time."""
 
 import unittest
 
@@ -35,7 +35,7 @@
         self.assertAlmostEqual(most, forecast.peak_tokens(growths, RATE))
 
     def test_work_that_ends_soon_makes_room_in_time(self):
-        """Two that follow each other never hold all of both at once."""
+        """The peaks of bookings that end at different times aren't added."""
         growths = [
             forecast.Growth(held=100.0, ends_in_s=1.0),
             forecast.Growth(held=0.0, ends_in_s=10.0),
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""What fails is left out, comes back slowly, and batches stay fast."""
+"""Ejection and slow start of backend servers, and the cap on batches."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class HealthTest(unittest.TestCase):
-    """Symptom: each request finds out anew that one engine fails."""
+    """Without ejection, each request would fail on the same engine first."""
 
     def setUp(self):
         self.health = health.Health()
@@ -19,7 +19,7 @@
         self.fail(0.0, 6.0, 12.0, 18.0)
         self.assertFalse(self.health.is_ejected(18.0))
 
-    def test_it_comes_back_slowly_and_goes_at_the_first_fault(self):
+    def test_in_slow_start_the_first_fault_ejects_it_again(self):
         self.fail(0.0, 0.1, 0.2, 0.3, 0.4)
         back_at = 0.2 + health.EJECTED_S
         self.assertFalse(self.health.may_get_work(back_at - 0.01))
@@ -31,10 +31,11 @@
         self.assertAlmostEqual(2 * health.EJECTED_S, again_s)
 
     def test_faults_that_are_few_of_many_eject_nothing(self):
-        """Symptom: calls are refused with most places free.
+        """A low failure rate must not eject a backend server.
 
-        Sequence: a service fails one call in ten on all its backend servers.
-        Cause: three faults would count alike, whatever went well.
+        A service fails one call in ten on all its backend servers. If only
+        the number of faults counted, all would be ejected in turn, and calls
+        would be refused with most slots free.
         """
         for number in range(60):
             now = number / 10
@@ -44,13 +45,12 @@
                 self.fail(now)
             self.assertFalse(self.health.is_ejected(now))
 
-    def test_one_fault_of_many_calls_after_it_came_back_ejects_nothing(self):
-        """Symptom: a pool whose calls fail now and then is left out for long.
+    def test_one_fault_of_many_calls_in_slow_start_ejects_nothing(self):
+        """One fault among successes in slow start must not eject again.
 
-        Sequence: three faults by chance; back, it answers well but for one
-        call in ten.
-        Cause: any fault within the ramp counted as a sign that the old
-        trouble was still there, and doubled the time.
+        After an ejection for three faults by chance, a backend server fails
+        one call in ten. If any fault in slow start ejected it again, for
+        twice the time, the whole pool would be ejected for long.
         """
         self.fail(0.0, 0.1, 0.2)
         back_at = 0.2 + health.EJECTED_S
@@ -59,11 +59,11 @@
         self.fail(back_at + 1.0)
         self.assertFalse(self.health.is_ejected(back_at + 1.0))
 
-    def test_faults_of_long_ago_lengthen_nothing(self):
-        """Symptom: late in a day a short fault costs a server for a minute.
+    def test_ejections_of_long_ago_lengthen_nothing(self):
+        """Long after an ejection, the next one must be short again.
 
-        Sequence: it is left out five times with long rests between.
-        Cause: each time doubled the next, however long it was well before.
+        If each ejection doubled the next, however much later, a short fault
+        late in a day would eject a backend server for a minute.
         """
         for number in range(5):
             start = 100.0 * number
@@ -79,7 +79,7 @@
         self.fail(1.4)
         self.assertTrue(self.health.is_ejected(1.4))
 
-    def test_one_that_refuses_a_connection_goes_at_once(self):
+    def test_a_refused_connection_ejects_at_once(self):
         self.health.add_refusal(1.0)
         self.assertTrue(self.health.is_ejected(1.0))
         self.health.add_refusal(1.1)
@@ -91,7 +91,7 @@
 
 
 class BatchTest(unittest.TestCase):
-    """Symptom: every answer of a full engine is a little too slow."""
+    """Without the cap, all answers of a full engine exceed the token gap."""
 
     def test_the_cap_falls_while_answers_are_slow_and_then_rises(self):
         batch = health.Batch()
--- a/tests/test_kv_room.py
+++ b/tests/test_kv_room.py
@@ -1,4 +1,4 @@
-"""Whether an engine's memory has room, asked as often as a burst asks."""
+"""Checks for room in an engine's KV cache, and their cost in a burst."""
 
 import heapq
 import random
@@ -64,7 +64,7 @@
         wanted=st.tuples(tokens, tokens),
         now=seconds,
     )
-    def test_the_bounds_decide_as_the_forecast_does(self, held, wanted, now):
+    def test_the_bounds_agree_with_the_forecast(self, held, wanted, now):
         view = make_view()
         state = view.backends_by_id['d1']
         for number, (prompt, answer, ends_at) in enumerate(held):
@@ -82,7 +82,7 @@
     def setUp(self):
         self.view = make_view()
         self.state = self.view.backends_by_id['d1']
-        # So full that only the forecast can tell.
+        # So full that the bounds aren't decisive.
         for number in range(7):
             booking = make_booking(number, 3_000, 300, 5.0)
             self.state.bookings_by_key[booking.key] = booking
@@ -99,24 +99,24 @@
         booking = make_booking(99, prompt, 300, 0.0)
         return self.view.has_kv_room(now, self.state, booking)
 
-    def test_a_forecast_without_room_is_kept_for_a_moment(self):
+    def test_a_forecast_without_room_is_cached(self):
         self.assertFalse(self.has_room(6.0))
         self.assertFalse(self.has_room(6.0 + cell_view.FORECAST_S / 2))
         self.assertEqual(1, self.forecasts.call_count)
         self.has_room(6.0 + cell_view.FORECAST_S)
         self.assertEqual(2, self.forecasts.call_count)
 
-    def test_another_pace_is_another_forecast(self):
+    def test_another_rate_needs_another_forecast(self):
         self.assertFalse(self.has_room(6.0))
         self.view.measured_tokens_per_s = 100.0
         self.has_room(6.0)
         self.assertEqual(2, self.forecasts.call_count)
 
-    def test_smaller_work_has_a_forecast_of_its_own(self):
+    def test_smaller_work_needs_another_forecast(self):
         self.assertFalse(self.has_room(6.0))
         self.assertTrue(self.has_room(6.0, prompt=10))
 
-    def test_the_end_of_work_is_seen_at_once(self):
+    def test_the_end_of_work_discards_the_forecast(self):
         self.assertFalse(self.has_room(6.0))
         self.state.bookings_by_key.popitem()
         self.state.forget_forecast()
@@ -124,12 +124,11 @@
 
 
 class BurstTest(unittest.TestCase):
-    """Symptom: entries get no answer from an owner that is well.
+    """The owner must keep up with a burst of 115 requests a second.
 
-    Sequence: a burst of 115 requests a second on 59 engines; those that wait
-    are looked at again at each event, and each time at every engine.
-    Cause: a forecast for each engine each time; the owner of half a core is
-    busy with them for longer than there are seconds.
+    On 59 engines, queued work is tried again at each event, on every engine.
+    With a forecast for each engine each time, an owner with half a core would
+    need more CPU time than it has, and entries would get no answer.
     """
 
     RATE = 115.0
@@ -152,7 +151,7 @@
         self.events = []
         self.booked = 0
         self.handled = 0
-        #: Events that made room: a prompt read, an answer ended.
+        #: Events that freed capacity: a prefill or an answer ended.
         self.freed = 0
 
     def plan(self, at, message):
@@ -198,7 +197,7 @@
         self.plan(now + 2.7, release)
 
     def count(self, owner, name):
-        """Return a mock that counts the calls of a method during the load."""
+        """Run the load and return how often a method was called."""
         method = getattr(owner, name)
         with mock.patch.object(
             owner, name, autospec=True, side_effect=method
@@ -209,33 +208,34 @@
 
     def test_few_forecasts_are_made_for_each_event(self):
         forecasts = self.count(cell_view.CellView, 'kv_part')
-        # Made for each engine each time, they are many times as many.
+        # One for each engine each time would be many times as many.
         self.assertLess(forecasts / self.handled, 4.0)
 
-    def test_a_full_cell_is_not_looked_at_for_each_event(self):
-        """Symptom: an owner is busy for 20 s and loses its lease.
+    def test_a_full_cell_is_not_dispatched_at_each_event(self):
+        """Events that free no capacity must not start a dispatch.
 
-        A burst of 160 requests a second, more than the engines carry: what
-        waits was looked at after each event, 345 a second, though most make
-        no room.
+        In a burst of 160 requests a second, more than the engines can serve,
+        there are 345 events a second, and most free no capacity. With a
+        dispatch after each, the owner would be busy for 20 s and lose its
+        lease.
         """
         self.RATE = 160.0
-        looks = self.count(scheduler.Scheduler, 'dispatch')
-        # Each placement is followed by one more look, whether there is room.
+        dispatches = self.count(scheduler.Scheduler, 'dispatch')
+        # Each placement is followed by one more dispatch.
         due = self.freed + self.booked + self.SECONDS / cells.LOOK_AGAIN_S
-        self.assertLess(looks, due)
+        self.assertLess(dispatches, due)
 
-    def test_readers_that_are_ready_alike_are_looked_at_once(self):
-        """Each pair of 20 readers and 39 decode engines was looked at."""
-        looks = self.count(pairs.Pairs, '_choose_room')
-        self.assertLess(looks / self.booked, 4.0)
+    def test_prefill_engines_ready_at_one_time_are_tried_once(self):
+        """Not every pair of 20 prefill and 39 decode engines is compared."""
+        choices = self.count(pairs.Pairs, '_choose_room')
+        self.assertLess(choices / self.booked, 4.0)
 
 
 class TickTest(unittest.TestCase):
-    def test_a_tick_of_an_idle_cell_looks_at_no_engine(self):
+    def test_a_tick_of_an_idle_cell_checks_no_engine(self):
         cell = test_scheduler.make_cell(
             test_cells.make_backend('d1', 'decode')
         )
-        with mock.patch.object(cell_view.CellView, 'has_kv_room') as asked:
+        with mock.patch.object(cell_view.CellView, 'has_kv_room') as checked:
             cell.handle(parts.Ticked(now=1.0, entropy=0))
-        asked.assert_not_called()
+        checked.assert_not_called()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: one at a time, by the holder, none undone by an older."""
+"""Orders to engines: one at a time, by the lease holder, never reverted."""
 
 import unittest
 
@@ -83,10 +83,10 @@
         self.assertEqual([], self.tick(1.3))
 
     def test_a_lost_answer_is_repeated_under_the_same_order_id(self):
-        """An engine that did it already can tell the repeat.
+        """The order id is an idempotency key, so a repeat must keep it.
 
-        Symptom: weights are loaded twice. Sequence: the order is carried
-        out, its answer is lost, it is sent again. Cause: a new id.
+        An order is carried out and its answer is lost. If it were sent again
+        under another id, weights would be loaded twice.
         """
         (first,) = self.tick(1.0)
         self.answer(first, MAY_HAVE_RUN)
@@ -98,13 +98,12 @@
     def test_an_unanswered_order_can_not_undo_the_next_one(
         self, attempts, answer
     ):
-        """Two orders of one epoch carry one fencing number.
+        """An order waits until a different one can't take effect any more.
 
-        Symptom: the engine runs the old model after the new was confirmed.
-        Sequence: an attempt for m1 gets no answer and sits in a socket; the
-        operators want m2; m2 is loaded; m1 arrives. Cause: m2 was ordered
-        before m1 had settled, perhaps because another attempt for m1 had
-        been confirmed.
+        Both carry the same fencing number. An attempt for m1 without an
+        answer may still be in a socket, even if another attempt for m1 was
+        confirmed. If m2 were loaded before, m1 could arrive after it, and the
+        engine would run the old model.
         """
         now = 1.0
         for _ in range(attempts):
@@ -125,24 +124,24 @@
     def test_orders_need_the_lease_and_unchecked_engines_the_wait(
         self, missing, checks_fence, values
     ):
-        """An announcement that says nothing counts as one that ignores.
+        """A new holder waits before orders to engines that ignore fences.
 
-        Symptom: a predecessor's order undoes the new holder's. Sequence: the
-        predecessor hands an order to a socket and dies; the successor orders
-        at once; the old order arrives. Cause: no wait at an engine that
-        takes any number.
+        The former holder writes an order to a socket and fails. If the new
+        one sent an order at once, the old one could arrive after it and revert
+        it. Engines count as ignoring fencing numbers unless they announce
+        that they check them.
         """
         announced = {'checks_fence': True} if checks_fence else {}
         self.see(2, **announced)
         setattr(self.guard, missing, None)
         self.assertEqual(values, [sent.value for sent in self.tick(1.0)])
 
-    def test_a_holder_frozen_before_the_send_sends_nothing(self):
-        """The check stands just before the send, not where it was decided.
+    def test_a_holder_suspended_before_the_send_sends_nothing(self):
+        """The lease is checked again right before an order is sent.
 
-        Symptom: an order of an old holder arrives. Sequence: the order waits
-        for a thread, the process freezes, wakes, sends. Cause: the lease was
-        checked when the order was made only.
+        An order waits for a thread while the process is suspended. If the
+        lease were checked only when the order was made, an order of a former
+        holder could be sent.
         """
         (sent,) = self.tick(1.0)
         self.assertTrue(self.orders.may_send(sent, 1.1))
@@ -150,12 +149,11 @@
         self.guard.held = None
         self.assertFalse(self.orders.may_send(sent, 1.1))
 
-    def test_a_late_older_revision_takes_no_order_back(self):
-        """The newest revision counts, not the one that came last.
+    def test_a_late_older_revision_reverts_no_order(self):
+        """The highest revision counts, not the last one to arrive.
 
-        Symptom: an engine goes back to an older model. Sequence: revisions
-        2 and 1 arrive in this order. Cause: the last one to come was taken
-        for the newest.
+        Revision 1 arrives after revision 2. If it were applied, an engine
+        would go back to an older model.
         """
         self.want(2, {MODEL: 'm2'})
         self.want(1, {MODEL: 'm1'})
@@ -170,10 +168,10 @@
         self.assertEqual(1, fenced)
 
     def test_counts_stay_when_a_cell_is_lost(self):
-        """Symptom: a counter falls, as if the process had restarted.
+        """Counters must not fall when a cell is lost and gained again.
 
-        Sequence: an order is repeated, the cell is lost and gained again.
-        Cause: counts that are kept by the cell's orders.
+        That would look like a restart of the process, so the counts don't
+        belong to a cell's orders.
         """
         self.tick(1.0)
         self.assertEqual(1, len(self.tick(30.0)))
@@ -198,7 +196,7 @@
                 self.assertEqual(kind, sent.kind)
                 self.answer(sent, RAN)
 
-    def test_the_weight_store_is_asked_within_its_budget(self):
+    def test_the_weight_store_is_read_within_its_budget(self):
         budget = orders.StoreBudget(loads_per_s=0.5, burst=2.0)
         taken = [now for now in range(20) if budget.take(float(now))]
         self.assertEqual(list(range(2, 20, 2)), taken)
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -1,4 +1,4 @@
-"""Which reader and which decode engine take a prompt together."""
+"""The choice of a prefill and a decode engine for a prompt."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class PairTest(unittest.TestCase):
-    """The pair is the one that a look at all of them finds."""
+    """The chosen pair is the best one of all pairs."""
 
     @hypothesis.given(
         readers=st.lists(
@@ -35,7 +35,7 @@
             max_size=5,
         ),
     )
-    def test_nothing_better_is_passed_over(self, readers, links):
+    def test_no_better_pair_is_skipped(self, readers, links):
         view = cell_view.CellView(terms=test_kv_room.TERMS)
         for number, (slowness, link) in enumerate(readers):
             state = self.add(view, f'p{number}', 'prefill')
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Which leading parts of a prompt an engine may have cached."""
+"""Hashes of a prompt's prefixes."""
 
 import unittest
 
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""Engines move between the pools where that gains much, and not otherwise."""
+"""Moves of engines between the pools, only where throughput gains by it."""
 
 import unittest
 
@@ -79,11 +79,11 @@
         (2, 1, None),
     )
     def test_the_fuller_pool_gets_an_engine(self, prefill, decode, role):
-        """Symptom: callers are turned away while engines stand idle.
+        """Requests must not be refused while the other pool's engines idle.
 
-        Sequence: half of the engines read prompts, which takes a fifth of
-        all work; a burst fills the others' memory.
-        Cause: the pools stay as they were set up.
+        Half of the engines do prefills, which are a fifth of all work. In a
+        burst, the memory of the other half is full. Without moves, the pools
+        would stay as they were set up.
         """
         view = make_view(prefill, decode)
         balance = watched(view)
@@ -92,16 +92,15 @@
         self.assertEqual(begun, [role] if role else [])
 
     @params((0, 2, None), (0, 3, None), (1, 3, None), (2, 3, None))
-    def test_decode_engines_that_read_are_the_reserve(
+    def test_decode_engines_that_do_prefills_are_a_reserve(
         self, prefill, decode, role
     ):
-        """Symptom: with two engines left, one is out of work for 11 s.
+        """No engine is moved if decode engines can do the prefills.
 
-        Sequence: three of five engines leave, both readers among them; one
-        of the other two is ordered to read.
-        Cause: that decode engines read what no reader has time for counted
-        for nothing. Two that read and decode carry 4.7 requests a second,
-        a reader and a decode engine 4.3.
+        Three of five engines leave, among them both prefill engines. Two
+        engines that prefill and decode serve 4.7 requests a second, a prefill
+        and a decode engine 4.3. A move would take one of the two engines that
+        are left out of work for 11 s.
         """
         view = make_view(prefill, decode)
         view.measured_tokens_per_s = 170.0
@@ -113,10 +112,11 @@
         self.assertEqual(balance.review(0.0, view), role is not None)
 
     def test_a_large_cell_moves_some_at_a_time(self):
-        """Symptom: streams wait for memory while a third of the engines idle.
+        """A large cell must move engines although one alone gains little.
 
-        Sequence: 11 of 30 engines read prompts where five would do.
-        Cause: the gain of one single move is small in a large cell.
+        11 of 30 engines do prefills where five would be enough. If the gain
+        of a single move were compared, none would be made, and streams would
+        wait for memory while a third of the engines are idle.
         """
         view = make_view(11, 19)
         balance = watched(view)
@@ -131,18 +131,18 @@
         self.assertTrue(balance.review(1.0, view))
         self.assertEqual(sorted(balance.switches_by_id), ['p0', 'p10'])
 
-    def test_long_prompts_with_short_answers_want_readers(self):
+    def test_long_prompts_with_short_answers_need_prefill_engines(self):
         view = make_view(1, 5)
         balance = watched(view, prompt_tokens=30_000, max_tokens=20)
         balance.review(0.0, view)
         self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
 
-    def test_a_few_requests_prove_nothing(self):
+    def test_a_few_requests_are_not_enough_for_a_move(self):
         view = make_view(5, 1)
         balance = watched(view, requests=roles.LEAST_SEEN - 1)
         self.assertFalse(balance.review(0.0, view))
 
-    def test_the_idlest_engine_goes(self):
+    def test_the_idlest_engine_is_moved(self):
         view = make_view(3, 3)
         for name in ('p0', 'p2'):
             state = view.backends_by_id[name]
@@ -151,12 +151,13 @@
         balance.review(0.0, view)
         self.assertEqual(only_switch(balance).backend_id, 'p1')
 
-    def test_engines_that_fail_count_for_nothing(self):
+    def test_dead_engines_are_not_counted(self):
         view = make_view(2, 4)
         for name in ('p0', 'p1'):
             view.backends_by_id[name].health.add_refusal(0.0)
         balance = watched(view)
-        # One refusal may be a lost packet, and costs two seconds; a move ten.
+        # One refused connection may be a lost packet and costs two seconds, a
+        # move costs ten.
         self.assertFalse(balance.review(0.0, view))
         for name in ('p0', 'p1'):
             view.backends_by_id[name].health.add_refusal(2.0)
@@ -164,10 +165,11 @@
         self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
 
     def test_engines_that_lose_some_work_still_count(self):
-        """Symptom: a reader is moved though all decode engines are there.
+        """Ejected engines on which some work succeeds must be counted.
 
-        Sequence: for a moment, four in ten answers of all are lost.
-        Cause: engines that were left out for two seconds counted as gone.
+        For a moment, four in ten answers of all engines are lost. If engines
+        that are ejected for two seconds counted as gone, a prefill engine
+        would be moved to the decode pool.
         """
         view = make_view(2, 3)
         for name in ('d0', 'd1', 'd2'):
@@ -179,8 +181,8 @@
         balance = watched(view)
         self.assertFalse(balance.review(0.0, view))
 
-    def test_one_move_at_a_time_and_then_a_rest(self):
-        """Symptom: engines swing between the pools, out of work each time."""
+    def test_one_move_at_a_time_and_then_a_cooldown(self):
+        """Engines must not move back and forth, out of work each time."""
         view = make_view(5, 1)
         balance = watched(view)
         balance.review(0.0, view)
@@ -195,11 +197,11 @@
         self.assertFalse(balance.review(roles.REST_S - 0.1, view))
         self.assertTrue(balance.review(roles.REST_S, view))
 
-    def test_an_empty_pool_waits_for_no_rest(self):
-        """Symptom: streams come late for 15 s after one engine's failure.
+    def test_an_empty_pool_cuts_the_cooldown_short(self):
+        """An empty pool must get an engine before the cooldown is over.
 
-        Sequence: an engine moves; soon after the last reader is lost.
-        Cause: the rest between two moves holds whatever the pools are like.
+        An engine moves, and shortly after the last prefill engine is lost.
+        With the full cooldown, streams would be late for 15 s.
         """
         view = make_view(2, 4)
         balance = watched(view)
@@ -215,7 +217,7 @@
         self.assertTrue(balance.review(6.0 + roles.EMPTY_S, view))
         self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
 
-    def test_a_pool_that_fills_again_has_its_rest(self):
+    def test_the_cooldown_holds_if_a_pool_is_only_empty_for_a_moment(self):
         view = make_view(0, 4)
         balance = watched(view)
         balance._rest_until = roles.REST_S
@@ -225,7 +227,7 @@
         del view.backends_by_id['p0']
         self.assertFalse(balance.review(roles.EMPTY_S + 0.1, view))
 
-    def test_a_move_that_nobody_carries_out_is_given_up(self):
+    def test_a_move_without_effect_times_out(self):
         view = make_view(5, 1)
         balance = watched(view)
         balance.review(0.0, view)
@@ -234,7 +236,7 @@
 
 
 class CellTest(unittest.TestCase):
-    def test_an_engine_on_its_way_gets_no_work(self):
+    def test_an_engine_that_changes_its_role_gets_no_work(self):
         backends = [
             test_cells.make_backend(f'p{n}', 'prefill') for n in range(5)
         ]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The policy in force, on a small cell of its own."""
+"""The default scheduling policy, on small cells."""
 
 import unittest
 
@@ -69,16 +69,16 @@
         test_cells.send(self.cell, done, now=now)
 
     def fill(self, *, ends_at: float) -> None:
-        """Take both decode slots until about a time."""
+        """Book both decode slots until about ``ends_at``."""
         for request_id in ('full-1', 'full-2'):
-            # Patient, so that no urgent work is foreseen to pass.
+            # Patient, so that no urgent work is predicted to go first.
             tokens = int(ends_at * 33)
             self.book(request_id, priority='patient', max_tokens=tokens)
             self.finish_prefill(request_id, 0.0)
             for state in self.cell.view.backends_by_id.values():
                 state.link_free_at = 0.0
 
-    def test_what_cannot_be_in_time_is_refused_at_once(self):
+    def test_work_that_would_be_late_is_refused_at_once(self):
         self.fill(ends_at=9.0)
         (declined,) = self.book('urgent', now=0.0)
         self.assertIs(RefusalReason.TARGET_UNREACHABLE, declined.reason)
@@ -86,7 +86,7 @@
         self.assertGreater(declined.retry_after_s, 7.0)
         self.assertLess(declined.retry_after_s, 14.0)
 
-    def test_urgent_work_passes_patient_work_that_waits(self):
+    def test_urgent_work_goes_before_queued_patient_work(self):
         self.fill(ends_at=0.7)
         (queued,) = self.book('patient', now=0.1, priority='patient')
         self.assertIsInstance(queued, cells.Queued)
@@ -98,7 +98,7 @@
         (booked,) = self.release('full-2', now=0.5)
         self.assertEqual('patient', booked.request_id)
 
-    def test_nobody_waits_longer_than_the_document_allows(self):
+    def test_no_work_waits_longer_than_the_document_allows(self):
         self.fill(ends_at=5.0)
         self.book('patient', now=0.0, priority='patient')
         holding = tuple(
@@ -112,10 +112,10 @@
             test_cells.tick(self.cell, 6.01)
         )
         self.assertIsInstance(effect.message, cells.Declined)
-        # "0.0 s late" would send whoever reads it after a late engine.
+        # A message such as "0.0 s late" would wrongly point to a slow engine.
         self.assertIn('no backend server had room', effect.message.message)
 
-    def test_a_caller_who_left_the_queue_gets_no_slot(self):
+    def test_a_client_that_left_the_queue_gets_no_slot(self):
         self.fill(ends_at=0.7)
         self.book('patient', now=0.1, priority='patient')
         self.release('patient', now=0.2, outcome=cells.Outcome.CANCELLED)
@@ -129,9 +129,10 @@
         self.assertEqual(0, len(self.cell.view.queue))
 
     def test_an_unconfirmed_cancel_keeps_its_slot(self):
-        """Symptom: an import is refused though the owner saw a free slot.
+        """A cancelled stream holds its slot until the cancel is confirmed.
 
-        The entry gave up, the cancel is lost: the engine still decodes.
+        The cancel may be lost while the engine still decodes. If the slot
+        counted as free, the next import would be refused.
         """
         self.fill(ends_at=9.0)
         failed = cells.Outcome.FAILED
@@ -160,7 +161,9 @@
 
 class ChoiceTest(unittest.TestCase):
     @params((False, 'p1'), (True, 'p2'))
-    def test_a_known_prefix_draws_the_prompt(self, is_known, prefill_id):
+    def test_a_prompt_goes_to_the_engine_with_its_prefix(
+        self, is_known, prefill_id
+    ):
         cell = make_cell(
             test_cells.make_backend('p1', 'prefill', slots=1),
             test_cells.make_backend('p2', 'prefill', slots=1),
@@ -176,7 +179,7 @@
         (effect,) = test_cells.send(cell, book)
         self.assertEqual(prefill_id, effect.message.prefill_id)
 
-    def test_a_busy_link_is_passed_over(self):
+    def test_an_engine_with_a_busy_link_is_avoided(self):
         cell = make_cell(
             test_cells.make_backend('p1', 'prefill', slots=1),
             test_cells.make_backend('d1', 'decode'),
@@ -186,7 +189,7 @@
         (effect,) = test_cells.send(cell, test_cells.make_book())
         self.assertEqual('d2', effect.message.decode_id)
 
-    def test_a_plain_call_waits_for_no_prompt(self):
+    def test_a_plain_call_waits_for_no_engine(self):
         cell = make_cell(
             test_cells.make_backend('p1', 'prefill', slots=1),
             test_cells.make_backend('d1', 'decode', slots=1),
@@ -203,19 +206,22 @@
     @params(
         (0.0, 1.0, 0.1), (1.0, 0.0, 0.7), (1.0, 3.0, 0.25), (0.0, 0.0, 0.4)
     )
-    def test_the_document_says_what_matters_more(self, good, wasted, wait_s):
+    def test_the_weights_decide_how_long_a_link_is_waited_for(
+        self, good, wasted, wait_s
+    ):
         weights = vocabulary.Weights(goodput=good, wasted_prefill=wasted)
         self.assertAlmostEqual(wait_s, pairs.link_wait_s(weights))
 
 
 class NewOwnerTest(unittest.TestCase):
-    """Symptom: imports are refused after each change of owner.
+    """A new owner must not book slots that are in use already.
 
-    The new owner counts no bookings before entries reclaim them, and takes
-    the slots of a full engine for free ones.
+    It has no bookings until entries reclaim theirs. Without load reports, it
+    would take the slots of full engines for free ones, and imports would be
+    refused after each change of owner.
     """
 
-    def test_slots_that_only_a_report_tells_of_are_not_given_away(self):
+    def test_slots_in_use_by_a_report_only_are_not_booked(self):
         cell = make_cell(
             test_cells.make_backend('p1', 'prefill', slots=1),
             test_cells.make_backend('d1', 'decode', slots=2),
@@ -271,7 +277,7 @@
 
 
 class BurstTest(unittest.TestCase):
-    """More work than there is room for, for a while."""
+    """Bursts of more work than there is capacity for."""
 
     def book(self, cell, request_id, now, **changes):
         fields = {'priority': 'patient', 'deadline_s': 20.0, **changes}
@@ -288,11 +294,11 @@
         out = test_cells.send(cell, release, now=now)
         return [each.message.request_id for each in out]
 
-    def test_what_can_be_in_time_passes_what_can_not(self):
-        """Symptom: after a burst every answer is late, not the surplus only.
+    def test_work_that_can_be_in_time_goes_before_late_work(self):
+        """After a burst only the surplus may be late.
 
-        Sequence: work waits past its target; more arrives.
-        Cause: first come, first served.
+        If late work were served first come, first served, all work that
+        arrives after it would be late, too.
         """
         cell = make_burst()
         self.book(cell, 'runs', 0.0, max_tokens=60)
@@ -301,11 +307,12 @@
         self.assertEqual(self.finish(cell, 'runs', 2.1), ['timely'])
         self.assertEqual(self.finish(cell, 'timely', 2.2), ['late'])
 
-    def test_who_was_turned_away_before_goes_between(self):
-        """Symptom: long after an overload nothing is in time.
+    def test_resent_work_goes_between_timely_and_late_work(self):
+        """Resent work must not go before work that can be in time.
 
-        Sequence: callers are turned away and come again, while others come.
-        Cause: who came before is let in first, and all others are late.
+        After an overload, refused requests come again while new ones arrive.
+        If the former went first, the latter would all be late, and nothing
+        would be in time for long.
         """
         cell = make_burst()
         self.book(cell, 'runs', 0.0, max_tokens=60)
@@ -317,9 +324,10 @@
         self.assertEqual(self.finish(cell, 'again', 2.3), ['late'])
 
     def test_memory_that_is_full_keeps_a_prompt_waiting(self):
-        """Symptom: prompts are read, and their decode engine refuses them.
+        """A prompt waits until its decode engine's KV cache has room.
 
-        Cause: slots are counted, and memory isn't.
+        If only slots were counted, the decode engine would refuse the KV
+        cache after the prefill.
         """
         cell = make_burst(
             slots=20, kv_tokens_by_role={vocabulary.Role.DECODE: 2000}
@@ -329,7 +337,7 @@
         self.assertIsInstance(first, cells.Booked)
         self.assertIsInstance(second, cells.Queued)
 
-    def test_work_that_no_memory_holds_is_the_engines_to_refuse(self):
+    def test_work_that_is_too_large_is_sent_to_the_engine(self):
         cell = make_burst(kv_tokens_by_role={vocabulary.Role.DECODE: 500})
         self.assertIsInstance(self.book(cell, 'r1', 0.0), cells.Booked)
 
@@ -350,52 +358,55 @@
         self.assertEqual(self.finish(cell, 'r1', 0.1), ['r2'])
 
 
-class NoReaderTest(unittest.TestCase):
-    """Symptom: nothing is served though decode engines are free."""
+class PrefillOnDecodeTest(unittest.TestCase):
+    """Decode engines do prefills where prefill engines are missing or busy.
+
+    Otherwise nothing would be served although decode engines are free.
+    """
 
     def book(self, cell, **changes):
         fields = {'may_read_there': True, **changes}
         out = test_cells.send(cell, test_cells.make_book('r1', **fields))
         return out[0].message
 
-    def make(self, *readers, terms=TERMS):
+    def make(self, *prefill_engines, terms=TERMS):
         return test_cells.make_cell(
-            *readers,
+            *prefill_engines,
             test_cells.make_backend('d1', 'decode', slots=4),
             document_part=terms,
             policy=scheduler.Scheduler(),
         )
 
-    def test_a_decode_engine_reads_where_nobody_else_does(self):
+    def test_without_prefill_engines_a_decode_engine_does_the_prefill(self):
         booked = self.book(self.make())
         self.assertEqual((booked.prefill_id, booked.decode_id), ('', 'd1'))
 
-    def test_or_where_all_readers_are_left_out(self):
+    def test_likewise_if_all_prefill_engines_are_ejected(self):
         cell = self.make(test_cells.make_backend('p1', 'prefill'))
         cell.view.backends_by_id['p1'].health.add_refusal(0.0)
         self.assertEqual(self.book(cell).prefill_id, '')
 
-    def test_what_one_reader_has_no_time_for_is_read_elsewhere(self):
-        """Symptom: a queue of two seconds beside half empty decode engines.
+    def test_decode_engines_take_prefills_from_a_long_queue(self):
+        """The queue counts, not only the prefill engine's own backlog.
 
-        Sequence: one of two readers is lost; more prompts come than the
-        other one reads.
-        Cause: the reader that was nearly done looked as good as free,
-        however many prompts waited for it.
+        One of two prefill engines is lost, and more prompts arrive than the
+        other one can compute. It is always nearly done with its prompt. If
+        only that counted, there would be a queue of two seconds while decode
+        engines are half empty.
         """
         booked = self.book_nine(token_gap_s=0.5)
         self.assertEqual('p1', booked[0].prefill_id)
         self.assertEqual(1, [each.prefill_id for each in booked].count(''))
 
-    def test_but_not_where_streams_would_pause_for_too_long(self):
+    def test_but_not_if_that_would_pause_streams_for_too_long(self):
         booked = self.book_nine(token_gap_s=0.3)
         self.assertEqual({'p1'}, {each.prefill_id for each in booked})
 
     def book_nine(self, token_gap_s):
-        """Return what is booked for nine prompts of 2,000 tokens.
+        """Return the ``Booked`` answers for nine prompts of 2,000 tokens.
 
-        An engine reads 10,000 tokens a second, so one that decodes takes
-        0.4 s for each.
+        A prefill engine computes 10,000 tokens a second, a decode engine half
+        of that, so it takes 0.4 s for each.
         """
         terms = msgspec.structs.replace(
             TERMS,
@@ -417,12 +428,13 @@
             if isinstance(each.message, cells.Booked)
         ]
 
-    def test_a_reader_gets_its_next_prompt_while_it_reads(self):
-        """Symptom: one reader passes half of the prompts that it could.
+    def test_a_prefill_engine_gets_its_next_prompt_before_it_is_idle(self):
+        """The next prompt is sent before the prefill ahead of it ends.
 
-        Sequence: prompts of 90 ms come faster than one reader reads.
-        Cause: the next one left when the one before was done; the answer,
-        its news and the way take two thirds of that time.
+        Prompts of 90 ms arrive faster than one engine computes them. The
+        messages between an answer and the next prompt take two thirds of that
+        time. If the engine were idle meanwhile, it would serve half of the
+        prompts that it could.
         """
         cell = self.make(test_cells.make_backend('p1', 'prefill'))
         for name in ('r0', 'r1'):
@@ -438,18 +450,19 @@
         self.assertEqual(['r0', 'r1'], sorted(key for key, _ in held))
         self.assertLessEqual(len(sent), 1)
 
-    def test_not_where_a_reader_is_free(self):
+    def test_not_if_a_prefill_engine_is_free(self):
         cell = self.make(test_cells.make_backend('p1', 'prefill'))
         self.assertEqual(self.book(cell).prefill_id, 'p1')
 
     @params((1, 'p1'), (0, ''))
-    def test_one_that_fails_now_and_then_reads_if_there_is_no_other(
-        self, successes, reader
+    def test_an_ejected_prefill_engine_is_used_if_some_work_succeeds(
+        self, successes, prefill_id
     ):
-        """Symptom: streams are late for seconds, and readers are idle.
+        """A prefill engine that fails at times is better than none.
 
-        Sequence: the readers answer some calls with errors and are left out.
-        Cause: decode engines read then, slowly, between their tokens.
+        If it were left out, decode engines would do its prefills, slowly
+        between the tokens of their streams: streams would be late for seconds
+        while prefill engines are idle.
         """
         cell = self.make(test_cells.make_backend('p1', 'prefill'))
         health = cell.view.backends_by_id['p1'].health
@@ -457,24 +470,21 @@
             health.add_success(0.0)
         for _ in range(3):
             health.add_fault(0.0)
-        self.assertEqual(self.book(cell).prefill_id, reader)
+        self.assertEqual(self.book(cell).prefill_id, prefill_id)
 
-    def test_nor_for_calls_whose_engines_can_not(self):
+    def test_not_if_the_decode_engines_can_not(self):
         declined = self.book(self.make(), may_read_there=False)
         self.assertEqual(declined.reason, RefusalReason.NO_BACKEND)
 
 
-class DistrustTest(unittest.TestCase):
-    def test_the_places_of_distrusted_ones_are_used_if_there_are_no_others(
-        self,
-    ):
-        """Symptom: a fifth of the calls of a plain service is refused.
+class EjectionTest(unittest.TestCase):
+    def test_slots_of_ejected_servers_are_used_if_there_are_no_others(self):
+        """Ejections must not take away most of a pool's capacity.
 
-        Sequence: one of three backend servers leaves; the other two lose
-        some answers, are left out, and come back with one slot each, which
-        a call without an answer holds for a second.
-        Cause: trust is taken from all of them as if others could do the
-        work; each further fault doubles the time.
+        One of three backend servers leaves. The other two lose some answers,
+        are ejected, and then have one slot each during slow start, which a
+        call without an answer holds for a second; each further fault doubles
+        the next ejection. A fifth of the calls would be refused.
         """
         cell = make_cell(
             test_cells.make_backend('s1', 'plain', slots=6),
@@ -501,14 +511,14 @@
         ]
         self.assertEqual(12, len(booked))
 
-    def distrust(self, cell, *backend_ids):
+    def eject(self, cell, *backend_ids):
         for backend_id in backend_ids:
             state = cell.view.backends_by_id[backend_id]
             for now in (0.0, 0.1, 0.2):
                 state.health.add_fault(now)
 
     def placed_ids(self, cell, calls):
-        """Return where calls of a plain service went, in their order."""
+        """Book calls of a plain service; return their backend ids in order."""
         effects = [
             effect
             for number in range(calls)
@@ -526,40 +536,40 @@
             if isinstance(effect.message, cells.Booked)
         ]
 
-    def test_one_that_refuses_connections_is_not_among_them(self):
-        """Symptom: calls are spent on a dead backend server.
+    def test_one_that_refuses_connections_is_not_used(self):
+        """A dead backend server must not be used like other ejected ones.
 
-        Sequence: one of three dies, the two others lose answers.
-        Cause: the places of the dead one would be used like theirs.
+        One of three dies, and the two others lose answers. Calls that are
+        sent to the dead one would fail.
         """
         cell = make_cell(
             test_cells.make_backend('s1', 'plain', slots=2),
             test_cells.make_backend('s2', 'plain', slots=2),
             test_cells.make_backend('s3', 'plain', slots=2),
         )
-        self.distrust(cell, 's1', 's2')
+        self.eject(cell, 's1', 's2')
         cell.view.backends_by_id['s3'].health.add_refusal(0.2)
         placed_ids = self.placed_ids(cell, calls=5)
         self.assertEqual(['s1', 's1', 's2', 's2'], sorted(placed_ids))
 
-    def test_trusted_ones_come_first(self):
+    def test_healthy_servers_are_used_first(self):
         cell = make_cell(
             test_cells.make_backend('s1', 'plain', slots=2),
             test_cells.make_backend('s2', 'plain', slots=6),
             test_cells.make_backend('s3', 'plain', slots=6),
         )
-        self.distrust(cell, 's2', 's3')
+        self.eject(cell, 's2', 's3')
         placed_ids = self.placed_ids(cell, calls=3)
         self.assertEqual(['s1', 's1'], placed_ids[:2])
         self.assertIn(placed_ids[2], ('s2', 's3'))
 
 
 class MoveTest(unittest.TestCase):
-    """Symptom: each prompt whose first engine refuses it is read again.
+    """A KV cache that was refused waits for another decode engine.
 
-    Sequence: a decode engine refuses a KV cache; the others are full, and
-    one has room a tenth of a second later.
-    Cause: the move was declined at once, and the room went to the queue.
+    A decode engine refuses it; the others are full, and one has room a tenth
+    of a second later. If the move were declined at once, queued work would
+    get that room, and the prompt would need a second prefill.
     """
 
     def setUp(self):
@@ -572,7 +582,7 @@
         for request_id in ('r1', 'r2'):
             booked = self.book(request_id)
             by_id[booked.decode_id] = request_id
-            self.tell_read(request_id)
+            self.finish_prefill(request_id)
         self.moving, self.staying = by_id['d1'], by_id['d2']
 
     def send(self, message, now):
@@ -585,7 +595,7 @@
     def book(self, request_id, now=0.0, **changes):
         return self.send(test_cells.make_book(request_id, **changes), now)[0]
 
-    def tell_read(self, request_id):
+    def finish_prefill(self, request_id):
         done = cells.PrefillDone(
             cell=self.cell.cell_id,
             request_id=request_id,
@@ -615,28 +625,30 @@
         )
         return self.send(release, now)
 
-    def test_it_gets_the_next_room_before_all_others(self):
+    def test_it_goes_before_all_other_work(self):
         self.book('r3', 0.1, priority='patient')
         self.assertIsInstance(self.move(0.2), cells.Queued)
         (booked,) = self.free(0.3)
         self.assertEqual(self.moving, booked.request_id)
         self.assertEqual('d2', booked.decode_id)
 
-    def test_it_is_declined_when_the_cache_is_gone(self):
+    def test_it_is_declined_when_the_kv_cache_has_expired(self):
         self.move(0.2)
         self.assertEqual([], self.cell_ticks(0.5))
         (declined,) = self.cell_ticks(0.7)
         self.assertIsInstance(declined, cells.Declined)
-        # Until the entry gives it up, its cache may still have to be freed.
+        # The booking stays until the entry releases it: the KV cache may
+        # still have to be freed.
         holding = cells.Holding(request_id=self.moving, attempt_id='a1')
         progress = cells.Progress(cell=self.cell.cell_id, bookings=(holding,))
         self.assertEqual([], self.send(progress, 0.8))
 
-    def test_the_engine_that_refused_it_rests(self):
-        """Symptom: five prompts in a second are read and refused.
+    def test_the_engine_that_refused_it_gets_no_work_for_a_while(self):
+        """An engine that refused a KV cache counts as full for a while.
 
-        Sequence: an engine holds streams that its owner doesn't know of.
-        Cause: by the owner's count it has room, so the next goes there.
+        It may hold streams that its owner has no bookings for, and has room
+        by the owner's count. Without the pause, five prompts in a second
+        would be computed and then refused.
         """
         self.move(0.2)
         waiting = self.book('r3', 0.3, priority='patient')
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Fair shares leave what one account doesn't want to the others."""
+"""Fair shares: capacity that one account doesn't use goes to the others."""
 
 import math
 import unittest
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -1,4 +1,4 @@
-"""Work goes on while a cell's owner is silent: reducers, time passed in."""
+"""Entries place work by themselves while a cell's owner doesn't answer."""
 
 import unittest
 
@@ -25,36 +25,37 @@
 
 
 class EntryTest(unittest.TestCase):
-    """The entry's side: when it places by itself, and when no more."""
+    """The entry's side: when it places work by itself, and when it stops."""
 
     def setUp(self):
         self.entry = entry_fake.Entry()
         self.entry.directory.places_alone = True
 
     def books(self):
-        """Return who is asked to book, and whether by itself."""
+        """Return the recipient and the ``unowned`` flag of each ``Book``."""
         return [(to, book.unowned) for to, book in self.entry.sent(cells.Book)]
 
     def silence(self):
-        """Let a request find out that the owner is silent."""
+        """Send a request and wait until its owner counts as silent."""
         request_id = self.entry.arrive('lookup')
         self.entry.tick(reservations.OWNER_SILENT_S)
         return request_id
 
-    def test_a_silent_owner_is_not_waited_for(self):
-        """Symptom: calls are held for seconds with backend servers free.
+    def test_an_entry_does_not_wait_for_a_silent_owner(self):
+        """Calls must not wait for the lease of a failed owner to expire.
 
-        Sequence: the owner's machine freezes; a call arrives.
-        Cause: nobody else may book until its lease has run out.
+        The owner's machine freezes, and a call arrives. No other owner may
+        book until the lease has expired, so the call would wait for seconds
+        although backend servers are free.
         """
         request_id = self.silence()
         self.assertEqual(self.books(), [(OWN, True)])
-        told = [
+        lines = [
             each
             for each in self.entry.found(effects.Log)
             if each.message == decisions.OwnerSilent.message
         ]
-        self.assertEqual(len(told), 1)
+        self.assertEqual(len(lines), 1)
         self.entry.book(request_id, OWN, epoch=0)
         self.assertEqual(self.entry.one(effects.RunCall).url, 'http://s1')
 
@@ -64,17 +65,18 @@
         self.assertEqual(self.books(), [(OWN, True)])
 
     def probe(self):
-        """Let a call try the owner; return what was asked of that."""
+        """Let a call probe the silent owner; return its ``Book``."""
         self.silence()
         self.entry.now += reservations.PROBE_S
         self.entry.arrive('lookup')
         return self.entry.sent(cells.Book)[0][1]
 
-    def test_one_call_in_a_while_tries_the_owner(self):
-        """Symptom: while an owner is silent a third of the calls is late.
+    def test_some_calls_probe_the_silent_owner(self):
+        """A call that probes the owner must not wait for its answer.
 
-        Sequence: twice a second a call asks the owner, and waits in vain.
-        Cause: that call was placed only once the owner was found silent.
+        Twice a second a call is also sent to the silent owner. If it were
+        placed only after the owner's timeout, a third of the calls would be
+        late while the owner is silent.
         """
         probe = self.probe()
         self.assertEqual(
@@ -87,7 +89,7 @@
         self.entry.arrive('lookup')
         self.assertEqual(self.books(), [(OWN, True)])
 
-    def test_an_owner_that_answers_places_again(self):
+    def test_an_owner_that_answers_gets_the_next_calls(self):
         probe = self.probe()
         booked = self.entry.booked(
             probe.request_id, attempt_id=probe.attempt_id
@@ -100,7 +102,7 @@
         self.entry.arrive('lookup')
         self.assertEqual(self.books(), [(entry_fake.OWNER, False)])
 
-    def test_its_own_late_answer_is_not_the_owner_s(self):
+    def test_a_late_answer_of_the_entry_itself_is_not_the_owners(self):
         probe = self.probe()
         booked = self.entry.booked(
             probe.request_id, attempt_id=probe.attempt_id
@@ -109,8 +111,8 @@
         self.entry.arrive('lookup')
         self.assertEqual(self.books(), [(OWN, True)])
 
-    def test_a_queue_whose_owner_dies_is_left(self):
-        """Symptom: queued calls wait until their callers leave."""
+    def test_a_call_leaves_the_queue_of_a_silent_owner(self):
+        """Otherwise queued calls would wait until their clients give up."""
         request_id = self.entry.arrive('completion')
         queued = cells.Queued(
             **self.entry.ids_of(request_id), epoch=1, expected_in_s=0.5
@@ -119,12 +121,12 @@
         self.entry.tick(reservations.QUEUE_SILENT_S)
         self.assertEqual(self.books(), [(OWN, True)])
 
-    def test_what_a_new_owner_took_over_is_given_back_to_both(self):
-        """Symptom: this entry's share shrinks with each silent owner.
+    def test_the_end_of_a_reclaimed_call_is_sent_to_both(self):
+        """The release of a call goes to the new owner and the entry itself.
 
-        Sequence: it places a call by itself; a new owner takes the call
-        over; the call ends.
-        Cause: only the new owner would hear of the end.
+        An entry places a call by itself, and a new owner takes it over. If
+        only the new owner got the release, the entry's own share would shrink
+        with each silent owner.
         """
         request_id = self.silence()
         self.entry.book(request_id, OWN, epoch=0)
@@ -148,7 +150,7 @@
 
 
 class StandInsTest(unittest.TestCase):
-    """The placing side: a share of every backend server, and no orders."""
+    """The placing side: a share of every backend server, and no cancels."""
 
     def setUp(self):
         self.entries = 4
@@ -174,9 +176,10 @@
         return [each.message for each in out]
 
     def test_no_more_than_its_share_is_placed(self):
-        """Symptom: engines are overrun for as long as an owner is away.
+        """An entry uses only its share of the capacity.
 
-        Cause: each entry would count on all that there is.
+        If each entry used all of it, engines would be overloaded while the
+        owner doesn't answer.
         """
         booked = [self.book(f'r{number}') for number in range(3)]
         kinds = [type(each[0]) for each in booked]
@@ -192,7 +195,7 @@
         shared = self.part.cells_by_id[CELL].view.terms.kv_tokens_by_role
         self.assertEqual(shared, {vocabulary.Role.DECODE: 80_000 // entries})
 
-    def test_an_end_gives_its_place_back(self):
+    def test_a_release_frees_the_slot(self):
         self.book('r1')
         self.assertTrue(self.part.holds(CELL, ('r1', 'a1')))
         release = cells.Release(
@@ -201,11 +204,11 @@
             attempt_id='a1',
             outcome=cells.Outcome.FAILED,
         )
-        # An owner would order the engines to free what they hold.
+        # An owner would also send cancels to the engines.
         self.assertEqual(self.handle(release), [])
         self.assertFalse(self.part.holds(CELL, ('r1', 'a1')))
 
-    def test_a_cell_is_forgotten_once_it_holds_nothing(self):
+    def test_a_cell_without_bookings_is_dropped(self):
         self.book('r1')
         later = parts.Ticked(now=1.0 + cells.BOOKING_LEASE_S, entropy=0)
         self.part.tick(later)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""A new owner hears what all entries hold."""
+"""A new owner collects the bookings of all entries."""
 
 import unittest
 
@@ -6,12 +6,11 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """Symptom: a cell of 200 entries books full slots after a failover.
+    """A new owner must get the bookings of 200 entries before its timeout.
 
-    Sequence: its new owner asks all of them what they hold, and opens a
-    connection to each; the time for the answers is over before the last
-    question has left. Or a question is lost.
-    Cause: connections for one message; a question that is asked once.
+    If it opened a connection to each of them, the timeout would be over
+    before the last request is sent. A datagram may be lost, so the request is
+    repeated. Without the answers, slots in use would be booked again.
     """
 
     def setUp(self):
@@ -25,13 +24,13 @@
     def sent(self, effects):
         return [(each.to, each.by_datagram) for each in effects]
 
-    def test_the_question_needs_no_connection(self):
+    def test_the_request_needs_no_connection(self):
         self.assertEqual(
             [('gw-1', True), ('gw-2', True), ('gw-3', True)],
             self.sent(self.begun.announce()),
         )
 
-    def test_who_has_not_answered_is_asked_again_in_another_way(self):
+    def test_the_request_is_repeated_over_a_connection(self):
         self.begun.announce()
         self.begun.note_reclaim('gw-2')
         self.assertEqual([], self.begun.remind(10.1))
@@ -42,7 +41,7 @@
         )
         self.assertEqual([], self.begun.remind(now + 0.1))
 
-    def test_it_ends_with_the_last_answer_or_its_time(self):
+    def test_it_ends_with_the_last_answer_or_its_timeout(self):
         self.assertFalse(self.begun.is_over(10.1))
         self.assertTrue(self.begun.is_over(10.0 + takeover.LONGEST_S))
         for each in ('gw-1', 'gw-2', 'gw-3'):
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -1,4 +1,4 @@
-"""Whom an owner distrusts is told, and when that is over."""
+"""Faults of backend servers: ejections, recoveries and their log lines."""
 
 import unittest
 
@@ -11,8 +11,8 @@
 from tests import test_cells
 
 
-class TrustLinesTest(unittest.TestCase):
-    """What the owner believes of a backend server can be read afterwards."""
+class TrustLogTest(unittest.TestCase):
+    """Ejections and recoveries of a backend server are logged."""
 
     def setUp(self):
         self.cell = test_cells.make_cell(
@@ -39,21 +39,21 @@
             if isinstance(effect, effects.Log)
         ]
 
-    def test_it_is_told_who_is_left_out_and_who_is_back(self):
-        (told,) = self.end('r1', 1.0, is_down=True)
-        self.assertEqual('backend server distrusted', told.message)
-        fields = dict(told.fields)
+    def test_an_ejection_and_its_end_are_logged(self):
+        (line,) = self.end('r1', 1.0, is_down=True)
+        self.assertEqual('backend server distrusted', line.message)
+        fields = dict(line.fields)
         self.assertEqual(self.cell.cell_id, fields['cell'])
         self.assertEqual('it took no connection', fields['why'])
         self.assertEqual('2.000', fields['left_out_s'])
-        # Connections that fail show at once, so there is no ramp.
+        # A failing connection shows at once, so there is no slow start.
         self.assertEqual([], self.lines_of_tick(2.9))
         (back,) = self.lines_of_tick(3.1)
         self.assertEqual('backend server trusted again', back.message)
         self.assertEqual(fields['backend_id'], dict(back.fields)['backend_id'])
         self.assertEqual([], self.lines_of_tick(3.2))
 
-    def test_a_fault_that_changes_nothing_is_not_told(self):
+    def test_a_fault_without_an_ejection_is_not_logged(self):
         self.assertEqual([], self.end('r1', 1.0))
 
     def lines_of_tick(self, now: float) -> list:
@@ -65,12 +65,11 @@
 
 
 class SharedLossTest(unittest.TestCase):
-    """Symptom: work waits for seconds beside an engine that is nearly idle.
+    """Faults that all engines share must not eject one of them.
 
-    Sequence: four in ten answers are lost on their way, whoever sends them;
-    one of two decode engines is left out for it, and the other one fills.
-    Cause: each was judged alone, and a place that works six times in ten
-    counted for nothing though no other was left.
+    The network loses four in ten answers of all engines. If one of two decode
+    engines were ejected for that, and not used at all, the other one would be
+    full and work would wait for seconds.
     """
 
     def setUp(self):
@@ -92,12 +91,12 @@
         for _ in range(faults):
             trust.blame(1.0, backend_id)
 
-    def test_what_all_lose_is_held_against_nobody(self):
+    def test_a_failure_rate_that_all_share_ejects_none(self):
         self.end('d1', faults=2, successes=3)
         self.end('d2', faults=4, successes=6)
         self.assertFalse(self.health['d2'].is_ejected(1.1))
 
-    def test_what_one_loses_alone_is(self):
+    def test_a_failure_rate_of_one_alone_ejects_it(self):
         self.end('d1', faults=0, successes=5)
         self.end('d2', faults=4, successes=6)
         self.assertTrue(self.health['d2'].is_ejected(1.1))
@@ -127,14 +126,16 @@
             ]
         return found
 
-    def test_one_that_works_in_part_serves_where_no_other_has_room(self):
+    def test_an_ejected_engine_that_works_in_part_is_used_if_others_are_full(
+        self,
+    ):
         self.end('d1', faults=0, successes=5)
         self.end('d2', faults=4, successes=6)
         found = self.booked_ids()
         self.assertEqual(['d1', 'd1'], found[:2])
         self.assertIn('d2', found)
 
-    def test_one_whose_work_all_fails_does_not(self):
+    def test_an_ejected_engine_whose_work_all_fails_is_not_used(self):
         self.end('d1', faults=0, successes=5)
         self.end('d2', faults=4, successes=0)
         self.assertEqual({'d1'}, set(self.booked_ids()))
