--- a/dandeliongw/cell/backend_state.py
+++ b/dandeliongw/cell/backend_state.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from . import prefixes
-from .health import Batch
+from .health import BatchCap
 from .health import Health
 from .vocabulary import Booking
 from .vocabulary import CellBackend
@@ -16,7 +16,7 @@
 MOST_BLOCKS = 4_096
 
 
-class NoRoom(msgspec.Struct, frozen=True, kw_only=True):
+class FullForecast(msgspec.Struct, frozen=True, kw_only=True):
     """A cached forecast that an engine's KV cache has no room.
 
     :param until: when it expires, in seconds of the monotonic clock.
@@ -52,10 +52,10 @@
     left_at: float | None = None
     #: Peak of the owner's own slot count between the last two load reports,
     #: and since the last one.
-    peak_used_before: int = 0
-    peak_used: int = 0
+    previous_peak_slots: int = 0
+    peak_slots: int = 0
     #: Slots in use, as reported, for which the owner has no booking.
-    foreign: int = 0
+    foreign_slots: int = 0
     #: Cancelled streams without a confirmation; each still holds its slot.
     cancelling: int = 0
     #: Measured prefill time divided by the predicted one; above 1 is slow.
@@ -67,9 +67,9 @@
     #: owner's count had room.
     full_until: float = -math.inf
     #: The last forecast that its KV cache has no room; see
-    #: :meth:`forget_forecast`.
-    no_room: NoRoom | None = None
-    batch: Batch = msgspec.field(default_factory=Batch)
+    #: :meth:`clear_forecast`.
+    full_forecast: FullForecast | None = None
+    batch: BatchCap = msgspec.field(default_factory=BatchCap)
     health: Health = msgspec.field(default_factory=lambda: Health())
     #: Blocks that its prefix cache may hold, least recently used first. An
     #: approximation: cache events come late and with gaps, and the blocks of
@@ -88,10 +88,10 @@
     @property
     def slots_used(self) -> int:
         """Slots that are booked, awaiting a cancel, or used by others."""
-        return len(self.bookings_by_key) + self.cancelling + self.foreign
+        return len(self.bookings_by_key) + self.cancelling + self.foreign_slots
 
-    def count_foreign(self, reported_used: int) -> None:
-        """Update :attr:`foreign` from a load report.
+    def update_foreign_slots(self, reported_used: int) -> None:
+        """Update :attr:`foreign_slots` from a load report.
 
         A report is older than the owner's own count, so only the slots above
         the peak of that count since the report before the last are counted as
@@ -101,14 +101,14 @@
 
         :param reported_used: slots in use, as reported.
         """
-        own = max(self.peak_used_before, self.peak_used)
-        self.foreign = max(0, reported_used - own)
-        self.peak_used_before = self.peak_used
-        self.peak_used = len(self.bookings_by_key) + self.cancelling
+        own = max(self.previous_peak_slots, self.peak_slots)
+        self.foreign_slots = max(0, reported_used - own)
+        self.previous_peak_slots = self.peak_slots
+        self.peak_slots = len(self.bookings_by_key) + self.cancelling
 
-    def forget_forecast(self) -> None:
+    def clear_forecast(self) -> None:
         """Discard the cached forecast, as work has ended on this engine."""
-        self.no_room = None
+        self.full_forecast = None
 
     def cached_tokens(self, prefix: abc.Sequence[str]) -> int:
         """Return how many leading tokens of a prompt are probably cached."""
--- a/dandeliongw/cell/rooms.py
+++ b/dandeliongw/cell/candidates.py
@@ -12,26 +12,26 @@
 
 #: If a smaller part of a role's slots than this is open to new work, ejected
 #: backend servers are used, too: above it, the others can carry their work.
-LEAST_TRUSTED_PART = 0.5
+MIN_OPEN_FRACTION = 0.5
 
 
-class Room(msgspec.Struct, frozen=True, kw_only=True):
+class BackendCandidate(msgspec.Struct, frozen=True, kw_only=True):
     """A backend server that may be booked now, with its free slots."""
 
     state: BackendState
     free: int
 
 
-class Rooms:
+class CandidateFinder:
     """Finds the backend servers of a role that have room for a booking.
 
     :param heeds_health: leave out ejected backend servers.
     :param heeds_cap: use no more slots than meet the token gap's target.
     """
 
-    def __init__(self, *, heeds_health: bool, heeds_cap: bool) -> None:
-        self._heeds_health = heeds_health
-        self._heeds_cap = heeds_cap
+    def __init__(self, *, uses_health: bool, uses_cap: bool) -> None:
+        self._uses_health = uses_health
+        self._uses_cap = uses_cap
 
     def usable(
         self, now: float, view: CellView, role: Role, booking: Booking
@@ -42,7 +42,7 @@
         none does, all.
         """
         candidates = candidates_for(view, role, booking)
-        if not self._heeds_health:
+        if not self._uses_health:
             return candidates
         if all(state.health.is_ejected(now) for state in candidates):
             reachable = [
@@ -57,7 +57,7 @@
 
     def find(
         self, now: float, view: CellView, role: Role, booking: Booking
-    ) -> list[Room]:
+    ) -> list[BackendCandidate]:
         """Return the backend servers with free slots.
 
         If no healthy one has a free slot, ejected ones are used where most of
@@ -70,27 +70,29 @@
         most of its role is healthy: serving six in ten of its streams is
         better than serving none.
         """
-        rooms = [
-            Room(state=state, free=self._trusted_slots(now, state))
+        found = [
+            BackendCandidate(state=state, free=self._open_slots(now, state))
             for state in self.usable(now, view, role, booking)
             if view.has_kv_room(now, state, booking)
         ]
-        rooms = [room for room in rooms if room.free > 0]
-        if rooms or not self._heeds_health:
-            return rooms
-        is_of_use = _is_of_use
-        if not is_most_distrusted(now, view, role):
+        found = [each for each in found if each.free > 0]
+        if found or not self._uses_health:
+            return found
+        is_usable = _is_last_resort
+        if not is_mostly_closed(now, view, role):
             if role is not Role.DECODE:
-                return rooms
-            is_of_use = _works_in_part
-        rooms = [
-            Room(state=state, free=self._slots(state) - state.slots_used)
+                return found
+            is_usable = _is_partly_working
+        found = [
+            BackendCandidate(
+                state=state, free=self._slots(state) - state.slots_used
+            )
             for state in candidates_for(view, role, booking)
-            if is_of_use(state) and view.has_kv_room(now, state, booking)
+            if is_usable(state) and view.has_kv_room(now, state, booking)
         ]
-        return [room for room in rooms if room.free > 0]
+        return [each for each in found if each.free > 0]
 
-    def readers(
+    def prefill_engines(
         self, now: float, view: CellView, booking: Booking
     ) -> list[BackendState]:
         """Return the prefill engines that may get a prompt.
@@ -103,53 +105,53 @@
         each.
         """
         usable = self.usable(now, view, Role.PREFILL, booking)
-        if not booking.may_read_there or not self._heeds_health:
+        if not booking.may_read_there or not self._uses_health:
             return usable
         usable = [
             state for state in usable if not state.health.is_ejected(now)
         ]
-        if not is_most_distrusted(now, view, Role.PREFILL):
+        if not is_mostly_closed(now, view, Role.PREFILL):
             return usable
         return usable + [
             state
             for state in candidates_for(view, Role.PREFILL, booking)
-            if state not in usable and _is_of_use(state)
+            if state not in usable and _is_last_resort(state)
         ]
 
     def _slots(self, state: BackendState) -> int:
-        return state.slots_open if self._heeds_cap else state.backend.slots
+        return state.slots_open if self._uses_cap else state.backend.slots
 
-    def _trusted_slots(self, now: float, state: BackendState) -> int:
+    def _open_slots(self, now: float, state: BackendState) -> int:
         """Return the free slots, counting only those open to new work now.
 
         During slow start only a part of the slots is open.
         """
         slots = self._slots(state)
-        if self._heeds_health:
-            slots = max(1, math.floor(slots * state.health.open_part(now)))
+        if self._uses_health:
+            slots = max(1, math.floor(slots * state.health.open_fraction(now)))
         return slots - state.slots_used
 
 
-def freest(rooms: list[Room]) -> BackendState:
+def most_free(candidates: list[BackendCandidate]) -> BackendState:
     """Return the backend server with the most free slots.
 
-    :param rooms: must not be empty.
+    :param candidates: must not be empty.
     """
-    return max(rooms, key=lambda room: room.free).state
+    return max(candidates, key=lambda each: each.free).state
 
 
-def is_most_distrusted(now: float, view: CellView, role: Role) -> bool:
+def is_mostly_closed(now: float, view: CellView, role: Role) -> bool:
     """Return whether over half of a role's slots are closed to new work.
 
     Slots are closed while their backend server is ejected or in slow start.
     """
     parts = [
-        state.health.open_part(now) for state in view.candidates(role, ())
+        state.health.open_fraction(now) for state in view.candidates(role, ())
     ]
-    return sum(parts) < LEAST_TRUSTED_PART * len(parts)
+    return sum(parts) < MIN_OPEN_FRACTION * len(parts)
 
 
-def _is_of_use(state: BackendState) -> bool:
+def _is_last_resort(state: BackendState) -> bool:
     """Return whether an ejected server is better than none.
 
     A prefill engine must have done some work well, as decode engines can do
@@ -157,25 +159,25 @@
     the server aren't refused.
     """
     if state.backend.role is Role.PREFILL:
-        return state.health.works_in_part
+        return state.health.is_partly_working
     return not state.health.refuses_connections
 
 
-def _works_in_part(state: BackendState) -> bool:
+def _is_partly_working(state: BackendState) -> bool:
     health = state.health
-    return health.works_in_part and not health.refuses_connections
+    return health.is_partly_working and not health.refuses_connections
 
 
 def serving(now: float, view: CellView, role: Role) -> list[BackendState]:
     """Return the backend servers that get work now, even if they are full."""
     candidates = view.candidates(role, ())
-    if is_most_distrusted(now, view, role):
-        return [state for state in candidates if _is_of_use(state)]
+    if is_mostly_closed(now, view, role):
+        return [state for state in candidates if _is_last_resort(state)]
     return [
         state
         for state in candidates
         if not state.health.is_ejected(now)
-        or (role is Role.DECODE and _works_in_part(state))
+        or (role is Role.DECODE and _is_partly_working(state))
     ]
 
 
--- a/dandeliongw/cell/cell_view.py
+++ b/dandeliongw/cell/cell_view.py
@@ -10,7 +10,7 @@
 
 from . import forecast
 from .backend_state import BackendState
-from .backend_state import NoRoom
+from .backend_state import FullForecast
 from .vocabulary import Booking
 from .vocabulary import CellTerms
 from .vocabulary import Role
@@ -24,22 +24,22 @@
 #: answers. Their errors are 0.47 and 0.61 of the length, which gives the hint
 #: 0.62. Logarithms are weighted, as either may be off by a factor in both
 #: directions.
-GUESS_PART = 0.6
+HINT_WEIGHT = 0.6
 
 
 #: An answer that has passed its expected length is expected to go on for this
 #: part of it.
-OVERRUN_PART = 0.1
+OVERRUN_FRACTION = 0.1
 
 
 #: Cap of one measurement of slowness: a prefill that hung predicts nothing
 #: about the next one beyond this.
-MOST_SLOWNESS = 10.0
+MAX_SLOWNESS = 10.0
 
 
 #: Seconds for which a forecast that an engine has no room is cached, unless
 #: work ends there: one tick, in which each stream grows by some ten tokens.
-FORECAST_S = 0.05
+FORECAST_TTL_S = 0.05
 
 
 class CellView(msgspec.Struct, kw_only=True):
@@ -57,7 +57,7 @@
     #: Measured tokens a second of one stream; ``None`` until one has ended.
     measured_tokens_per_s: float | None = None
     #: Number of complete answers.
-    answers_seen: int = 0
+    answer_count: int = 0
     #: Engines that are changing their role; they get no work meanwhile.
     switching_ids: frozenset[str] = frozenset()
 
@@ -79,25 +79,25 @@
             return True
         tokens = booking.prompt_tokens + booking.max_tokens
         pace = round(self.stream_tokens_per_s, -1), round(self.answer_ratio, 1)
-        held = state.no_room
+        held = state.full_forecast
         if held is not None and held.covers(now, tokens, pace):
             return False
         least, most = self._kv_bounds(now, state, booking)
-        if least > forecast.FILL_PART:
+        if least > forecast.MAX_FILL:
             return False
-        if most <= forecast.FILL_PART:
+        if most <= forecast.MAX_FILL:
             return True
-        if self.kv_part(now, state, booking) <= forecast.FILL_PART:
+        if self.kv_fraction(now, state, booking) <= forecast.MAX_FILL:
             return True
-        state.no_room = NoRoom(
-            until=now + FORECAST_S, tokens=tokens, pace=pace
+        state.full_forecast = FullForecast(
+            until=now + FORECAST_TTL_S, tokens=tokens, pace=pace
         )
         return False
 
     def _kv_bounds(
         self, now: float, state: BackendState, booking: Booking
     ) -> tuple[float, float]:
-        """Return a lower and an upper bound of :meth:`kv_part`.
+        """Return a lower and an upper bound of :meth:`kv_fraction`.
 
         The prompts alone are the lower bound; the upper one adds every answer
         at its ``max_tokens``. They are mostly decisive, and the forecast takes
@@ -122,7 +122,7 @@
         grown = answers + waits_s * self.stream_tokens_per_s
         return prompts / capacity, (prompts + grown) / capacity
 
-    def kv_part(
+    def kv_fraction(
         self, now: float, state: BackendState, booking: Booking
     ) -> float:
         """Return the forecast peak use of a KV cache, with one more booking.
@@ -143,7 +143,7 @@
         answer = self.answer_tokens(booking)
         began_at = booking.transfer_ends_at or now
         done = min(max(0.0, now - began_at) * rate, booking.max_tokens)
-        left = max(answer - done, OVERRUN_PART * answer)
+        left = max(answer - done, OVERRUN_FRACTION * answer)
         left = min(left, booking.max_tokens - done)
         return forecast.Growth(
             held=booking.prompt_tokens + done,
@@ -161,7 +161,7 @@
         if not booking.expected_tokens:
             return typical
         guess = min(booking.expected_tokens, booking.max_tokens)
-        return typical ** (1.0 - GUESS_PART) * guess**GUESS_PART
+        return typical ** (1.0 - HINT_WEIGHT) * guess**HINT_WEIGHT
 
     def slots_for(self, state: BackendState, booking: Booking) -> int:
         """Return how many bookings of this size an engine can hold at once."""
@@ -231,7 +231,7 @@
         decode_s = self.decode_s(booking)
         booking.decode_ends_at = booking.transfer_ends_at + decode_s
 
-    def learn_prefill(
+    def record_prefill(
         self, now: float, state: BackendState, booking: Booking, computed: int
     ) -> None:
         """Update the predictions after a prefill has ended.
@@ -242,7 +242,7 @@
         began_at = max(booking.start_at or now, state.last_prefill_at)
         expected_s = computed / self.terms.prefill_tokens_per_s
         if expected_s > 0.0 and now > began_at:
-            measured = min((now - began_at) / expected_s, MOST_SLOWNESS)
+            measured = min((now - began_at) / expected_s, MAX_SLOWNESS)
             state.slowness += SMOOTHING * (measured - state.slowness)
         state.last_prefill_at = now
         at = now
@@ -256,7 +256,7 @@
         if transfer_ends_at > booking.transfer_ends_at:
             self._plan_decode(booking, now)
 
-    def learn_answer(
+    def record_answer(
         self, now: float, booking: Booking, *, pieces: int, piece_gap_s: float
     ) -> None:
         """Update the mean rate and length of answers from a complete one.
@@ -270,8 +270,8 @@
         :param piece_gap_s: mean gap between pieces, in seconds; zero if not
             measured.
         """
-        self.answers_seen += 1
-        part = max(SMOOTHING, 1.0 / self.answers_seen)
+        self.answer_count += 1
+        part = max(SMOOTHING, 1.0 / self.answer_count)
         if piece_gap_s > 0.0:
             measured = self.terms.tokens_per_piece / piece_gap_s
             known = self.stream_tokens_per_s
--- a/dandeliongw/cell/cells.py
+++ b/dandeliongw/cell/cells.py
@@ -38,14 +38,14 @@
 from .cell_messages import StreamsListed
 from .cell_messages import TermsChanged
 from .cell_view import CellView
+from .fault_recorder import FaultRecorder
 from .health import Health
 from .policy import Decision
 from .policy import Decline
 from .policy import Place
 from .policy import Policy
 from .policy import Wait
-from .roles import RoleBalance
-from .trust import Trust
+from .roles import RoleBalancer
 from .vocabulary import Booking
 from .vocabulary import CellBackend
 from .vocabulary import CellTerms
@@ -90,23 +90,23 @@
 #: How often an entry should send :class:`Progress`, in seconds.
 PROGRESS_EVERY_S = 1.0
 #: How often an owner lists the streams of its backend servers, in seconds.
-LIST_EVERY_S = 5.0
+LIST_INTERVAL_S = 5.0
 #: After a dispatch that placed nothing, events that free no capacity don't
 #: start another one for this time, half a tick of the runtime. Without this,
 #: each arrival in a burst checks the KV cache of every engine again: at 160
 #: requests a second, an owner of 59 engines used 0.99 of a core, against 0.70
 #: with it, on a busy machine.
-LOOK_AGAIN_S = 0.025
+DISPATCH_PAUSE_S = 0.025
 
 
-def _frees(event: typing.Any) -> bool:
+def _frees_capacity(event: typing.Any) -> bool:
     """Return whether an event may free capacity for queued work."""
     if isinstance(event, parts.Received):
         return isinstance(event.message, (Release, PrefillDone))
     return not isinstance(event, parts.Ticked)
 
 
-def _is_same(known: Booking, book: Book) -> bool:
+def _is_repeat(known: Booking, book: Book) -> bool:
     """Return whether a ``Book`` repeats one that was answered already.
 
     A second move of one KV cache has the same ids and stage as the first,
@@ -142,15 +142,17 @@
         self.epoch = epoch
         self.policy = policy
         self.view = CellView(terms=document_part)
-        self._trust = Trust(cell_id=cell_id, epoch=epoch, view=self.view)
-        self.roles = RoleBalance()
+        self._faults = FaultRecorder(
+            cell_id=cell_id, epoch=epoch, view=self.view
+        )
+        self.roles = RoleBalancer()
         self.bookings_by_key: dict[tuple[str, str], Booking] = {}
         self.cancels = Cancels(epoch=epoch)
         #: Backend servers that left or were cut off, on which work of this
         #: cell may still run.
         self.leaving_by_id: dict[str, BackendState] = {}
         self._began_at: float | None = None
-        self._look_again_at = 0.0
+        self._next_dispatch_at = 0.0
         self._listed_at = 0.0
         self._handlers_by_type: dict[type, typing.Any] = {
             Book: self._book,
@@ -165,7 +167,7 @@
         if self._began_at is None:
             self._began_at = self._listed_at = event.now
         effects = self._take(event)
-        if event.now < self._look_again_at and not _frees(event):
+        if event.now < self._next_dispatch_at and not _frees_capacity(event):
             return effects
         return effects + self._dispatch(event.now)
 
@@ -174,7 +176,7 @@
         while self.view.queue:
             decided = self.policy.dispatch(now=now, view=self.view)
             if not decided:
-                self._look_again_at = now + LOOK_AGAIN_S
+                self._next_dispatch_at = now + DISPATCH_PAUSE_S
                 break
             for booking, decision in decided:
                 self._forget(booking)
@@ -198,9 +200,9 @@
             case LoadReported():
                 return self._report_load(event)
             case CacheHint():
-                return self._take_hint(event)
+                return self._apply_cache_hint(event)
             case StreamsListed():
-                return self._cancel_unknown(event)
+                return self._cancel_orphans(event)
             case StreamCancelled():
                 self.cancels.confirm(event, self._state(event.backend_id))
         return []
@@ -215,18 +217,18 @@
     def _book(self, now: float, sender: str, book: Book) -> list:
         key = (book.request_id, book.attempt_id)
         known = self.bookings_by_key.get(key)
-        if known is not None and _is_same(known, book):
+        if known is not None and _is_repeat(known, book):
             known.renewed_at = now
             return [self._answer(now, known)]
         if known is not None and book.stage is Stage.PAIR:
             # A delayed duplicate: this attempt already moves its KV cache.
             return []
-        told = []
+        logs = []
         if known is not None:
             self._forget(known)
             if known.decode_id in book.exclude:
-                told = self._trust.blame(now, known.decode_id)
-                self._trust.rest(now, known.decode_id)
+                logs = self._faults.record_fault(now, known.decode_id)
+                self._faults.pause(now, known.decode_id)
         booking = Booking(
             request_id=book.request_id,
             attempt_id=book.attempt_id,
@@ -255,7 +257,7 @@
             known.decode_id = ''
             known.stage = Stage.DECODE
             self._remember(known)
-        return [*told, *effects]
+        return [*logs, *effects]
 
     def review_roles(self, now: float) -> bool:
         """Start or end moves of engines between the pools.
@@ -270,7 +272,7 @@
 
     def _decide(self, now: float, booking: Booking) -> list:
         if booking.stage is Stage.PAIR:
-            self.roles.note(self.view, booking)
+            self.roles.record(self.view, booking)
         decision = self.policy.decide(now=now, view=self.view, booking=booking)
         return self._apply(now, booking, decision)
 
@@ -289,7 +291,7 @@
                 booking.start_at = now + decision.start_in_s
                 self.view.plan(booking)
                 for state in self._states_of(booking):
-                    state.health.last_given_at = now
+                    state.health.last_booked_at = now
         self._remember(booking)
         return [self._answer(now, booking)]
 
@@ -350,7 +352,7 @@
         for state in self._states_of(booking):
             state.bookings_by_key[booking.key] = booking
             own = len(state.bookings_by_key) + state.cancelling
-            state.peak_used = max(state.peak_used, own)
+            state.peak_slots = max(state.peak_slots, own)
 
     def _forget(self, booking: Booking) -> None:
         self.bookings_by_key.pop(booking.key, None)
@@ -358,7 +360,7 @@
             self.view.queue.remove(booking)
         for state in self._states_of(booking):
             state.bookings_by_key.pop(booking.key, None)
-            state.forget_forecast()
+            state.clear_forecast()
 
     def _states_of(self, booking: Booking) -> list[BackendState]:
         ids = (booking.prefill_id, booking.decode_id, booking.plain_id)
@@ -371,15 +373,17 @@
         booking = self.bookings_by_key.get((done.request_id, done.attempt_id))
         if booking is None:
             return [
-                self._gone(now, sender, (done.request_id, done.attempt_id))
+                self._answer_unknown(
+                    now, sender, (done.request_id, done.attempt_id)
+                )
             ]
         booking.renewed_at = now
         state = self.view.backends_by_id.get(booking.prefill_id)
         if state is not None:
             computed = done.tokens - done.cached_tokens
-            self.view.learn_prefill(now, state, booking, computed)
+            self.view.record_prefill(now, state, booking, computed)
             state.bookings_by_key.pop(booking.key, None)
-            state.forget_forecast()
+            state.clear_forecast()
         booking.prefill_done = True
         return []
 
@@ -387,7 +391,7 @@
         """Return whether entries may still send their ``Reclaim``."""
         return now < self._began_at + BOOKING_LEASE_S
 
-    def _gone(
+    def _answer_unknown(
         self, now: float, entry: str, booking_key: tuple[str, str]
     ) -> parts.Send:
         """Answer an entry whose booking isn't in the table.
@@ -420,7 +424,7 @@
             key = (holding.request_id, holding.attempt_id)
             booking = self.bookings_by_key.get(key)
             if booking is None:
-                effects.append(self._gone(now, sender, key))
+                effects.append(self._answer_unknown(now, sender, key))
             else:
                 booking.renewed_at = now
         return list(dict.fromkeys(effects))
@@ -431,23 +435,23 @@
         if booking is None:
             return []
         self._forget(booking)
-        told = self._trust.blame(
+        logs = self._faults.record_fault(
             now, release.backend_fault, is_down=release.is_down
         )
         if release.outcome is Outcome.DONE:
             for state in self._states_of(booking):
                 state.health.add_success(now)
-            self.view.learn_answer(
+            self.view.record_answer(
                 now,
                 booking,
                 pieces=release.answer_pieces,
                 piece_gap_s=release.token_gap_s,
             )
-            self._learn_gap(now, booking, release.token_gap_s)
-            return told
-        return [*told, *self._cancel(now, booking)]
+            self._record_gap(now, booking, release.token_gap_s)
+            return logs
+        return [*logs, *self._cancel(now, booking)]
 
-    def _learn_gap(
+    def _record_gap(
         self, now: float, booking: Booking, token_gap_s: float
     ) -> None:
         state = self.view.backends_by_id.get(booking.decode_id)
@@ -455,7 +459,7 @@
             # One more: this booking was in the batch, too.
             streams = len(state.bookings_by_key) + 1
             target_s = self.view.terms.token_gap_s
-            state.batch.learn(now, token_gap_s, target_s, streams)
+            state.batch.adjust(now, token_gap_s, target_s, streams)
 
     def _cancel(self, now: float, booking: Booking) -> list:
         return [
@@ -510,9 +514,10 @@
                 self.cancels.forget(backend.backend_id)
                 self.roles.forget(backend.backend_id)
                 if state is not None:
-                    effects += self._end_work_of(state)
+                    effects += self._cancel_bookings_of(state)
                 new[backend.backend_id] = BackendState(
-                    backend=backend, health=self._first_health(event, backend)
+                    backend=backend,
+                    health=self._initial_health(event, backend),
                 )
         self.view.backends_by_id = new
         for state in old.values():
@@ -523,7 +528,7 @@
         self.leaving_by_id = old
         return effects
 
-    def _end_work_of(self, former: BackendState) -> list:
+    def _cancel_bookings_of(self, former: BackendState) -> list:
         """Cancel the bookings of a backend server that has restarted.
 
         None of its streams and KV caches has survived. If the bookings were
@@ -538,7 +543,7 @@
             effects.append(self._cancelled(booking.entry, booking.key))
         return effects
 
-    def _drop_left(self, now: float) -> None:
+    def _drop_leaving(self, now: float) -> None:
         """Drop leaving backend servers that are idle or timed out.
 
         A backend server that leaves still finishes its streams. If it were
@@ -551,7 +556,7 @@
                 del self.leaving_by_id[backend_id]
                 self.cancels.forget(backend_id)
 
-    def _first_health(
+    def _initial_health(
         self, event: BackendsChanged, backend: CellBackend
     ) -> Health:
         """Return the initial health of a backend server.
@@ -561,7 +566,7 @@
         has just started.
         """
         others = self.view.candidates(backend.role, ())
-        return Health(came_at=event.now if others else None)
+        return Health(slow_start_at=event.now if others else None)
 
     def _report_load(self, event: LoadReported) -> list:
         state = self.view.backends_by_id.get(event.backend_id)
@@ -570,10 +575,10 @@
             state.reported_waiting = event.waiting
             state.reported_queued_tokens = event.queued_tokens
             state.reported_at = event.now
-            state.count_foreign(event.slots_used)
+            state.update_foreign_slots(event.slots_used)
         return []
 
-    def _take_hint(self, event: CacheHint) -> list:
+    def _apply_cache_hint(self, event: CacheHint) -> list:
         state = self.view.backends_by_id.get(event.backend_id)
         if state is not None:
             if event.gap:
@@ -587,7 +592,7 @@
         return []
 
     def _list_streams(self, now: float) -> list:
-        if now - self._listed_at < LIST_EVERY_S:
+        if now - self._listed_at < LIST_INTERVAL_S:
             return []
         self._listed_at = now
         return [
@@ -598,7 +603,7 @@
             if state.backend.role is not Role.PLAIN
         ]
 
-    def _cancel_unknown(self, event: StreamsListed) -> list:
+    def _cancel_orphans(self, event: StreamsListed) -> list:
         """Cancel the streams that no entry has reclaimed.
 
         If an owner and an entry die together, nobody reclaims the entry's
@@ -618,8 +623,8 @@
         return effects
 
     def _tick(self, now: float) -> list:
-        self._drop_left(now)
-        effects = [*self._list_streams(now), *self._trust.tell_regained(now)]
+        self._drop_leaving(now)
+        effects = [*self._list_streams(now), *self._faults.log_recovered(now)]
         for booking in list(self.bookings_by_key.values()):
             # An entry that died sends no release, and its slots would stay
             # taken. The end of the lease frees the slots, the cancel frees
--- a/dandeliongw/cell/declines.py
+++ b/dandeliongw/cell/declines.py
@@ -12,9 +12,9 @@
 
 #: Shortest Retry-After, in seconds. Bursts last for seconds; a retry within
 #: the same burst is refused again, for good.
-LEAST_RETRY_AFTER_S = 1.5
+SHORTEST_RETRY_AFTER_S = 1.5
 #: Longest Retry-After, in seconds, however long the queue.
-MOST_RETRY_AFTER_S = 30.0
+LONGEST_RETRY_AFTER_S = 30.0
 #: Jitter: Retry-After is lengthened by up to this part, so that clients that
 #: were refused together don't retry together.
 RETRY_JITTER = 0.5
@@ -71,6 +71,6 @@
     if math.isinf(late_s):
         # No start can be predicted; ejected backend servers are tried again
         # within seconds.
-        late_s = LEAST_RETRY_AFTER_S
-    wanted_s = (late_s + LEAST_RETRY_AFTER_S) * stretch
-    return min(wanted_s, MOST_RETRY_AFTER_S)
+        late_s = SHORTEST_RETRY_AFTER_S
+    wanted_s = (late_s + SHORTEST_RETRY_AFTER_S) * stretch
+    return min(wanted_s, LONGEST_RETRY_AFTER_S)
--- a/dandeliongw/cell/stand_in.py
+++ b/dandeliongw/cell/fallback.py
@@ -24,7 +24,7 @@
 EPOCH = 0
 
 
-class StandIns:
+class FallbackCells:
     """Local cells, one for each cell whose owner doesn't answer.
 
     :param terms_of: returns a cell's settings from the document, or ``None``.
@@ -53,7 +53,7 @@
         """Handle a message of this instance's own entry."""
         message = event.message
         if isinstance(message, cells.Book):
-            cell = self._refreshed(event.now, message.cell)
+            cell = self._updated_cell(event.now, message.cell)
         else:
             cell = self.cells_by_id.get(message.cell)
         return [] if cell is None else _messages(cell.handle(event))
@@ -72,7 +72,7 @@
                 del self.cells_by_id[cell_id]
         return out
 
-    def _refreshed(self, now: float, cell_id: str) -> cells.Cell | None:
+    def _updated_cell(self, now: float, cell_id: str) -> cells.Cell | None:
         """Return a local cell, updated from document and announcements."""
         terms = self._terms_of(cell_id)
         if terms is None:
--- a/dandeliongw/cell/trust.py
+++ b/dandeliongw/cell/fault_recorder.py
@@ -7,10 +7,10 @@
 
 #: Seconds for which an engine that refused a KV cache gets no work. Of some
 #: ten streams of a few seconds each, one ends about as often.
-REFUSED_REST_S = 0.5
+REFUSED_PAUSE_S = 0.5
 
 
-class Trust:
+class FaultRecorder:
     """Records faults in the health of backend servers, and logs ejections.
 
     :param view: holds the backend servers' health.
@@ -21,7 +21,7 @@
         self._epoch = epoch
         self._view = view
 
-    def blame(
+    def record_fault(
         self, now: float, backend_id: str, *, is_down: bool = False
     ) -> list[effects.Log]:
         """Record a fault of a backend server.
@@ -35,14 +35,14 @@
             return []
         health = state.health
         was_ejected = health.is_ejected(now)
-        faults, ended = health.count_lately(now)
+        faults, ended = health.count_recent(now)
         if is_down:
-            health.add_refusal(now)
+            health.add_connection_failure(now)
         else:
-            health.add_fault(now, self._shared_part(now, state))
+            health.add_fault(now, self._shared_failure_rate(now, state))
         if was_ejected or not health.is_ejected(now):
             return []
-        health.is_told_distrusted = True
+        health.is_ejection_logged = True
         distrusted = decisions.BackendDistrusted(
             backend_id=backend_id,
             cell=self._cell_id,
@@ -55,7 +55,7 @@
         )
         return [distrusted.log()]
 
-    def _shared_part(self, now: float, state: BackendState) -> float:
+    def _shared_failure_rate(self, now: float, state: BackendState) -> float:
         """Return the mean failure rate of a server's peers.
 
         Answers that the network loses are lost for all backend servers. When
@@ -69,11 +69,11 @@
             part
             for peer in self._view.backends_by_id.values()
             if peer is not state and peer.backend.role is state.backend.role
-            if (part := peer.health.failed_part(now)) is not None
+            if (part := peer.health.failure_rate(now)) is not None
         ]
         return sum(found) / len(found) if found else 0.0
 
-    def rest(self, now: float, backend_id: str) -> None:
+    def pause(self, now: float, backend_id: str) -> None:
         """Send no work to an engine that refused some, for a short time.
 
         Its memory may be full of streams for which the owner has no booking.
@@ -82,17 +82,18 @@
         """
         state = self._view.backends_by_id.get(backend_id)
         if state is not None:
-            state.full_until = now + REFUSED_REST_S
+            state.full_until = now + REFUSED_PAUSE_S
 
-    def tell_regained(self, now: float) -> list[effects.Log]:
+    def log_recovered(self, now: float) -> list[effects.Log]:
         """Return a log line for each that has all its slots open again."""
         back = [
             (backend_id, state.health)
             for backend_id, state in self._view.backends_by_id.items()
-            if state.health.is_told_distrusted and not state.health.is_new(now)
+            if state.health.is_ejection_logged
+            and not state.health.is_limited(now)
         ]
         for _, health in back:
-            health.is_told_distrusted = False
+            health.is_ejection_logged = False
         return [
             decisions.BackendTrusted(
                 backend_id=backend_id, cell=self._cell_id, epoch=self._epoch
--- a/dandeliongw/cell/forecast.py
+++ b/dandeliongw/cell/forecast.py
@@ -12,7 +12,7 @@
 
 #: Part of the cache that forecasts may fill. Lengths of answers are estimates;
 #: the sum over some ten of them is off by about 4 in 100.
-FILL_PART = 0.95
+MAX_FILL = 0.95
 
 
 class Growth(msgspec.Struct, frozen=True, kw_only=True):
--- a/dandeliongw/cell/ordering.py
+++ b/dandeliongw/cell/order_dispatch.py
@@ -17,7 +17,7 @@
 STORE_BURST = 2.0
 
 
-class Ordering:
+class OrderDispatch:
     """Sets the desired state of engines, and returns the orders for it.
 
     Only a cell that is owned under a lease has orders.
@@ -80,7 +80,7 @@
             held.handle(event)
         return []
 
-    def give(
+    def due_orders(
         self, event: parts.Ticked, cells_by_id: abc.Mapping[str, cells.Cell]
     ) -> list[typing.Any]:
         """Return the orders that are due."""
@@ -100,7 +100,7 @@
                     )
         return out
 
-    def tell(self, now: float, cell: cells.Cell) -> None:
+    def update(self, now: float, cell: cells.Cell) -> None:
         """Update a cell's engines and their desired state."""
         held = self.orders_by_cell.get(cell.cell_id)
         if held is None:
--- a/dandeliongw/cell/orders.py
+++ b/dandeliongw/cell/orders.py
@@ -34,7 +34,7 @@
 
 
 #: Orders that read from the weight store, whose rate is limited.
-LOADS = frozenset(
+LOAD_KINDS = frozenset(
     {OrderKind.LOAD_MODEL, OrderKind.LOAD_VERSION, OrderKind.LOAD_ADAPTER}
 )
 #: What an engine drops when it loads another model.
@@ -326,13 +326,13 @@
                 continue
             if event.run is not verdict.Verdict.MAY_HAVE_RUN:
                 del engine.settled_at_by_attempt[attempt]
-                self._try_soon(event, engine)
+                self._schedule_retry(event, engine)
             if event.is_fenced:
                 engine.is_fenced = True
             if event.run is verdict.Verdict.RAN:
                 self._confirm(engine, event.order_id)
 
-    def _try_soon(self, event: OrderAnswered, engine: _Engine) -> None:
+    def _schedule_retry(self, event: OrderAnswered, engine: _Engine) -> None:
         order = engine.order
         if order is not None and order.order_id == event.order_id:
             order.next_try_at = event.now + RETRY_S
@@ -371,7 +371,7 @@
         if order is None:
             return None
         reason = self._hold_reason(now, engine, order)
-        if reason is None and order.kind in LOADS:
+        if reason is None and order.kind in LOAD_KINDS:
             if not self._budget.take(now):
                 reason = HoldReason.STORE_BUDGET
         if reason is not None:
--- a/dandeliongw/cell/owner.py
+++ b/dandeliongw/cell/owner.py
@@ -10,15 +10,15 @@
 from ..coordination import parts
 from ..coordination import presence
 from . import document_terms
-from . import ordering
+from . import fallback
+from . import order_dispatch
 from . import policy
 from . import scheduler
-from . import stand_in
 from . import takeover
 from . import vocabulary
 
 #: Seconds between two reviews of the pools' sizes.
-ROLES_EVERY_S = 0.5
+ROLE_REVIEW_INTERVAL_S = 0.5
 #: The messages that are addressed to the owner of ``message.cell``.
 TO_OWNER = (
     cells.Book,
@@ -53,7 +53,7 @@
         self._presence = backends
         self._moves_engines = moves_engines
         self._roles_at = 0.0
-        self.ordering = ordering.Ordering(
+        self.ordering = order_dispatch.OrderDispatch(
             directory=directory,
             leases=leases,
             backends=backends,
@@ -62,12 +62,12 @@
             lease_wait_s=lease_wait_s,
         )
         self._epochs_by_cell: dict[str, int] = {}
-        self._loads_told_by_id: dict[str, float] = {}
+        self._load_times_by_id: dict[str, float] = {}
         self._takeovers_by_cell: dict[str, takeover.Takeover] = {}
         #: Cells that are kept without a lease, see :meth:`keep`.
         self._kept_cells: set[str] = set()
         self.cells_by_id: dict[str, cells.Cell] = {}
-        self.stand_ins = stand_in.StandIns(
+        self.fallback_cells = fallback.FallbackCells(
             terms_of=lambda cell: self._terms(cell.split('/')[0]),
             backends_of=self._backends_of,
             entries=directory.count_entries,
@@ -94,12 +94,12 @@
             document_part=terms,
             policy=self.make_policy(),
         )
-        begun = takeover.Takeover(
+        current = takeover.Takeover(
             now=now, cell=cell, epoch=epoch, awaited=instance_ids
         )
-        self._takeovers_by_cell[cell] = begun
+        self._takeovers_by_cell[cell] = current
         self.ordering.gain(cell, epoch)
-        return [*self._tell_backends(now, cell), *begun.announce()]
+        return [*self._update_backends(now, cell), *current.announce()]
 
     def make_policy(self) -> policy.Policy:
         """Return the policy of a new cell; subclasses may override this."""
@@ -158,7 +158,7 @@
                 self._drop(cell_id)
                 continue
             out.extend(cell.handle(cells.TermsChanged(now=now, terms=terms)))
-            self.ordering.tell(now, cell)
+            self.ordering.update(now, cell)
         for cell_id, epoch in list(self._epochs_by_cell.items()):
             if cell_id not in self.cells_by_id:
                 out.extend(self.gain(now, cell_id, epoch, instance_ids))
@@ -167,39 +167,39 @@
     def receive(self, event: parts.Received) -> list[typing.Any]:
         """Handle a message for a cell, or answer that it isn't owned here."""
         message = event.message
-        if self._is_for_stand_in(event):
-            return self.stand_ins.receive(event)
+        if self._is_for_fallback(event):
+            return self.fallback_cells.receive(event)
         cell = self._held_cell(event.now, message.cell)
         if cell is None:
             return self._not_owner(event)
-        begun = self._takeovers_by_cell.get(message.cell)
-        if begun is None:
+        current = self._takeovers_by_cell.get(message.cell)
+        if current is None:
             return cell.handle(event)
         if isinstance(message, cells.Book):
-            return begun.hold_back(event)
+            return current.delay_book(event)
         if isinstance(message, cells.Reclaim):
-            begun.note_reclaim(event.sender)
+            current.record_reclaim(event.sender)
         return [*cell.handle(event), *self._end_takeovers(event.now)]
 
-    def _is_for_stand_in(self, event: parts.Received) -> bool:
+    def _is_for_fallback(self, event: parts.Received) -> bool:
         """Return whether it is for work that this entry places by itself."""
         message = event.message
         if isinstance(message, cells.Book):
             return message.unowned
         if isinstance(message, (cells.Release, cells.PrefillDone)):
             key = (message.request_id, message.attempt_id)
-            return self.stand_ins.holds(message.cell, key)
+            return self.fallback_cells.holds(message.cell, key)
         return False
 
     def _end_takeovers(self, now: float) -> list[typing.Any]:
         out = []
-        for cell_id, begun in list(self._takeovers_by_cell.items()):
-            if not begun.is_over(now):
-                out.extend(begun.remind(now))
+        for cell_id, current in list(self._takeovers_by_cell.items()):
+            if not current.is_over(now):
+                out.extend(current.repeat_request(now))
                 continue
             del self._takeovers_by_cell[cell_id]
-            for held_back in begun.release(now):
-                out.extend(self.receive(held_back))
+            for delayed in current.release(now):
+                out.extend(self.receive(delayed))
         return out
 
     def _held_cell(self, now: float, cell_id: str) -> cells.Cell | None:
@@ -245,12 +245,12 @@
     def tick(self, event: parts.Ticked) -> list[typing.Any]:
         """Run the periodic work, after passing on new load reports."""
         return [
-            *self._tell_loads(event.now),
+            *self._update_loads(event.now),
             *self.handle_in_all(event),
             *self._end_takeovers(event.now),
-            *self.stand_ins.tick(event),
+            *self.fallback_cells.tick(event),
             *self._review_roles(event.now),
-            *self.ordering.give(event, self.cells_by_id),
+            *self.ordering.due_orders(event, self.cells_by_id),
         ]
 
     def change_backend(self, now: float, backend_id: str) -> list[typing.Any]:
@@ -262,7 +262,7 @@
         cell = self._directory.cell_of_backend(
             announcement.service, announcement.data_centre
         )
-        return [] if cell is None else self._tell_backends(now, cell)
+        return [] if cell is None else self._update_backends(now, cell)
 
     def hint(self, now: float, hints: presence.CacheHints) -> list[typing.Any]:
         """Pass cache events on; they come late and may have gaps."""
@@ -281,12 +281,12 @@
         """Move engines between the pools of a cell, and log each move."""
         if now < self._roles_at or not self._moves_engines:
             return []
-        self._roles_at = now + ROLES_EVERY_S
+        self._roles_at = now + ROLE_REVIEW_INTERVAL_S
         out: list[typing.Any] = []
         for cell_id, cell in self.cells_by_id.items():
             if cell_id in self._kept_cells or not cell.review_roles(now):
                 continue
-            self.ordering.tell(now, cell)
+            self.ordering.update(now, cell)
             out += [
                 effects.log(
                     'an engine is moved to another pool',
@@ -332,17 +332,17 @@
             queue=sum(_waiting(cell) for cell in owned),
         )
 
-    def _tell_loads(self, now: float) -> list[typing.Any]:
+    def _update_loads(self, now: float) -> list[typing.Any]:
         out = []
         if not self.cells_by_id:
             return out
         for backend_id, backend in self._presence.backends_by_id.items():
             load, load_at = backend.load, backend.load_at
             if load is None or (
-                self._loads_told_by_id.get(backend_id) == load_at
+                self._load_times_by_id.get(backend_id) == load_at
             ):
                 continue
-            self._loads_told_by_id[backend_id] = load_at
+            self._load_times_by_id[backend_id] = load_at
             reported = cells.LoadReported(
                 now=now,
                 backend_id=backend_id,
@@ -355,13 +355,13 @@
             out.extend(self.handle_in_all(reported))
         return out
 
-    def _tell_backends(self, now: float, cell_id: str) -> list[typing.Any]:
+    def _update_backends(self, now: float, cell_id: str) -> list[typing.Any]:
         cell = self.cells_by_id.get(cell_id)
         if cell is None:
             return []
         backends = self._backends_of(now, cell_id)
         out = cell.handle(cells.BackendsChanged(now=now, backends=backends))
-        self.ordering.tell(now, cell)
+        self.ordering.update(now, cell)
         return out
 
     def _backends_of(
--- a/dandeliongw/cell/pairs.py
+++ b/dandeliongw/cell/pairs.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from . import candidates as candidates_module
 from . import prediction
-from . import rooms as rooms_module
 from .backend_state import BackendState
 from .cell_view import CellView
 from .options import Options
@@ -22,25 +22,25 @@
 #: its answer to the next prompt.
 SEND_AHEAD_S = 0.1
 #: Decimal places of compared link times: equal ones differ by at most 10 ms.
-LINK_DIGITS = 2
+LINK_TIME_DIGITS = 2
 #: Longest planned wait of a KV cache for a link: the first applies if only
 #: wasted prefill has a weight, the second if only goodput has. Engines keep
 #: the cache for somewhat under a second, and predictions are off by some
 #: tenths.
-LEAST_LINK_WAIT_S = 0.1
-MOST_LINK_WAIT_S = 0.7
+MIN_LINK_WAIT_S = 0.1
+MAX_LINK_WAIT_S = 0.7
 #: The same, if the weights aren't used.
 FIXED_LINK_WAIT_S = 0.25
 #: Wait for a prefill engine, in seconds, above which a decode engine does the
 #: prefill itself, which takes it some 0.2 s for 3,000 tokens.
-READ_THERE_AFTER_S = 0.4
+DECODE_PREFILL_AFTER_S = 0.4
 #: How full a decode engine's KV cache may get by a prefill while prefill
 #: engines are available. A queue beside full decode engines waits for memory,
 #: not for prefill engines, and a prefill slows the streams that would free it.
 #: Without this bound and the one on pauses 0.336 and 0.538 of the value of all
 #: calls was delivered, with both 0.514 and 0.604, in one run each of two
 #: loads.
-READ_THERE_FILL = 0.6
+DECODE_PREFILL_MAX_FILL = 0.6
 
 
 class _Source(msgspec.Struct, frozen=True, kw_only=True):
@@ -62,15 +62,17 @@
         return self.ready_at, self.done_at
 
 
-class Pairs:
+class PairChooser:
     """Chooses pairs of a prefill and a decode engine; stateless.
 
-    :param rooms: finds engines that have room.
+    :param finder: finds engines that have room.
     """
 
-    def __init__(self, *, options: Options, rooms: rooms_module.Rooms) -> None:
+    def __init__(
+        self, *, options: Options, finder: candidates_module.CandidateFinder
+    ) -> None:
         self._options = options
-        self._rooms = rooms
+        self._finder = finder
 
     def place(
         self, now: float, view: CellView, booking: Booking
@@ -86,21 +88,23 @@
         placed = self._choose_pair(now, view, booking)
         if placed is not None or not booking.may_read_there:
             return placed
-        wait_s, queued_s = self._reader_wait_s(now, view, booking)
-        if wait_s + queued_s < READ_THERE_AFTER_S:
+        wait_s, queued_s = self._prefill_wait_s(now, view, booking)
+        if wait_s + queued_s < DECODE_PREFILL_AFTER_S:
             return None
-        rooms = self._rooms.find(now, view, Role.DECODE, booking)
-        if wait_s < READ_THERE_AFTER_S:
-            rooms = [
-                room
-                for room in rooms
-                if _may_read(now, view, room.state, booking)
+        found = self._finder.find(now, view, Role.DECODE, booking)
+        if wait_s < DECODE_PREFILL_AFTER_S:
+            found = [
+                each
+                for each in found
+                if _may_prefill(now, view, each.state, booking)
             ]
-        if not rooms:
+        if not found:
             return None
-        return Place(decode_id=rooms_module.freest(rooms).backend.backend_id)
+        return Place(
+            decode_id=candidates_module.most_free(found).backend.backend_id
+        )
 
-    def _reader_wait_s(
+    def _prefill_wait_s(
         self, now: float, view: CellView, booking: Booking
     ) -> tuple[float, float]:
         """Return the wait for a prefill engine, in two parts.
@@ -113,16 +117,16 @@
         :returns: seconds until the first prefill engine is free, and how long
             each then needs for its part of the queue.
         """
-        readers = self._rooms.readers(now, view, booking)
-        if not readers:
+        engines = self._finder.prefill_engines(now, view, booking)
+        if not engines:
             return math.inf, 0.0
-        free_at = min(state.prefill_free_at(now) for state in readers)
+        free_at = min(state.prefill_free_at(now) for state in engines)
         queued_s = sum(
             prediction.prefill_s(view, each)
             for each in view.queue
             if each.stage is Stage.PAIR
         )
-        return free_at - now, queued_s / len(readers)
+        return free_at - now, queued_s / len(engines)
 
     def _choose_pair(
         self, now: float, view: CellView, booking: Booking
@@ -132,8 +136,8 @@
         Cached blocks shorten a prefill, so a prompt goes to the engine that
         has cached its prefix, unless that is busier by more than it saves.
         """
-        rooms = self._rooms.find(now, view, Role.DECODE, booking)
-        if not rooms:
+        candidates = self._finder.find(now, view, Role.DECODE, booking)
+        if not candidates:
             return None
         sources = sorted(
             self._sources(now, view, booking),
@@ -147,12 +151,12 @@
             # Comparing all pairs of 20 prefill and 39 decode engines took
             # 0.044 of a core at 60 requests a second, and takes 0.020 if
             # these are skipped.
-            if best is not None and self._earliest(source) > best[0][0]:
+            if best is not None and self._min_cost(source) > best[0][0]:
                 break
             if source.times == times:
                 continue
             times = source.times
-            found = self._choose_room(view, source, rooms)
+            found = self._choose_decode(view, source, candidates)
             if found is None:
                 continue
             cost, decode = found
@@ -168,8 +172,8 @@
         self, now: float, view: CellView, booking: Booking
     ) -> abc.Iterator[_Source]:
         """Yield the prefill engines that a prompt may be sent to now."""
-        readers = self._rooms.readers(now, view, booking)
-        for number, state in enumerate(readers):
+        engines = self._finder.prefill_engines(now, view, booking)
+        for number, state in enumerate(engines):
             done_at = state.prefill_free_at(now)
             if self._options.queue and done_at - now > SEND_AHEAD_S:
                 continue
@@ -185,17 +189,17 @@
                 ready_at=ready_at,
             )
 
-    def _earliest(self, source: _Source) -> float:
+    def _min_cost(self, source: _Source) -> float:
         """Return a lower bound of the first part of this source's costs."""
         if not self._options.links:
             return source.done_at
-        return round(source.ready_at, LINK_DIGITS)
+        return round(source.ready_at, LINK_TIME_DIGITS)
 
-    def _choose_room(
+    def _choose_decode(
         self,
         view: CellView,
         source: _Source,
-        rooms: list[rooms_module.Room],
+        candidates: list[candidates_module.BackendCandidate],
     ) -> tuple[tuple[float, ...], BackendState] | None:
         """Return the least cost and its decode engine.
 
@@ -207,14 +211,17 @@
         :returns: ``None`` if there is no decode engine in time.
         """
         if not self._options.links:
-            room = max(rooms, key=lambda each: each.free)
-            return (source.done_at, -room.free), room.state
+            candidate = max(candidates, key=lambda each: each.free)
+            return (source.done_at, -candidate.free), candidate.state
         latest_at = source.done_at + self._longest_link_wait_s(view)
         source_at = source.ready_at
         costs = [
-            ((round(moves_at, LINK_DIGITS), -room.free), room.state)
-            for room in rooms
-            if (moves_at := max(source_at, room.state.link_free_at))
+            (
+                (round(moves_at, LINK_TIME_DIGITS), -candidate.free),
+                candidate.state,
+            )
+            for candidate in candidates
+            if (moves_at := max(source_at, candidate.state.link_free_at))
             <= latest_at
         ]
         return min(costs, key=lambda each: each[0], default=None)
@@ -225,14 +232,14 @@
         return link_wait_s(view.terms.weights)
 
 
-def _may_read(
+def _may_prefill(
     now: float, view: CellView, state: BackendState, booking: Booking
 ) -> bool:
     """Return whether a decode engine may do a prefill beside prefill engines.
 
-    Its KV cache may get only so full by it, see :data:`READ_THERE_FILL`. Its
-    streams must stay within the token gap's target, so there is one prefill
-    at a time, and none that pauses them for longer.
+    The prefill may fill its KV cache up to :data:`DECODE_PREFILL_MAX_FILL`.
+    Its streams must stay within the token gap's target, so there is one
+    prefill at a time, and none that pauses them for longer.
     """
     pause_s = view.terms.token_gap_s
     has_just_read = any(
@@ -241,8 +248,8 @@
     )
     return (
         not has_just_read
-        and prediction.reading_pause_s(view, booking.prompt_tokens) <= pause_s
-        and view.kv_part(now, state, booking) <= READ_THERE_FILL
+        and prediction.prefill_pause_s(view, booking.prompt_tokens) <= pause_s
+        and view.kv_fraction(now, state, booking) <= DECODE_PREFILL_MAX_FILL
     )
 
 
@@ -254,5 +261,5 @@
     """
     total = weights.goodput + weights.wasted_prefill
     part = weights.goodput / total if total > 0.0 else 0.5
-    span_s = MOST_LINK_WAIT_S - LEAST_LINK_WAIT_S
-    return LEAST_LINK_WAIT_S + span_s * part
+    span_s = MAX_LINK_WAIT_S - MIN_LINK_WAIT_S
+    return MIN_LINK_WAIT_S + span_s * part
--- a/dandeliongw/cell/prediction.py
+++ b/dandeliongw/cell/prediction.py
@@ -3,18 +3,18 @@
 import heapq
 import math
 
-from . import rooms
+from . import candidates
 from .cell_view import CellView
 from .vocabulary import Booking
 from .vocabulary import Role
 
 #: How many times as long a decode engine takes for a prefill as a prefill
 #: engine: it works at half the speed.
-READ_THERE_SLOWER = 2.0
+DECODE_PREFILL_SLOWDOWN = 2.0
 #: Tokens of a prompt that a decode engine computes at once, as one chunk,
 #: between two tokens of its streams: a quarter of a prefill engine's 2,048, by
 #: the engines' description.
-READ_PART_TOKENS = 512
+DECODE_PREFILL_CHUNK_TOKENS = 512
 #: Rank of a priority that isn't in the document.
 LAST_RANK = 1_000
 
@@ -29,7 +29,7 @@
     return booking.prompt_tokens / view.terms.prefill_tokens_per_s
 
 
-def reading_pause_s(view: CellView, prompt_tokens: float) -> float:
+def prefill_pause_s(view: CellView, prompt_tokens: float) -> float:
     """Return the longest pause of streams by a prefill on a decode engine.
 
     The engine computes one chunk of the prefill between two tokens of its
@@ -37,8 +37,8 @@
 
     :returns: in seconds, between two pieces of a stream.
     """
-    read_s = READ_THERE_SLOWER / view.terms.prefill_tokens_per_s
-    part_s = READ_PART_TOKENS * read_s
+    read_s = DECODE_PREFILL_SLOWDOWN / view.terms.prefill_tokens_per_s
+    part_s = DECODE_PREFILL_CHUNK_TOKENS * read_s
     return min(part_s * view.terms.tokens_per_piece, prompt_tokens * read_s)
 
 
@@ -85,11 +85,11 @@
     slots = _slot_times(now, view, ordered[-1])
     engines = [
         state.prefill_free_at(now)
-        for state in rooms.serving(now, view, Role.PREFILL)
+        for state in candidates.serving(now, view, Role.PREFILL)
     ]
     if not engines and ordered[-1].may_read_there:
         # Decode engines do the prefills, each one at a time.
-        engines = [now for _ in rooms.serving(now, view, Role.DECODE)]
+        engines = [now for _ in candidates.serving(now, view, Role.DECODE)]
     if not slots or not engines:
         return math.inf
     heapq.heapify(slots)
@@ -110,7 +110,7 @@
 def _slot_times(now: float, view: CellView, booking: Booking) -> list[float]:
     """Return when each decode slot with room for a booking will be free."""
     times = []
-    for state in rooms.serving(now, view, Role.DECODE):
+    for state in candidates.serving(now, view, Role.DECODE):
         free = view.slots_for(state, booking) - state.slots_used
         times.extend([now] * max(0, free))
         ends = sorted(
--- a/dandeliongw/cell/roles.py
+++ b/dandeliongw/cell/roles.py
@@ -18,35 +18,35 @@
 from . import cell_view
 from . import prediction
 from . import vocabulary
-from .forecast import FILL_PART
+from .forecast import MAX_FILL
 
 #: Number of requests before their mean is used.
-LEAST_SEEN = 12
+MIN_REQUESTS = 12
 #: Least throughput of the best split, as a multiple of the present one, that
 #: is worth a move. The gain of a single move is no measure: with 11 and 19
 #: engines one more gains only 1 part in 20, and a large cell would never
 #: change.
-LEAST_GAIN = 1.2
+MIN_GAIN = 1.2
 #: Most of a cell's engines that move at one time, as a part of them; at least
 #: one engine.
-MOST_MOVING_PART = 0.1
+MAX_MOVING_FRACTION = 0.1
 #: Seconds after which a move is given up if the engine hasn't taken its role.
-MOST_SWITCH_S = 15.0
+SWITCH_TIMEOUT_S = 15.0
 #: Cooldown between two moves in one cell, in seconds. An order that got no
 #: answer may take effect a dozen seconds later; it must not cross the next
 #: one.
-REST_S = 20.0
+COOLDOWN_S = 20.0
 #: Engines that a pool keeps when it gives some to a pool that isn't empty.
 #: With a single prefill engine, decode engines do the prefills that it has no
 #: time for, and all of them if it fails, which pauses their other streams. In
 #: the same four seconds 27 of 139 requests were late with one, 2 with two.
-LEAST_LEFT = 2
+MIN_LEFT = 2
 #: Seconds for which a pool must have been empty before the cooldown is cut
 #: short; longer than all engines take to reappear after a power loss.
-EMPTY_S = 3.0
+EMPTY_POOL_S = 3.0
 #: An engine that refuses connections counts as dead from this number of
 #: successive ejections.
-EJECTIONS_OF_DEAD = 2
+DEAD_AFTER_EJECTIONS = 2
 #: Weight of a new request in the moving averages.
 SMOOTHING = 0.05
 
@@ -59,31 +59,31 @@
     since: float
 
 
-class RoleBalance:
+class RoleBalancer:
     """Measures the load of one cell and moves engines between its pools."""
 
     def __init__(self) -> None:
         self.switches_by_id: dict[str, Switch] = {}
-        self._seen = 0
-        self._rest_until = -math.inf
+        self._request_count = 0
+        self._cooldown_until = -math.inf
         self._empty_since: float | None = None
-        self._may_read_there = False
+        self._decode_may_prefill = False
         #: Mean engine seconds that a request takes, by role.
         self._work_by_role = {
             vocabulary.Role.PREFILL: 0.0,
             vocabulary.Role.DECODE: 0.0,
         }
 
-    def note(
+    def record(
         self, view: cell_view.CellView, booking: vocabulary.Booking
     ) -> None:
         """Update the means with a new request."""
-        self._seen += 1
-        pause_s = prediction.reading_pause_s(view, math.inf)
-        self._may_read_there = (
+        self._request_count += 1
+        pause_s = prediction.prefill_pause_s(view, math.inf)
+        self._decode_may_prefill = (
             booking.may_read_there and pause_s <= view.terms.token_gap_s
         )
-        part = max(SMOOTHING, 1.0 / self._seen)
+        part = max(SMOOTHING, 1.0 / self._request_count)
         work_by_role = {
             vocabulary.Role.PREFILL: booking.prompt_tokens
             / view.terms.prefill_tokens_per_s,
@@ -93,14 +93,14 @@
             mean_s = self._work_by_role[role]
             self._work_by_role[role] = mean_s + part * (work_s - mean_s)
 
-    def _well_by_role(
+    def _counted_by_role(
         self, now: float, view: cell_view.CellView
     ) -> dict[vocabulary.Role, list[backend_state.BackendState]]:
         return {
             role: [
                 state
                 for state in view.candidates(role, ())
-                if _carries_work(now, state)
+                if _has_capacity(now, state)
             ]
             for role in self._work_by_role
         }
@@ -113,24 +113,26 @@
         """Begin or end moves; return whether any were begun or ended."""
         if self.switches_by_id:
             return self._end_switches(now, view)
-        rests = now < self._rest_until and not self._stays_empty(now, view)
-        if self._seen < LEAST_SEEN or rests:
+        is_cooling_down = (
+            now < self._cooldown_until and not self._has_empty_pool(now, view)
+        )
+        if self._request_count < MIN_REQUESTS or is_cooling_down:
             return False
         self.switches_by_id = self._choose(now, view)
         if not self.switches_by_id:
             return False
         self._empty_since = None
-        self._rest_until = now + REST_S
+        self._cooldown_until = now + COOLDOWN_S
         return True
 
-    def _stays_empty(self, now: float, view: cell_view.CellView) -> bool:
-        """Return whether a pool has been empty for :data:`EMPTY_S`."""
+    def _has_empty_pool(self, now: float, view: cell_view.CellView) -> bool:
+        """Return whether a pool has been empty for :data:`EMPTY_POOL_S`."""
         if all(view.candidates(role, ()) for role in self._work_by_role):
             self._empty_since = None
             return False
         if self._empty_since is None:
             self._empty_since = now
-        return now >= self._empty_since + EMPTY_S
+        return now >= self._empty_since + EMPTY_POOL_S
 
     def _end_switches(self, now: float, view: cell_view.CellView) -> bool:
         ended = [
@@ -146,21 +148,23 @@
         self, now: float, view: cell_view.CellView
     ) -> dict[str, Switch]:
         """Return the moves to begin, by backend id; empty in most cases."""
-        well_by_role = self._well_by_role(now, view)
-        counts = {role: len(well) for role, well in well_by_role.items()}
+        counted_by_role = self._counted_by_role(now, view)
+        counts = {
+            role: len(counted) for role, counted in counted_by_role.items()
+        }
         splits = [
             split
             for to in counts
             for split in _splits(counts, giver=_other(to), to=to)
         ]
         best = max(splits, key=self._rate, default=counts)
-        if self._rate(best) <= LEAST_GAIN * self._rate(counts):
+        if self._rate(best) <= MIN_GAIN * self._rate(counts):
             return {}
         to = max(best, key=lambda role: best[role] - counts[role])
         giver = _other(to)
-        at_once = max(1, int(sum(counts.values()) * MOST_MOVING_PART))
+        at_once = max(1, int(sum(counts.values()) * MAX_MOVING_FRACTION))
         idlest = sorted(
-            well_by_role[giver],
+            counted_by_role[giver],
             key=lambda state: (
                 len(state.bookings_by_key),
                 state.backend.backend_id,
@@ -176,25 +180,27 @@
 
     def _rate(self, counts: abc.Mapping[vocabulary.Role, int]) -> float:
         """Return the requests a second that a split of the engines serves."""
-        readers, decoders = (
+        prefill_engines, decode_engines = (
             counts[vocabulary.Role.PREFILL],
             counts[vocabulary.Role.DECODE],
         )
-        read_s, decode_s = (
+        prefill_s, decode_s = (
             self._work_by_role[vocabulary.Role.PREFILL],
             self._work_by_role[vocabulary.Role.DECODE],
         )
-        read = readers / read_s if read_s else math.inf
-        decoded = decoders / decode_s if decode_s else math.inf
-        if decoded <= read or not self._may_read_there:
-            return min(read, decoded)
+        prefilled = prefill_engines / prefill_s if prefill_s else math.inf
+        decoded = decode_engines / decode_s if decode_s else math.inf
+        if decoded <= prefilled or not self._decode_may_prefill:
+            return min(prefilled, decoded)
         # Decode engines also do the prefills of the requests beyond the
         # capacity of the prefill engines.
-        slower = prediction.READ_THERE_SLOWER
-        return (decoders + readers * slower) / (decode_s + slower * read_s)
+        slower = prediction.DECODE_PREFILL_SLOWDOWN
+        return (decode_engines + prefill_engines * slower) / (
+            decode_s + slower * prefill_s
+        )
 
 
-def _carries_work(now: float, state: backend_state.BackendState) -> bool:
+def _has_capacity(now: float, state: backend_state.BackendState) -> bool:
     """Return whether an engine counts, even if it is ejected right now.
 
     A move costs ten seconds of an engine's work, an ejection for some failed
@@ -206,15 +212,15 @@
     if not health.is_ejected(now):
         return True
     if health.refuses_connections:
-        return health.ejections < EJECTIONS_OF_DEAD
-    return health.works_in_part
+        return health.ejections < DEAD_AFTER_EJECTIONS
+    return health.is_partly_working
 
 
 def _has_ended(now: float, view: cell_view.CellView, switch: Switch) -> bool:
     state = view.backends_by_id.get(switch.backend_id)
     if state is None or state.backend.role is switch.role:
         return True
-    return now >= switch.since + MOST_SWITCH_S
+    return now >= switch.since + SWITCH_TIMEOUT_S
 
 
 def _splits(
@@ -224,7 +230,7 @@
     to: vocabulary.Role,
 ) -> list[dict[vocabulary.Role, int]]:
     """Return the splits that moves from ``giver`` to ``to`` can lead to."""
-    left = LEAST_LEFT if counts[to] else 1
+    left = MIN_LEFT if counts[to] else 1
     return [
         {to: counts[to] + moved, giver: counts[giver] - moved}
         for moved in range(1, counts[giver] - left + 1)
@@ -253,4 +259,4 @@
     if capacity is None:
         return stream_s * by_slots
     held = booking.prompt_tokens + answer / 2
-    return stream_s * max(by_slots, held / (capacity * FILL_PART))
+    return stream_s * max(by_slots, held / (capacity * MAX_FILL))
--- a/dandeliongw/cell/scheduler.py
+++ b/dandeliongw/cell/scheduler.py
@@ -2,10 +2,10 @@
 
 import enum
 
+from . import candidates as candidates_module
 from . import declines
 from . import pairs
 from . import prediction
-from . import rooms as rooms_module
 from .cell_view import CellView
 from .options import Options
 from .options import Order
@@ -14,25 +14,25 @@
 from .policy import no_backend
 from .policy import Place
 from .policy import Wait
+from .shares import DecayingRate
 from .shares import FairShares
-from .shares import Flow
 from .vocabulary import Booking
 from .vocabulary import Role
 from .vocabulary import ROLES_BY_STAGE
 from .vocabulary import Stage
 
 #: Rank of a KV cache that waits for a decode engine: before all other work.
-MOVE_RANK = -1
+KV_MOVE_RANK = -1
 #: Cap of the part of a cell that predictions reserve for work of better rank,
 #: so that a tenth is always left for the rest.
-MOST_PASSING = 0.9
+MAX_HIGHER_RANK_PART = 0.9
 #: Part of its deadline for which resent work may wait.
 LAST_CHANCE_PART = 0.85
 #: Seconds that work is moved back in the queue for each second that its
 #: answer is expected to take. Memory is held for as long, and answers differ
 #: by a factor of eight: if short ones go first, more are in time. The longest
 #: answer, of 8 s, is moved back by 2 s, so none starves.
-LENGTH_HANDICAP = 0.25
+LENGTH_PENALTY = 0.25
 #: Part of its deadline for which a call of a plain service waits for a slot.
 PLAIN_WAIT_PART = 0.25
 #: Calls that may wait for each slot. They take about a tenth of a second, so
@@ -40,7 +40,7 @@
 PLAIN_QUEUE_PER_SLOT = 4
 
 
-class _Hope(enum.IntEnum):
+class _Urgency(enum.IntEnum):
     """Order of work within a rank; lower goes first."""
 
     #: Can still meet its first-token target.
@@ -60,13 +60,13 @@
 
     def __init__(self, *, options: Options = Options()) -> None:
         self._options = options
-        self._rooms = rooms_module.Rooms(
-            heeds_health=options.health, heeds_cap=options.cap
+        self._finder = candidates_module.CandidateFinder(
+            uses_health=options.health, uses_cap=options.cap
         )
-        self._pairs = pairs.Pairs(options=options, rooms=self._rooms)
+        self._pairs = pairs.PairChooser(options=options, finder=self._finder)
         #: Slot seconds and prefill seconds of admitted work, by rank.
-        self._slot_flow_by_rank: dict[int, Flow] = {}
-        self._prefill_flow_by_rank: dict[int, Flow] = {}
+        self._slot_rate_by_rank: dict[int, DecayingRate] = {}
+        self._prefill_rate_by_rank: dict[int, DecayingRate] = {}
         self._shares_by_rank: dict[int, FairShares] = {}
 
     def decide(
@@ -74,7 +74,7 @@
     ) -> Decision:
         for role in ROLES_BY_STAGE[booking.stage]:
             is_needed = role is not Role.PREFILL or not booking.may_read_there
-            if is_needed and not rooms_module.candidates_for(
+            if is_needed and not candidates_module.candidates_for(
                 view, role, booking
             ):
                 return no_backend(role)
@@ -85,7 +85,7 @@
         if booking.stage is not Stage.PAIR or not self._options.queue:
             return self._place(now, view, booking) or declines.full(booking)
         slot_s = view.transfer_s(booking) + view.decode_s(booking)
-        self._shares(view, booking).want(now, booking.account, slot_s)
+        self._shares(view, booking).add_demand(now, booking.account, slot_s)
         ahead = self._ahead_of(now, view, booking)
         placed = None if ahead else self._place(now, view, booking)
         decision = placed or self._admit(now, view, booking, ahead)
@@ -128,10 +128,10 @@
     def _count(self, now: float, view: CellView, booking: Booking) -> None:
         rank = prediction.rank_of(view, booking)
         slot_s = view.transfer_s(booking) + view.decode_s(booking)
-        self._shares(view, booking).give(now, booking.account, slot_s)
-        slots = self._slot_flow_by_rank.setdefault(rank, Flow())
+        self._shares(view, booking).add_usage(now, booking.account, slot_s)
+        slots = self._slot_rate_by_rank.setdefault(rank, DecayingRate())
         slots.add(now, slot_s)
-        prefills = self._prefill_flow_by_rank.setdefault(rank, Flow())
+        prefills = self._prefill_rate_by_rank.setdefault(rank, DecayingRate())
         prefills.add(now, prediction.prefill_s(view, booking))
 
     def _shares(self, view: CellView, booking: Booking) -> FairShares:
@@ -150,19 +150,19 @@
         slots = sum(
             state.backend.slots for state in view.candidates(Role.DECODE, ())
         )
-        passing = sum(
+        higher_rank = sum(
             flow.rate(now)
-            for each, flow in self._slot_flow_by_rank.items()
+            for each, flow in self._slot_rate_by_rank.items()
             if each < rank
         )
         return self._shares(view, booking).is_over(
             now,
             booking.account,
             view.terms.share_by_account,
-            max(0.0, slots - passing),
+            max(0.0, slots - higher_rank),
         )
 
-    def _passing_part(
+    def _higher_rank_part(
         self, now: float, view: CellView, booking: Booking
     ) -> float:
         """Return the part of the cell that work of better rank takes.
@@ -174,17 +174,17 @@
         rank = prediction.rank_of(view, booking)
         parts = []
         for role, flows in (
-            (Role.DECODE, self._slot_flow_by_rank),
-            (Role.PREFILL, self._prefill_flow_by_rank),
+            (Role.DECODE, self._slot_rate_by_rank),
+            (Role.PREFILL, self._prefill_rate_by_rank),
         ):
             total = sum(
                 state.backend.slots for state in view.candidates(role, ())
             )
-            passing = sum(
+            higher_rank = sum(
                 flow.rate(now) for each, flow in flows.items() if each < rank
             )
-            parts.append(passing / max(1, total))
-        return min(max(parts), MOST_PASSING)
+            parts.append(higher_rank / max(1, total))
+        return min(max(parts), MAX_HIGHER_RANK_PART)
 
     def dispatch(
         self, *, now: float, view: CellView
@@ -211,7 +211,7 @@
     ) -> tuple[float, ...]:
         if booking.stage is Stage.DECODE:
             # Engines keep a KV cache for half a second only.
-            return MOVE_RANK, booking.arrived_at
+            return KV_MOVE_RANK, booking.arrived_at
         if self._options.order is Order.ARRIVAL:
             return (booking.arrived_at,)
         if self._options.order is Order.DEADLINE:
@@ -219,9 +219,9 @@
         rank = prediction.rank_of(view, booking)
         if not self._options.timely:
             return rank, booking.arrived_at
-        handicap_s = LENGTH_HANDICAP * view.decode_s(booking)
-        hope = _hope(now, view, booking)
-        return rank, hope, booking.arrived_at + handicap_s
+        penalty_s = LENGTH_PENALTY * view.decode_s(booking)
+        hope = _urgency(now, view, booking)
+        return rank, hope, booking.arrived_at + penalty_s
 
     def _ahead_of(
         self, now: float, view: CellView, booking: Booking
@@ -243,7 +243,7 @@
             return declines.over_share(booking)
         starts_at = prediction.expected_start(now, view, [*ahead, booking])
         if self._options.foresee:
-            left = 1.0 - self._passing_part(now, view, booking)
+            left = 1.0 - self._higher_rank_part(now, view, booking)
             starts_at = now + (starts_at - now) / left
         latest = prediction.latest_start(view, booking)
         if booking.resent:
@@ -264,26 +264,26 @@
         if booking.stage is Stage.PAIR:
             return self._pairs.place(now, view, booking)
         role = ROLES_BY_STAGE[booking.stage][0]
-        rooms = self._rooms.find(now, view, role, booking)
-        if not rooms:
+        candidates = self._finder.find(now, view, role, booking)
+        if not candidates:
             return None
-        backend_id = rooms_module.freest(rooms).backend.backend_id
+        backend_id = candidates_module.most_free(candidates).backend.backend_id
         if role is Role.PLAIN:
             return Place(plain_id=backend_id)
         return Place(decode_id=backend_id)
 
 
-def _hope(now: float, view: CellView, booking: Booking) -> _Hope:
+def _urgency(now: float, view: CellView, booking: Booking) -> _Urgency:
     """Return how urgent a booking is within its rank.
 
     In order of arrival, late work would go first and make all that follows
     late, too: for minutes after an overload nothing would be in time.
     """
     if booking.resent:
-        return _Hope.LAST_CHANCE
+        return _Urgency.LAST_CHANCE
     if now <= prediction.timely_start(view, booking):
-        return _Hope.IN_TIME
-    return _Hope.MAY_COME_AGAIN
+        return _Urgency.IN_TIME
+    return _Urgency.MAY_COME_AGAIN
 
 
 def _plain_slots(view: CellView) -> int:
--- a/dandeliongw/cell/shares.py
+++ b/dandeliongw/cell/shares.py
@@ -4,18 +4,18 @@
 import math
 
 #: Time constant of the exponential decay of rates, in seconds.
-FADES_S = 10.0
+DECAY_S = 10.0
 #: An account is limited above this multiple of its share, so that noise over
 #: a few seconds limits none.
 SLACK = 1.2
 #: Seconds for which a computed fair level is reused.
-LEVEL_KEPT_S = 0.5
+LEVEL_TTL_S = 0.5
 #: Accounts with a lower rate are dropped, in slots.
-LEAST_RATE = 1e-3
+MIN_RATE = 1e-3
 
 
-class Flow:
-    """A rate as an exponentially decaying average, see :data:`FADES_S`."""
+class DecayingRate:
+    """A rate as an exponentially decaying average, see :data:`DECAY_S`."""
 
     def __init__(self) -> None:
         self._rate = 0.0
@@ -23,12 +23,12 @@
 
     def add(self, now: float, amount: float) -> None:
         """Add an amount."""
-        self._rate = self.rate(now) + amount / FADES_S
+        self._rate = self.rate(now) + amount / DECAY_S
         self._at = now
 
     def rate(self, now: float) -> float:
         """Return the average amount a second."""
-        return self._rate * math.exp((self._at - now) / FADES_S)
+        return self._rate * math.exp((self._at - now) / DECAY_S)
 
 
 def fair_level(
@@ -62,25 +62,25 @@
     """
 
     def __init__(self) -> None:
-        self._wanted_by_account: dict[str, Flow] = {}
-        self._given_by_account: dict[str, Flow] = {}
+        self._demand_by_account: dict[str, DecayingRate] = {}
+        self._usage_by_account: dict[str, DecayingRate] = {}
         self._level = math.inf
         self._level_at = -math.inf
 
-    def want(self, now: float, account: str, slot_s: float) -> None:
+    def add_demand(self, now: float, account: str, slot_s: float) -> None:
         """Add work that an account requested.
 
         :param slot_s: slots times seconds.
         """
-        flow = self._wanted_by_account.setdefault(account, Flow())
+        flow = self._demand_by_account.setdefault(account, DecayingRate())
         flow.add(now, slot_s)
 
-    def give(self, now: float, account: str, slot_s: float) -> None:
+    def add_usage(self, now: float, account: str, slot_s: float) -> None:
         """Add work of an account that was admitted.
 
         :param slot_s: slots times seconds.
         """
-        flow = self._given_by_account.setdefault(account, Flow())
+        flow = self._usage_by_account.setdefault(account, DecayingRate())
         flow.add(now, slot_s)
 
     def is_over(
@@ -95,24 +95,24 @@
         :param weights: by account; one if absent.
         :param capacity: slots of the cell.
         """
-        if now - self._level_at >= LEVEL_KEPT_S:
-            self._find_level(now, weights, capacity)
-        given = self._given_by_account.get(account)
+        if now - self._level_at >= LEVEL_TTL_S:
+            self._update_level(now, weights, capacity)
+        given = self._usage_by_account.get(account)
         if given is None:
             return False
         share = self._level * weights.get(account, 1.0)
         return given.rate(now) > share * SLACK
 
-    def _find_level(
+    def _update_level(
         self, now: float, weights: abc.Mapping[str, float], capacity: float
     ) -> None:
-        for by_account in (self._wanted_by_account, self._given_by_account):
+        for by_account in (self._demand_by_account, self._usage_by_account):
             for account in list(by_account):
-                if by_account[account].rate(now) < LEAST_RATE:
+                if by_account[account].rate(now) < MIN_RATE:
                     del by_account[account]
         demands = [
             (flow.rate(now), weights.get(account, 1.0))
-            for account, flow in self._wanted_by_account.items()
+            for account, flow in self._demand_by_account.items()
         ]
         self._level = fair_level(demands, capacity)
         self._level_at = now
--- a/dandeliongw/cell/succession.py
+++ b/dandeliongw/cell/succession.py
@@ -14,12 +14,12 @@
 from . import owner as owner_module
 
 #: Seconds for which a deputy tries to get a lease after the last request.
-DEPUTY_S = 10.0
+DEPUTY_TRY_S = 10.0
 #: Delay before the next deputy in rank also tries, in seconds.
-DEPUTY_TURN_S = 3.0
+DEPUTY_DELAY_S = 3.0
 
 
-class _Asked(msgspec.Struct, kw_only=True):
+class _OwnerRequests(msgspec.Struct, kw_only=True):
     """When entries sent requests for a cell that isn't owned here."""
 
     first_at: float
@@ -44,7 +44,7 @@
         self._directory = directory
         self._owner = owner
         self._wanted: frozenset[str] | None = None
-        self._asked_by_cell: dict[str, _Asked] = {}
+        self._requests_by_cell: dict[str, _OwnerRequests] = {}
 
     def note_asked(self, now: float, cell: str) -> None:
         """Record a request from an entry for a cell that isn't owned here.
@@ -52,10 +52,10 @@
         Entries turn to a deputy when the owner doesn't answer. The owner's
         lease may expire long before its failure is confirmed.
         """
-        asked = self._asked_by_cell.get(cell)
-        if asked is None or now - asked.last_at >= DEPUTY_S:
-            asked = _Asked(first_at=now, last_at=now)
-            self._asked_by_cell[cell] = asked
+        asked = self._requests_by_cell.get(cell)
+        if asked is None or now - asked.last_at >= DEPUTY_TRY_S:
+            asked = _OwnerRequests(first_at=now, last_at=now)
+            self._requests_by_cell[cell] = asked
         asked.last_at = now
 
     def review(self, now: float) -> list[typing.Any]:
@@ -102,7 +102,7 @@
         place = ranked.index(self._instance_id)
         if place == 0:
             return True
-        asked = self._asked_by_cell.get(cell)
-        if asked is None or now - asked.last_at >= DEPUTY_S:
+        asked = self._requests_by_cell.get(cell)
+        if asked is None or now - asked.last_at >= DEPUTY_TRY_S:
             return False
-        return now - asked.first_at >= (place - 1) * DEPUTY_TURN_S
+        return now - asked.first_at >= (place - 1) * DEPUTY_DELAY_S
--- a/dandeliongw/cell/takeover.py
+++ b/dandeliongw/cell/takeover.py
@@ -15,10 +15,10 @@
 from ..coordination import parts
 
 #: Timeout for the answers, in seconds.
-LONGEST_S = 0.5
+TIMEOUT_S = 0.5
 #: Seconds after which the request is repeated over a connection: a datagram
 #: may be lost, and there is time for one more answer.
-REMIND_S = 0.2
+REPEAT_AFTER_S = 0.2
 
 
 class Takeover:
@@ -32,10 +32,10 @@
     ) -> None:
         self._cell = cell
         self._epoch = epoch
-        self._ends_at = now + LONGEST_S
-        self._remind_at = now + REMIND_S
+        self._ends_at = now + TIMEOUT_S
+        self._repeat_at = now + REPEAT_AFTER_S
         self._awaited = set(awaited)
-        self._held_back: list[parts.Received] = []
+        self._delayed: list[parts.Received] = []
 
     def announce(self) -> list[typing.Any]:
         """Return the request to all instances.
@@ -45,11 +45,11 @@
         """
         return self._ask(by_datagram=True)
 
-    def remind(self, now: float) -> list[typing.Any]:
+    def repeat_request(self, now: float) -> list[typing.Any]:
         """Return the repeated request to those without an answer, once."""
-        if now < self._remind_at:
+        if now < self._repeat_at:
             return []
-        self._remind_at = self._ends_at
+        self._repeat_at = self._ends_at
         return self._ask(by_datagram=False)
 
     def _ask(self, *, by_datagram: bool) -> list[typing.Any]:
@@ -61,16 +61,16 @@
             for instance_id in sorted(self._awaited)
         ]
 
-    def note_reclaim(self, sender: str) -> None:
+    def record_reclaim(self, sender: str) -> None:
         """Record that an instance has sent its bookings."""
         self._awaited.discard(sender)
 
     def is_over(self, now: float) -> bool:
         return not self._awaited or now >= self._ends_at
 
-    def hold_back(self, event: parts.Received) -> list[typing.Any]:
+    def delay_book(self, event: parts.Received) -> list[typing.Any]:
         """Delay a ``Book`` until the takeover is over; answer ``Queued``."""
-        self._held_back.append(event)
+        self._delayed.append(event)
         queued = cells.Queued(
             cell=self._cell,
             epoch=self._epoch,
@@ -83,6 +83,5 @@
     def release(self, now: float) -> list[parts.Received]:
         """Return the delayed ``Book`` messages, to be handled now."""
         return [
-            msgspec.structs.replace(event, now=now)
-            for event in self._held_back
+            msgspec.structs.replace(event, now=now) for event in self._delayed
         ]
--- a/tests/test_cell_view.py
+++ b/tests/test_cell_view.py
@@ -50,7 +50,7 @@
 
     def learn(self, answers=20):
         for _ in range(answers):
-            self.view.learn_answer(
+            self.view.record_answer(
                 3.2, self.booking(), pieces=64, piece_gap_s=0.05
             )
 
@@ -82,5 +82,5 @@
     def test_answers_without_pieces_count_by_their_time(self):
         booking = self.booking()
         booking.transfer_ends_at = 1.0
-        self.view.learn_answer(3.0, booking, pieces=0, piece_gap_s=0.0)
+        self.view.record_answer(3.0, booking, pieces=0, piece_gap_s=0.0)
         self.assertAlmostEqual(0.5, self.view.answer_ratio)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -326,9 +326,9 @@
         send(self.cell, message, now=cells.BOOKING_LEASE_S - 1.0)
 
     def test_streams_that_nobody_reclaims_are_cancelled(self):
-        listing = tick(self.cell, cells.LIST_EVERY_S)
+        listing = tick(self.cell, cells.LIST_INTERVAL_S)
         self.assertEqual({'p1', 'd1'}, {each.backend_id for each in listing})
-        (cancel,) = self.list_streams(cells.LIST_EVERY_S)
+        (cancel,) = self.list_streams(cells.LIST_INTERVAL_S)
         self.assertEqual(('d1', 'r1'), (cancel.backend_id, cancel.stream_id))
 
     def test_entries_have_a_whole_lease_to_reclaim(self):
@@ -337,7 +337,7 @@
 
     def test_a_reclaimed_stream_goes_on(self):
         self.reclaim()
-        self.assertEqual([], self.list_streams(cells.LIST_EVERY_S))
+        self.assertEqual([], self.list_streams(cells.LIST_INTERVAL_S))
         decode = self.cell.view.backends_by_id['d1']
         self.assertEqual(1, decode.slots_used)
 
--- a/tests/test_stand_in.py
+++ b/tests/test_fallback.py
@@ -6,8 +6,8 @@
 from nose2.tools import params
 
 from dandeliongw.cell import cells
+from dandeliongw.cell import fallback
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import stand_in
 from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw import decisions
@@ -149,7 +149,7 @@
         self.assertEqual(self.books(), [(entry_fake.NEXT_OWNER, False)])
 
 
-class StandInsTest(unittest.TestCase):
+class FallbackCellsTest(unittest.TestCase):
     """The placing side: a share of every backend server, and no cancels."""
 
     def setUp(self):
@@ -158,7 +158,7 @@
             test_cells.make_backend('p1', 'prefill', slots=8),
             test_cells.make_backend('d1', 'decode', slots=8),
         )
-        self.part = stand_in.StandIns(
+        self.fallback_cells = fallback.FallbackCells(
             terms_of=lambda cell: TERMS,
             backends_of=lambda now, cell: self.backends,
             entries=lambda: self.entries,
@@ -170,7 +170,7 @@
         return self.handle(book)
 
     def handle(self, message, now=1.0):
-        out = self.part.receive(
+        out = self.fallback_cells.receive(
             parts.Received(now=now, sender=OWN, message=message)
         )
         return [each.message for each in out]
@@ -185,19 +185,21 @@
         kinds = [type(each[0]) for each in booked]
         self.assertEqual(kinds[:2], [cells.Booked, cells.Queued])
         self.assertEqual(booked[0][0].decode_id, 'd1')
-        used = self.part.cells_by_id[CELL].view.backends_by_id['d1']
+        used = self.fallback_cells.cells_by_id[CELL].view.backends_by_id['d1']
         self.assertEqual(used.backend.slots, 2)
 
     @params(1, 4, 8)
     def test_memory_is_shared_as_well(self, entries):
         self.entries = entries
         self.book('r1')
-        shared = self.part.cells_by_id[CELL].view.terms.kv_tokens_by_role
+        shared = self.fallback_cells.cells_by_id[
+            CELL
+        ].view.terms.kv_tokens_by_role
         self.assertEqual(shared, {vocabulary.Role.DECODE: 80_000 // entries})
 
     def test_a_release_frees_the_slot(self):
         self.book('r1')
-        self.assertTrue(self.part.holds(CELL, ('r1', 'a1')))
+        self.assertTrue(self.fallback_cells.holds(CELL, ('r1', 'a1')))
         release = cells.Release(
             cell=CELL,
             request_id='r1',
@@ -206,10 +208,10 @@
         )
         # An owner would also send cancels to the engines.
         self.assertEqual(self.handle(release), [])
-        self.assertFalse(self.part.holds(CELL, ('r1', 'a1')))
+        self.assertFalse(self.fallback_cells.holds(CELL, ('r1', 'a1')))
 
     def test_a_cell_without_bookings_is_dropped(self):
         self.book('r1')
         later = parts.Ticked(now=1.0 + cells.BOOKING_LEASE_S, entropy=0)
-        self.part.tick(later)
-        self.assertEqual(self.part.cells_by_id, {})
+        self.fallback_cells.tick(later)
+        self.assertEqual(self.fallback_cells.cells_by_id, {})
--- a/tests/test_trust.py
+++ b/tests/test_fault_recorder.py
@@ -3,8 +3,8 @@
 import unittest
 
 from dandeliongw.cell import cells
+from dandeliongw.cell.fault_recorder import FaultRecorder
 from dandeliongw.cell import scheduler
-from dandeliongw.cell.trust import Trust
 from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw import effects
@@ -85,11 +85,11 @@
         }
 
     def end(self, backend_id, *, faults, successes):
-        trust = Trust(cell_id='c', epoch=1, view=self.cell.view)
+        recorder = FaultRecorder(cell_id='c', epoch=1, view=self.cell.view)
         for _ in range(successes):
             self.health[backend_id].add_success(1.0)
         for _ in range(faults):
-            trust.blame(1.0, backend_id)
+            recorder.record_fault(1.0, backend_id)
 
     def test_a_failure_rate_that_all_share_ejects_none(self):
         self.end('d1', faults=2, successes=3)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -21,14 +21,14 @@
 
     def test_in_slow_start_the_first_fault_ejects_it_again(self):
         self.fail(0.0, 0.1, 0.2, 0.3, 0.4)
-        back_at = 0.2 + health.EJECTED_S
+        back_at = 0.2 + health.EJECTION_S
         self.assertFalse(self.health.may_get_work(back_at - 0.01))
         self.assertTrue(self.health.may_get_work(back_at))
-        self.health.last_given_at = back_at
+        self.health.last_booked_at = back_at
         self.assertFalse(self.health.may_get_work(back_at + 0.5))
         self.fail(back_at + 1.0)
         again_s = self.health.ejected_until - (back_at + 1.0)
-        self.assertAlmostEqual(2 * health.EJECTED_S, again_s)
+        self.assertAlmostEqual(2 * health.EJECTION_S, again_s)
 
     def test_faults_that_are_few_of_many_eject_nothing(self):
         """A low failure rate must not eject a backend server.
@@ -53,7 +53,7 @@
         twice the time, the whole pool would be ejected for long.
         """
         self.fail(0.0, 0.1, 0.2)
-        back_at = 0.2 + health.EJECTED_S
+        back_at = 0.2 + health.EJECTION_S
         for number in range(9):
             self.health.add_success(back_at + number / 10)
         self.fail(back_at + 1.0)
@@ -69,7 +69,7 @@
             start = 100.0 * number
             self.fail(start, start + 0.1, start + 0.2)
             left_out_s = self.health.ejected_until - (start + 0.2)
-            self.assertAlmostEqual(health.EJECTED_S, left_out_s)
+            self.assertAlmostEqual(health.EJECTION_S, left_out_s)
 
     def test_faults_that_are_a_third_eject(self):
         for number in range(9):
@@ -80,10 +80,10 @@
         self.assertTrue(self.health.is_ejected(1.4))
 
     def test_a_refused_connection_ejects_at_once(self):
-        self.health.add_refusal(1.0)
+        self.health.add_connection_failure(1.0)
         self.assertTrue(self.health.is_ejected(1.0))
-        self.health.add_refusal(1.1)
-        until = 1.0 + health.EJECTED_S
+        self.health.add_connection_failure(1.1)
+        until = 1.0 + health.EJECTION_S
         self.assertEqual(self.health.ejected_until, until)
         self.assertTrue(self.health.refuses_connections)
         self.health.add_success(2.0)
@@ -94,16 +94,16 @@
     """Without the cap, all answers of a full engine exceed the token gap."""
 
     def test_the_cap_falls_while_answers_are_slow_and_then_rises(self):
-        batch = health.Batch()
+        batch = health.BatchCap()
         caps = []
         gaps = (0.030, 0.036, 0.036, 0.033, 0.030)
         for number, gap_s in enumerate(gaps):
-            batch.learn(2.0 * number, gap_s, target_s=0.034, streams=24)
+            batch.adjust(2.0 * number, gap_s, target_s=0.034, streams=24)
             caps.append(batch.cap)
         self.assertEqual([None, 23, 22, 21, 22], caps)
 
     def test_many_answers_at_once_move_it_by_one(self):
-        batch = health.Batch()
+        batch = health.BatchCap()
         for _ in range(10):
-            batch.learn(1.0, 0.036, target_s=0.034, streams=24)
+            batch.adjust(1.0, 0.036, target_s=0.034, streams=24)
         self.assertEqual(23, batch.cap)
--- a/tests/test_kv_room.py
+++ b/tests/test_kv_room.py
@@ -71,12 +71,12 @@
             booking = make_booking(number, prompt, answer, ends_at)
             state.bookings_by_key[booking.key] = booking
         booking = make_booking(99, *wanted, 0.0)
-        part = view.kv_part(now, state, booking)
+        part = view.kv_fraction(now, state, booking)
         least, most = view._kv_bounds(now, state, booking)
         self.assertLessEqual(least, part + 1e-9)
         self.assertGreaterEqual(most, part - 1e-9)
-        expected = not held or part <= forecast.FILL_PART
-        if abs(part - forecast.FILL_PART) > 1e-9:
+        expected = not held or part <= forecast.MAX_FILL
+        if abs(part - forecast.MAX_FILL) > 1e-9:
             self.assertEqual(expected, view.has_kv_room(now, state, booking))
 
     def setUp(self):
@@ -89,9 +89,9 @@
         self.forecasts = self.enterContext(
             mock.patch.object(
                 cell_view.CellView,
-                'kv_part',
+                'kv_fraction',
                 autospec=True,
-                side_effect=cell_view.CellView.kv_part,
+                side_effect=cell_view.CellView.kv_fraction,
             )
         )
 
@@ -101,9 +101,9 @@
 
     def test_a_forecast_without_room_is_cached(self):
         self.assertFalse(self.has_room(6.0))
-        self.assertFalse(self.has_room(6.0 + cell_view.FORECAST_S / 2))
+        self.assertFalse(self.has_room(6.0 + cell_view.FORECAST_TTL_S / 2))
         self.assertEqual(1, self.forecasts.call_count)
-        self.has_room(6.0 + cell_view.FORECAST_S)
+        self.has_room(6.0 + cell_view.FORECAST_TTL_S)
         self.assertEqual(2, self.forecasts.call_count)
 
     def test_another_rate_needs_another_forecast(self):
@@ -119,7 +119,7 @@
     def test_the_end_of_work_discards_the_forecast(self):
         self.assertFalse(self.has_room(6.0))
         self.state.bookings_by_key.popitem()
-        self.state.forget_forecast()
+        self.state.clear_forecast()
         self.assertTrue(self.has_room(6.0))
 
 
@@ -207,7 +207,7 @@
         return counted.call_count
 
     def test_few_forecasts_are_made_for_each_event(self):
-        forecasts = self.count(cell_view.CellView, 'kv_part')
+        forecasts = self.count(cell_view.CellView, 'kv_fraction')
         # One for each engine each time would be many times as many.
         self.assertLess(forecasts / self.handled, 4.0)
 
@@ -222,12 +222,12 @@
         self.RATE = 160.0
         dispatches = self.count(scheduler.Scheduler, 'dispatch')
         # Each placement is followed by one more dispatch.
-        due = self.freed + self.booked + self.SECONDS / cells.LOOK_AGAIN_S
+        due = self.freed + self.booked + self.SECONDS / cells.DISPATCH_PAUSE_S
         self.assertLess(dispatches, due)
 
     def test_prefill_engines_ready_at_one_time_are_tried_once(self):
         """Not every pair of 20 prefill and 39 decode engines is compared."""
-        choices = self.count(pairs.Pairs, '_choose_room')
+        choices = self.count(pairs.PairChooser, '_choose_decode')
         self.assertLess(choices / self.booked, 4.0)
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,7 +10,7 @@
 
 MODEL = orders.OrderKind.LOAD_MODEL
 ROLE = orders.OrderKind.CHANGE_ROLE
-LONGEST_S = 5.0
+TIMEOUT_S = 5.0
 RAN = verdict.Verdict.RAN
 NOT_RUN = verdict.Verdict.NOT_RUN
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
@@ -39,7 +39,7 @@
             epoch=7,
             guard=self.guard,
             budget=orders.StoreBudget(loads_per_s=1000.0, burst=2.0),
-            longest_order_s=LONGEST_S,
+            longest_order_s=TIMEOUT_S,
             counts=self.counts,
         )
         self.see(1, checks_fence=True)
@@ -90,7 +90,7 @@
         """
         (first,) = self.tick(1.0)
         self.answer(first, MAY_HAVE_RUN)
-        (second,) = self.tick(1.0 + LONGEST_S + 0.5)
+        (second,) = self.tick(1.0 + TIMEOUT_S + 0.5)
         self.assertEqual(first.order_id, second.order_id)
         self.assertEqual(2, second.attempt)
 
@@ -108,11 +108,11 @@
         now = 1.0
         for _ in range(attempts):
             (sent,) = self.tick(now)
-            now += LONGEST_S + 0.5
+            now += TIMEOUT_S + 0.5
         if answer is not None:
             self.answer(sent, answer)
         self.want(2, {MODEL: 'm2'})
-        last_lost = 1.0 + 0.5 + 2.25 + LONGEST_S
+        last_lost = 1.0 + 0.5 + 2.25 + TIMEOUT_S
         if answer is NOT_RUN:
             self.assertEqual('m2', self.tick(now)[0].value)
             return
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -6,15 +6,15 @@
 from hypothesis import strategies as st
 
 from dandeliongw.cell import backend_state
+from dandeliongw.cell import candidates
 from dandeliongw.cell import cell_view
 from dandeliongw.cell import options
 from dandeliongw.cell import pairs
-from dandeliongw.cell import rooms
 from dandeliongw.cell import vocabulary
 from tests import test_cells
 from tests import test_kv_room
 
-ROOMS = rooms.Rooms(heeds_health=True, heeds_cap=True)
+FINDER = candidates.CandidateFinder(uses_health=True, uses_cap=True)
 
 
 class PairTest(unittest.TestCase):
@@ -44,13 +44,16 @@
         for number, link in enumerate(links):
             self.add(view, f'd{number}', 'decode').link_free_at = link
         booking = test_kv_room.make_booking(1, 3_200, 70, 0.0)
-        chooser = pairs.Pairs(options=options.Options(), rooms=ROOMS)
-        found_rooms = ROOMS.find(1.0, view, vocabulary.Role.DECODE, booking)
+        chooser = pairs.PairChooser(options=options.Options(), finder=FINDER)
+        found_candidates = FINDER.find(
+            1.0, view, vocabulary.Role.DECODE, booking
+        )
         found = [
             (cost, source.number, source.state.backend.backend_id, decode)
             for source in chooser._sources(1.0, view, booking)
             for cost, decode in [
-                chooser._choose_room(view, source, found_rooms) or (None, None)
+                chooser._choose_decode(view, source, found_candidates)
+                or (None, None)
             ]
             if cost is not None
         ]
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -53,10 +53,10 @@
     )
 
 
-def watched(view, requests=roles.LEAST_SEEN, **changes):
-    balance = roles.RoleBalance()
+def watched(view, requests=roles.MIN_REQUESTS, **changes):
+    balance = roles.RoleBalancer()
     for _ in range(requests):
-        balance.note(view, make_booking(**changes))
+        balance.record(view, make_booking(**changes))
     return balance
 
 
@@ -104,11 +104,11 @@
         """
         view = make_view(prefill, decode)
         view.measured_tokens_per_s = 170.0
-        balance = roles.RoleBalance()
-        for _ in range(roles.LEAST_SEEN):
+        balance = roles.RoleBalancer()
+        for _ in range(roles.MIN_REQUESTS):
             booking = make_booking(prompt_tokens=3000, max_tokens=1280)
             booking.may_read_there = True
-            balance.note(view, booking)
+            balance.record(view, booking)
         self.assertEqual(balance.review(0.0, view), role is not None)
 
     def test_a_large_cell_moves_some_at_a_time(self):
@@ -139,7 +139,7 @@
 
     def test_a_few_requests_are_not_enough_for_a_move(self):
         view = make_view(5, 1)
-        balance = watched(view, requests=roles.LEAST_SEEN - 1)
+        balance = watched(view, requests=roles.MIN_REQUESTS - 1)
         self.assertFalse(balance.review(0.0, view))
 
     def test_the_idlest_engine_is_moved(self):
@@ -154,13 +154,13 @@
     def test_dead_engines_are_not_counted(self):
         view = make_view(2, 4)
         for name in ('p0', 'p1'):
-            view.backends_by_id[name].health.add_refusal(0.0)
+            view.backends_by_id[name].health.add_connection_failure(0.0)
         balance = watched(view)
         # One refused connection may be a lost packet and costs two seconds, a
         # move costs ten.
         self.assertFalse(balance.review(0.0, view))
         for name in ('p0', 'p1'):
-            view.backends_by_id[name].health.add_refusal(2.0)
+            view.backends_by_id[name].health.add_connection_failure(2.0)
         self.assertTrue(balance.review(2.0, view))
         self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
 
@@ -194,8 +194,8 @@
         )
         self.assertTrue(balance.review(6.0, view))
         self.assertEqual(balance.switches_by_id, {})
-        self.assertFalse(balance.review(roles.REST_S - 0.1, view))
-        self.assertTrue(balance.review(roles.REST_S, view))
+        self.assertFalse(balance.review(roles.COOLDOWN_S - 0.1, view))
+        self.assertTrue(balance.review(roles.COOLDOWN_S, view))
 
     def test_an_empty_pool_cuts_the_cooldown_short(self):
         """An empty pool must get an engine before the cooldown is over.
@@ -208,30 +208,30 @@
         balance.switches_by_id['d3'] = roles.Switch(
             backend_id='d3', role=vocabulary.Role.DECODE, since=0.0
         )
-        balance._rest_until = roles.REST_S
+        balance._cooldown_until = roles.COOLDOWN_S
         self.assertTrue(balance.review(5.0, view))
         for name in ('p0', 'p1'):
             del view.backends_by_id[name]
         self.assertFalse(balance.review(6.0, view))
-        self.assertFalse(balance.review(6.0 + roles.EMPTY_S - 0.1, view))
-        self.assertTrue(balance.review(6.0 + roles.EMPTY_S, view))
+        self.assertFalse(balance.review(6.0 + roles.EMPTY_POOL_S - 0.1, view))
+        self.assertTrue(balance.review(6.0 + roles.EMPTY_POOL_S, view))
         self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
 
     def test_the_cooldown_holds_if_a_pool_is_only_empty_for_a_moment(self):
         view = make_view(0, 4)
         balance = watched(view)
-        balance._rest_until = roles.REST_S
+        balance._cooldown_until = roles.COOLDOWN_S
         self.assertFalse(balance.review(0.0, view))
         view.backends_by_id.update(make_view(1, 0).backends_by_id)
-        self.assertFalse(balance.review(roles.EMPTY_S, view))
+        self.assertFalse(balance.review(roles.EMPTY_POOL_S, view))
         del view.backends_by_id['p0']
-        self.assertFalse(balance.review(roles.EMPTY_S + 0.1, view))
+        self.assertFalse(balance.review(roles.EMPTY_POOL_S + 0.1, view))
 
     def test_a_move_without_effect_times_out(self):
         view = make_view(5, 1)
         balance = watched(view)
         balance.review(0.0, view)
-        self.assertTrue(balance.review(roles.MOST_SWITCH_S, view))
+        self.assertTrue(balance.review(roles.SWITCH_TIMEOUT_S, view))
         self.assertEqual(balance.switches_by_id, {})
 
 
@@ -245,8 +245,8 @@
             test_cells.make_backend('d0', 'decode'),
             document_part=TERMS,
         )
-        for _ in range(roles.LEAST_SEEN):
-            cell.roles.note(cell.view, make_booking())
+        for _ in range(roles.MIN_REQUESTS):
+            cell.roles.record(cell.view, make_booking())
         cell.handle(cells.TermsChanged(now=0.0, terms=TERMS))
         later = cells.BOOKING_LEASE_S + 1.0
         self.assertTrue(cell.review_roles(later))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -6,9 +6,9 @@
 from nose2.tools import params
 
 from dandeliongw.cell import cells
+from dandeliongw.cell import fault_recorder
 from dandeliongw.cell import pairs
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import trust
 from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw.verdict import RefusalReason
@@ -383,7 +383,7 @@
 
     def test_likewise_if_all_prefill_engines_are_ejected(self):
         cell = self.make(test_cells.make_backend('p1', 'prefill'))
-        cell.view.backends_by_id['p1'].health.add_refusal(0.0)
+        cell.view.backends_by_id['p1'].health.add_connection_failure(0.0)
         self.assertEqual(self.book(cell).prefill_id, '')
 
     def test_decode_engines_take_prefills_from_a_long_queue(self):
@@ -548,7 +548,7 @@
             test_cells.make_backend('s3', 'plain', slots=2),
         )
         self.eject(cell, 's1', 's2')
-        cell.view.backends_by_id['s3'].health.add_refusal(0.2)
+        cell.view.backends_by_id['s3'].health.add_connection_failure(0.2)
         placed_ids = self.placed_ids(cell, calls=5)
         self.assertEqual(['s1', 's1', 's2', 's2'], sorted(placed_ids))
 
@@ -653,7 +653,7 @@
         self.move(0.2)
         waiting = self.book('r3', 0.3, priority='patient')
         self.assertIsInstance(waiting, cells.Queued)
-        ready_at = 0.2 + trust.REFUSED_REST_S
+        ready_at = 0.2 + fault_recorder.REFUSED_PAUSE_S
         booked = [each.request_id for each in self.cell_ticks(ready_at)]
         self.assertIn('r3', booked)
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -23,8 +23,8 @@
     def test_only_the_account_above_its_share_is_over(self):
         fair = shares.FairShares()
         for account, amount in (('busy', 100), ('quiet', 10)):
-            fair.want(0.0, account, amount)
-            fair.give(0.0, account, amount)
+            fair.add_demand(0.0, account, amount)
+            fair.add_usage(0.0, account, amount)
         over = {
             account: fair.is_over(0.0, account, {}, capacity=5.0)
             for account in ('busy', 'quiet', 'unknown')
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -32,18 +32,18 @@
 
     def test_the_request_is_repeated_over_a_connection(self):
         self.begun.announce()
-        self.begun.note_reclaim('gw-2')
-        self.assertEqual([], self.begun.remind(10.1))
-        now = 10.0 + takeover.REMIND_S
+        self.begun.record_reclaim('gw-2')
+        self.assertEqual([], self.begun.repeat_request(10.1))
+        now = 10.0 + takeover.REPEAT_AFTER_S
         self.assertEqual(
             [('gw-1', False), ('gw-3', False)],
-            self.sent(self.begun.remind(now)),
+            self.sent(self.begun.repeat_request(now)),
         )
-        self.assertEqual([], self.begun.remind(now + 0.1))
+        self.assertEqual([], self.begun.repeat_request(now + 0.1))
 
     def test_it_ends_with_the_last_answer_or_its_timeout(self):
         self.assertFalse(self.begun.is_over(10.1))
-        self.assertTrue(self.begun.is_over(10.0 + takeover.LONGEST_S))
+        self.assertTrue(self.begun.is_over(10.0 + takeover.TIMEOUT_S))
         for each in ('gw-1', 'gw-2', 'gw-3'):
-            self.begun.note_reclaim(each)
+            self.begun.record_reclaim(each)
         self.assertTrue(self.begun.is_over(10.1))
