--- a/dandeliongw/cell/cell_view.py
+++ b/dandeliongw/cell/cell_view.py
@@ -79,8 +79,8 @@
             return True
         tokens = booking.prompt_tokens + booking.max_tokens
         pace = round(self.stream_tokens_per_s, -1), round(self.answer_ratio, 1)
-        held = state.full_forecast
-        if held is not None and held.covers(now, tokens, pace):
+        cached = state.full_forecast
+        if cached is not None and cached.covers(now, tokens, pace):
             return False
         least, most = self._kv_bounds(now, state, booking)
         if least > forecast.MAX_FILL:
@@ -160,18 +160,18 @@
         typical = booking.max_tokens * self.answer_ratio
         if not booking.expected_tokens:
             return typical
-        guess = min(booking.expected_tokens, booking.max_tokens)
-        return typical ** (1.0 - HINT_WEIGHT) * guess**HINT_WEIGHT
+        hint = min(booking.expected_tokens, booking.max_tokens)
+        return typical ** (1.0 - HINT_WEIGHT) * hint**HINT_WEIGHT
 
     def slots_for(self, state: BackendState, booking: Booking) -> int:
         """Return how many bookings of this size an engine can hold at once."""
         capacity = self.terms.kv_tokens_by_role.get(state.backend.role)
         if capacity is None:
             return state.slots_open
-        wanted = max(
+        tokens_each = max(
             1.0, booking.prompt_tokens + self.answer_tokens(booking) / 2
         )
-        return min(state.slots_open, max(1, int(capacity / wanted)))
+        return min(state.slots_open, max(1, int(capacity / tokens_each)))
 
     def candidates(
         self, role: Role, exclude: abc.Container[str]
@@ -274,8 +274,10 @@
         part = max(SMOOTHING, 1.0 / self.answer_count)
         if piece_gap_s > 0.0:
             measured = self.terms.tokens_per_piece / piece_gap_s
-            known = self.stream_tokens_per_s
-            self.measured_tokens_per_s = known + part * (measured - known)
+            previous = self.stream_tokens_per_s
+            self.measured_tokens_per_s = previous + part * (
+                measured - previous
+            )
         if pieces:
             tokens = float(pieces * self.terms.tokens_per_piece)
         else:
--- a/dandeliongw/cell/cells.py
+++ b/dandeliongw/cell/cells.py
@@ -166,7 +166,7 @@
         """Apply an event and return the resulting effects."""
         if self._began_at is None:
             self._began_at = self._listed_at = event.now
-        effects = self._take(event)
+        effects = self._handle_event(event)
         if event.now < self._next_dispatch_at and not _frees_capacity(event):
             return effects
         return effects + self._dispatch(event.now)
@@ -179,14 +179,14 @@
                 self._next_dispatch_at = now + DISPATCH_PAUSE_S
                 break
             for booking, decision in decided:
-                self._forget(booking)
+                self._remove_booking(booking)
                 effects.extend(self._apply(now, booking, decision))
                 if booking.stage is Stage.DECODE and booking.start_at is None:
                     # Its KV cache is still held until the entry releases it.
-                    self._remember(booking)
+                    self._add_booking(booking)
         return effects
 
-    def _take(self, event: typing.Any) -> list[typing.Any]:
+    def _handle_event(self, event: typing.Any) -> list[typing.Any]:
         match event:
             case parts.Received(now=now, sender=sender, message=message):
                 handler = self._handlers_by_type.get(type(message))
@@ -198,7 +198,7 @@
             case BackendsChanged():
                 return self._change_backends(event)
             case LoadReported():
-                return self._report_load(event)
+                return self._record_load(event)
             case CacheHint():
                 return self._apply_cache_hint(event)
             case StreamsListed():
@@ -225,7 +225,7 @@
             return []
         logs = []
         if known is not None:
-            self._forget(known)
+            self._remove_booking(known)
             if known.decode_id in book.exclude:
                 logs = self._faults.record_fault(now, known.decode_id)
                 self._faults.pause(now, known.decode_id)
@@ -256,7 +256,7 @@
             # Declined, but the KV cache is still held and may yet move.
             known.decode_id = ''
             known.stage = Stage.DECODE
-            self._remember(known)
+            self._add_booking(known)
         return [*logs, *effects]
 
     def review_roles(self, now: float) -> bool:
@@ -292,7 +292,7 @@
                 self.view.plan(booking)
                 for state in self._states_of(booking):
                     state.health.last_booked_at = now
-        self._remember(booking)
+        self._add_booking(booking)
         return [self._answer(now, booking)]
 
     def _decline(self, booking: Booking, decision: Decline) -> parts.Send:
@@ -347,14 +347,14 @@
         leaving = self.leaving_by_id.get(backend_id)
         return self.view.backends_by_id.get(backend_id, leaving)
 
-    def _remember(self, booking: Booking) -> None:
+    def _add_booking(self, booking: Booking) -> None:
         self.bookings_by_key[booking.key] = booking
         for state in self._states_of(booking):
             state.bookings_by_key[booking.key] = booking
             own = len(state.bookings_by_key) + state.cancelling
             state.peak_slots = max(state.peak_slots, own)
 
-    def _forget(self, booking: Booking) -> None:
+    def _remove_booking(self, booking: Booking) -> None:
         self.bookings_by_key.pop(booking.key, None)
         if booking in self.view.queue:
             self.view.queue.remove(booking)
@@ -434,7 +434,7 @@
         booking = self.bookings_by_key.get(key)
         if booking is None:
             return []
-        self._forget(booking)
+        self._remove_booking(booking)
         logs = self._faults.record_fault(
             now, release.backend_fault, is_down=release.is_down
         )
@@ -495,7 +495,7 @@
                 prefill_done=held.prefill_done,
                 expected_tokens=held.expected_tokens,
             )
-            self._remember(booking)
+            self._add_booking(booking)
         return []
 
     def _change_backends(self, event: BackendsChanged) -> list:
@@ -539,7 +539,7 @@
         """
         effects = []
         for booking in list(former.bookings_by_key.values()):
-            self._forget(booking)
+            self._remove_booking(booking)
             effects.append(self._cancelled(booking.entry, booking.key))
         return effects
 
@@ -568,7 +568,7 @@
         others = self.view.candidates(backend.role, ())
         return Health(slow_start_at=event.now if others else None)
 
-    def _report_load(self, event: LoadReported) -> list:
+    def _record_load(self, event: LoadReported) -> list:
         state = self.view.backends_by_id.get(event.backend_id)
         if state is not None:
             state.reported_running = event.running
@@ -630,6 +630,6 @@
             # taken. The end of the lease frees the slots, the cancel frees
             # the engine's memory.
             if now - booking.renewed_at >= BOOKING_LEASE_S:
-                self._forget(booking)
+                self._remove_booking(booking)
                 effects.extend(self._cancel(now, booking))
         return effects + self.cancels.due(now)
--- a/dandeliongw/cell/document_terms.py
+++ b/dandeliongw/cell/document_terms.py
@@ -46,7 +46,7 @@
     )
 
 
-def wanted_of(
+def desired_by_role(
     described: document_module.Document, service_name: str
 ) -> dict[vocabulary.Role, dict[orders.OrderKind, str]]:
     """Return what the engines of each role should load, by kind of order."""
--- a/dandeliongw/cell/fallback.py
+++ b/dandeliongw/cell/fallback.py
@@ -56,7 +56,9 @@
             cell = self._updated_cell(event.now, message.cell)
         else:
             cell = self.cells_by_id.get(message.cell)
-        return [] if cell is None else _messages(cell.handle(event))
+        return (
+            [] if cell is None else _without_engine_effects(cell.handle(event))
+        )
 
     def holds(self, cell_id: str, key: tuple[str, str]) -> bool:
         """Return whether a booking was made here, not by the cell's owner."""
@@ -67,7 +69,7 @@
         """Pass a tick to all local cells; drop those without bookings."""
         out: list[typing.Any] = []
         for cell_id, cell in list(self.cells_by_id.items()):
-            out += _messages(cell.handle(event))
+            out += _without_engine_effects(cell.handle(event))
             if not cell.bookings_by_key:
                 del self.cells_by_id[cell_id]
         return out
@@ -109,7 +111,7 @@
     )
 
 
-def _messages(wanted: list[typing.Any]) -> list[typing.Any]:
+def _without_engine_effects(out: list[typing.Any]) -> list[typing.Any]:
     """Drop cancels and listings: only the owner of a cell may send them."""
     kept = parts.Send | effects.Log
-    return [each for each in wanted if isinstance(each, kept)]
+    return [each for each in out if isinstance(each, kept)]
--- a/dandeliongw/cell/health.py
+++ b/dandeliongw/cell/health.py
@@ -59,7 +59,7 @@
     is_ejection_logged: bool = False
     #: Whether a connection failed, and no work has succeeded since.
     refuses_connections: bool = False
-    #: Whether some work succeeded lately, or did before its last ejection.
+    #: Whether some work succeeded recently, or did before its last ejection.
     is_partly_working: bool = True
     #: Failure rate at its last ejection.
     failure_rate_at_ejection: float = 0.0
--- a/dandeliongw/cell/order_dispatch.py
+++ b/dandeliongw/cell/order_dispatch.py
@@ -66,13 +66,13 @@
         """Stop sending orders for a cell."""
         self.orders_by_cell.pop(cell, None)
 
-    def may_send(self, wanted: effects.GiveOrder, now: float) -> bool:
+    def may_send(self, order: effects.GiveOrder, now: float) -> bool:
         """Return whether an order may be sent now.
 
         Safe to call from any thread.
         """
-        held = self.orders_by_cell.get(wanted.cell)
-        return held is not None and held.may_send(wanted.order, now)
+        held = self.orders_by_cell.get(order.cell)
+        return held is not None and held.may_send(order.order, now)
 
     def answer(self, event: orders.OrderAnswered) -> list[typing.Any]:
         """Process the result of one attempt of an order."""
@@ -105,19 +105,21 @@
         held = self.orders_by_cell.get(cell.cell_id)
         if held is None:
             return
-        values_by_role = document_terms.wanted_of(
+        values_by_role = document_terms.desired_by_role(
             self._directory.document, cell.service
         )
         switches_by_id = cell.roles.switches_by_id
         present = cell.view.backends_by_id
         for backend_id, state in present.items():
-            said = self._presence.backends_by_id[backend_id].announcement
+            announcement = self._presence.backends_by_id[
+                backend_id
+            ].announcement
             held.handle(
                 orders.EngineSeen(
                     now=now,
                     backend_id=backend_id,
                     incarnation=state.backend.incarnation,
-                    checks_fence=said.checks_fence,
+                    checks_fence=announcement.checks_fence,
                 )
             )
         held.handle(
--- a/dandeliongw/cell/shares.py
+++ b/dandeliongw/cell/shares.py
@@ -97,11 +97,11 @@
         """
         if now - self._level_at >= LEVEL_TTL_S:
             self._update_level(now, weights, capacity)
-        given = self._usage_by_account.get(account)
-        if given is None:
+        usage = self._usage_by_account.get(account)
+        if usage is None:
             return False
         share = self._level * weights.get(account, 1.0)
-        return given.rate(now) > share * SLACK
+        return usage.rate(now) > share * SLACK
 
     def _update_level(
         self, now: float, weights: abc.Mapping[str, float], capacity: float
--- a/dandeliongw/cell/succession.py
+++ b/dandeliongw/cell/succession.py
@@ -52,11 +52,11 @@
         Entries turn to a deputy when the owner doesn't answer. The owner's
         lease may expire long before its failure is confirmed.
         """
-        asked = self._requests_by_cell.get(cell)
-        if asked is None or now - asked.last_at >= DEPUTY_TRY_S:
-            asked = _OwnerRequests(first_at=now, last_at=now)
-            self._requests_by_cell[cell] = asked
-        asked.last_at = now
+        requests = self._requests_by_cell.get(cell)
+        if requests is None or now - requests.last_at >= DEPUTY_TRY_S:
+            requests = _OwnerRequests(first_at=now, last_at=now)
+            self._requests_by_cell[cell] = requests
+        requests.last_at = now
 
     def review(self, now: float) -> list[typing.Any]:
         """Return the set of wanted leases as an effect, if it changed."""
@@ -99,10 +99,10 @@
         if self._instance_id not in ranked:
             is_last = self.is_leaving and not ranked
             return is_last and cell in self._owner.cells_by_id
-        place = ranked.index(self._instance_id)
-        if place == 0:
+        rank = ranked.index(self._instance_id)
+        if rank == 0:
             return True
-        asked = self._requests_by_cell.get(cell)
-        if asked is None or now - asked.last_at >= DEPUTY_TRY_S:
+        requests = self._requests_by_cell.get(cell)
+        if requests is None or now - requests.last_at >= DEPUTY_TRY_S:
             return False
-        return now - asked.first_at >= (place - 1) * DEPUTY_DELAY_S
+        return now - requests.first_at >= (rank - 1) * DEPUTY_DELAY_S
