--- a/dandeliongw/cell/backend_state.py
+++ b/dandeliongw/cell/backend_state.py
@@ -95,9 +95,9 @@
 
         A report is older than the owner's own count, so only the slots above
         the peak of that count since the report before the last are counted as
-        foreign. A new owner has no bookings yet: without this, it would book
-        slots of full engines, and imports would be refused after each change
-        of owner.
+        used by others. A new owner has no bookings yet: without this, it
+        would book slots of full engines, and imports would be refused after
+        each change of owner.
 
         :param reported_used: slots in use, as reported.
         """
--- a/dandeliongw/cell/candidates.py
+++ b/dandeliongw/cell/candidates.py
@@ -10,8 +10,8 @@
 from .vocabulary import Role
 from .vocabulary import Stage
 
-#: If a smaller part of a role's slots than this is open to new work, ejected
-#: backend servers are used, too: above it, the others can carry their work.
+#: If the mean open fraction of a role's backend servers is below this, ejected
+#: ones are used, too; above it, the others can carry their work.
 MIN_OPEN_FRACTION = 0.5
 
 
@@ -25,8 +25,8 @@
 class CandidateFinder:
     """Finds the backend servers of a role that have room for a booking.
 
-    :param heeds_health: leave out ejected backend servers.
-    :param heeds_cap: use no more slots than meet the token gap's target.
+    :param uses_health: leave out ejected backend servers.
+    :param uses_cap: use no more slots than meet the token gap's target.
     """
 
     def __init__(self, *, uses_health: bool, uses_cap: bool) -> None:
@@ -60,9 +60,9 @@
     ) -> list[BackendCandidate]:
         """Return the backend servers with free slots.
 
-        If no healthy one has a free slot, ejected ones are used where most of
-        the role's slots are held back, since the rest can't carry all the
-        work. Otherwise two servers that both lose some answers would take one
+        If no healthy one has a free slot, ejected ones are used if most of
+        the role is closed to new work, since the rest can't carry all of it.
+        Without this, two servers that both lose some answers would take one
         call each instead of one for each slot, and calls would be refused
         while slots are free. Servers that refuse connections stay left out.
 
@@ -97,12 +97,13 @@
     ) -> list[BackendState]:
         """Return the prefill engines that may get a prompt.
 
-        Ejected ones on which some work succeeds are included where most of
-        the role's slots are held back. Otherwise decode engines would do the
-        prefills, which is slow and delays their streams, while prefill
-        engines are idle. Where all prefill engines failed some of their
-        calls, 0.96 of the calls of a day were served instead of 0.81, one run
-        each.
+        If decode engines can do prefills, ejected prefill engines are left
+        out, unless most of the role is closed to new work: then those on
+        which some work succeeds are included. Otherwise decode engines would
+        do their prefills, which is slow and delays their streams, while
+        prefill engines are idle. Where all prefill engines failed some of
+        their calls, 0.96 of the calls of a day were served instead of 0.81,
+        one run each.
         """
         usable = self.usable(now, view, Role.PREFILL, booking)
         if not booking.may_read_there or not self._uses_health:
@@ -141,9 +142,10 @@
 
 
 def is_mostly_closed(now: float, view: CellView, role: Role) -> bool:
-    """Return whether over half of a role's slots are closed to new work.
+    """Return whether most of a role is closed to new work.
 
-    Slots are closed while their backend server is ejected or in slow start.
+    The slots of a backend server are closed while it is ejected, and a part
+    of them during slow start, see :data:`MIN_OPEN_FRACTION`.
     """
     parts = [
         state.health.open_fraction(now) for state in view.candidates(role, ())
--- a/dandeliongw/cell/cells.py
+++ b/dandeliongw/cell/cells.py
@@ -116,6 +116,7 @@
     """
     unplaced = known.stage is Stage.DECODE and not known.decode_id
     if unplaced and known.start_at is not None:
+        # The move was declined; a queued one would have no start.
         return False
     return known.stage is book.stage and known.exclude == book.exclude
 
--- a/dandeliongw/cell/health.py
+++ b/dandeliongw/cell/health.py
@@ -59,7 +59,8 @@
     is_ejection_logged: bool = False
     #: Whether a connection failed, and no work has succeeded since.
     refuses_connections: bool = False
-    #: Whether some work succeeded recently, or did before its last ejection.
+    #: Whether some work succeeded recently, or did before its last ejection;
+    #: true for a new one.
     is_partly_working: bool = True
     #: Failure rate at its last ejection.
     failure_rate_at_ejection: float = 0.0
@@ -97,15 +98,15 @@
         Faults that come in during an ejection are of work that was placed
         before, and don't count again.
 
-        :param shared_part: the peers' mean failure rate, from 0 to 1.
+        :param shared_rate: the peers' mean failure rate, from 0 to 1.
         """
         if self.is_ejected(now):
             return
-        self._forget_old(now)
+        self._drop_old(now)
         self.recent_faults.append(now)
         needed = 1 if self._was_just_ejected(now) else FAULTS_TO_EJECT
-        is_one_of_many = len(self.recent_faults) >= needed
-        if is_one_of_many and self._is_failure_rate_high(shared_rate):
+        has_enough_faults = len(self.recent_faults) >= needed
+        if has_enough_faults and self._is_failure_rate_high(shared_rate):
             self.failure_rate_at_ejection = self._failure_rate()
             self._eject(now)
 
@@ -128,7 +129,7 @@
         """Record work that ended successfully."""
         self.refuses_connections = False
         self.is_partly_working = True
-        self._forget_old(now)
+        self._drop_old(now)
         self.recent_successes.append(now)
 
     def failure_rate(self, now: float) -> float | None:
@@ -147,11 +148,11 @@
 
     def count_recent(self, now: float) -> tuple[int, int]:
         """Return the numbers of faults and of ended work in the window."""
-        self._forget_old(now)
+        self._drop_old(now)
         faults = len(self.recent_faults)
         return faults, faults + len(self.recent_successes)
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_old(self, now: float) -> None:
         since = now - FAULT_WINDOW_S
         self.recent_faults = [at for at in self.recent_faults if at > since]
         self.recent_successes = [
--- a/dandeliongw/cell/roles.py
+++ b/dandeliongw/cell/roles.py
@@ -1,12 +1,12 @@
 """Balances the engines of a cell between the prefill and the decode pool.
 
-Every request needs an engine of each pool. If one pool has too many engines,
-the other one is full first, and requests are refused while engines are idle.
-Decode engines can serve as a reserve for prefills, if that doesn't pause their
-other streams for too long: they do what the prefill engines have no time for,
-more slowly. An engine that changes its role gets no work for some seconds. So
-engines are moved only if that can raise the cell's throughput by over a fifth,
-at most a tenth of them at a time, and with a cooldown between moves.
+Both pools work on every request. If one has too many engines, the other one
+is full first, and requests are refused while engines are idle. Decode engines
+serve as a reserve for prefills, if that doesn't pause their other streams for
+too long: they do what the prefill engines have no time for, more slowly. An
+engine that changes its role gets no work for some seconds. So engines are
+moved only if that can raise the cell's throughput by over a fifth, a few at a
+time, and with a cooldown between moves.
 """
 
 from collections import abc
@@ -157,8 +157,8 @@
             for to in counts
             for split in _splits(counts, giver=_other(to), to=to)
         ]
-        best = max(splits, key=self._rate, default=counts)
-        if self._rate(best) <= MIN_GAIN * self._rate(counts):
+        best = max(splits, key=self._throughput, default=counts)
+        if self._throughput(best) <= MIN_GAIN * self._throughput(counts):
             return {}
         to = max(best, key=lambda role: best[role] - counts[role])
         giver = _other(to)
@@ -178,7 +178,7 @@
             for state in idlest[:moved]
         }
 
-    def _rate(self, counts: abc.Mapping[vocabulary.Role, int]) -> float:
+    def _throughput(self, counts: abc.Mapping[vocabulary.Role, int]) -> float:
         """Return the requests a second that a split of the engines serves."""
         prefill_engines, decode_engines = (
             counts[vocabulary.Role.PREFILL],
--- a/dandeliongw/cell/takeover.py
+++ b/dandeliongw/cell/takeover.py
@@ -43,16 +43,16 @@
         It is sent by datagram: opening connections to 200 instances would
         take longer than the timeout for the answers.
         """
-        return self._ask(by_datagram=True)
+        return self._request(by_datagram=True)
 
     def repeat_request(self, now: float) -> list[typing.Any]:
         """Return the repeated request to those without an answer, once."""
         if now < self._repeat_at:
             return []
         self._repeat_at = self._ends_at
-        return self._ask(by_datagram=False)
+        return self._request(by_datagram=False)
 
-    def _ask(self, *, by_datagram: bool) -> list[typing.Any]:
+    def _request(self, *, by_datagram: bool) -> list[typing.Any]:
         message = cells.ReclaimWanted(cell=self._cell, epoch=self._epoch)
         return [
             parts.Send(
