--- a/dandeliongw/cell/owner.py
+++ b/dandeliongw/cell/owner.py
@@ -203,7 +203,7 @@
         return out
 
     def _held_cell(self, now: float, cell_id: str) -> cells.Cell | None:
-        """Return a cell if its lease is valid now.
+        """Return a cell if its lease is valid now, or it is kept without one.
 
         A process that was suspended past its lease resumes with its cells
         still in memory and messages waiting in its sockets. The lease is
--- a/dandeliongw/cell/prediction.py
+++ b/dandeliongw/cell/prediction.py
@@ -37,9 +37,9 @@
 
     :returns: in seconds, between two pieces of a stream.
     """
-    read_s = DECODE_PREFILL_SLOWDOWN / view.terms.prefill_tokens_per_s
-    part_s = DECODE_PREFILL_CHUNK_TOKENS * read_s
-    return min(part_s * view.terms.tokens_per_piece, prompt_tokens * read_s)
+    token_s = DECODE_PREFILL_SLOWDOWN / view.terms.prefill_tokens_per_s
+    chunk_s = DECODE_PREFILL_CHUNK_TOKENS * token_s
+    return min(chunk_s * view.terms.tokens_per_piece, prompt_tokens * token_s)
 
 
 def latest_start(view: CellView, booking: Booking) -> float:
--- a/dandeliongw/cell/scheduler.py
+++ b/dandeliongw/cell/scheduler.py
@@ -151,8 +151,8 @@
             state.backend.slots for state in view.candidates(Role.DECODE, ())
         )
         higher_rank = sum(
-            flow.rate(now)
-            for each, flow in self._slot_rate_by_rank.items()
+            average.rate(now)
+            for each, average in self._slot_rate_by_rank.items()
             if each < rank
         )
         return self._shares(view, booking).is_over(
@@ -173,7 +173,7 @@
         """
         rank = prediction.rank_of(view, booking)
         parts = []
-        for role, flows in (
+        for role, averages in (
             (Role.DECODE, self._slot_rate_by_rank),
             (Role.PREFILL, self._prefill_rate_by_rank),
         ):
@@ -181,7 +181,9 @@
                 state.backend.slots for state in view.candidates(role, ())
             )
             higher_rank = sum(
-                flow.rate(now) for each, flow in flows.items() if each < rank
+                average.rate(now)
+                for each, average in averages.items()
+                if each < rank
             )
             parts.append(higher_rank / max(1, total))
         return min(max(parts), MAX_HIGHER_RANK_PART)
--- a/dandeliongw/cell/shares.py
+++ b/dandeliongw/cell/shares.py
@@ -72,16 +72,16 @@
 
         :param slot_s: slots times seconds.
         """
-        flow = self._demand_by_account.setdefault(account, DecayingRate())
-        flow.add(now, slot_s)
+        average = self._demand_by_account.setdefault(account, DecayingRate())
+        average.add(now, slot_s)
 
     def add_usage(self, now: float, account: str, slot_s: float) -> None:
         """Add work of an account that was admitted.
 
         :param slot_s: slots times seconds.
         """
-        flow = self._usage_by_account.setdefault(account, DecayingRate())
-        flow.add(now, slot_s)
+        average = self._usage_by_account.setdefault(account, DecayingRate())
+        average.add(now, slot_s)
 
     def is_over(
         self,
@@ -111,8 +111,8 @@
                 if by_account[account].rate(now) < MIN_RATE:
                     del by_account[account]
         demands = [
-            (flow.rate(now), weights.get(account, 1.0))
-            for account, flow in self._demand_by_account.items()
+            (average.rate(now), weights.get(account, 1.0))
+            for account, average in self._demand_by_account.items()
         ]
         self._level = fair_level(demands, capacity)
         self._level_at = now
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -21,7 +21,7 @@
     """The chosen pair is the best one of all pairs."""
 
     @hypothesis.given(
-        readers=st.lists(
+        sources=st.lists(
             st.tuples(
                 st.sampled_from((1.0, 1.03, 3.0)),
                 st.sampled_from((0.0, 0.5, 1.0, 1.004, 1.3)),
@@ -35,9 +35,9 @@
             max_size=5,
         ),
     )
-    def test_no_better_pair_is_skipped(self, readers, links):
+    def test_no_better_pair_is_skipped(self, sources, links):
         view = cell_view.CellView(terms=test_kv_room.TERMS)
-        for number, (slowness, link) in enumerate(readers):
+        for number, (slowness, link) in enumerate(sources):
             state = self.add(view, f'p{number}', 'prefill')
             state.link_free_at = link
             state.slowness = slowness
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -539,7 +539,7 @@
     def test_one_that_refuses_connections_is_not_used(self):
         """A dead backend server must not be used like other ejected ones.
 
-        One of three dies, and the two others lose answers. Calls that are
+        One of three fails, and the two others lose answers. Calls that are
         sent to the dead one would fail.
         """
         cell = make_cell(
