--- a/dandeliongw/coordination/_beliefs.py
+++ b/dandeliongw/coordination/_beliefs.py
@@ -1,7 +1,8 @@
-"""How an instance comes to believe something of a member.
+"""An instance's view of all members, and the rules that change it.
 
-It judges by its own probes, or hears news. This module decides which of
-both counts, starts the time to refute, and queues what others should hear.
+The view changes by the instance's own probes and by updates from others.
+This module decides which of the two takes precedence, starts the suspicion
+timeout and queues the updates to gossip.
 """
 
 import typing
@@ -20,20 +21,22 @@
 from ._roster import rank
 from ._roster import Roster
 
-#: Periods that a suspected member has to refute; news needs about the
-#: logarithm of the number of members to reach it, and as long to come back.
+#: Periods that a suspected member has to refute the suspicion. An update
+#: takes periods in the order of the logarithm of the number of members to
+#: reach it, and its refutation as long to return.
 SUSPICION_PERIODS = 3.0
 SUSPICION_PERIODS_PER_DOUBLING = 0.5
-#: Periods without any message after which an instance counts as cut off.
+#: Periods without any received message after which an instance considers
+#: itself isolated.
 CUT_OFF_PERIODS = 3.0
 
 
 class Beliefs:
-    """What is believed of all members, and what is to be told of it.
+    """The state of all members as seen here, with the updates to gossip.
 
     :param own: this instance.
     :param period_s: seconds between probes.
-    :param memory_s: seconds that dead and left members are remembered.
+    :param memory_s: seconds for which dead and left members are retained.
     """
 
     def __init__(
@@ -44,14 +47,14 @@
         self.roster.put(own)
         self.news = NewsQueue()
         self.news.add(own, with_info=True, urgent=False)
-        #: There is news that should not wait for the next probe.
+        #: There is an update that should not wait for the next probe.
         self.is_urgent = False
-        #: News came of a member that this instance can't reach without its
-        #: info; true at first, for it knows nobody.
+        #: An update named a member whose info, with its address, is missing
+        #: here; true at first, when no other member is known.
         self.lacks_info = True
-        #: Members that are doubted here and alive for another instance.
+        #: Members suspected or dead here that another instance reports alive.
         self.contested: set[str] = set()
-        #: Members that this instance itself suspected.
+        #: Members suspected after a failed probe of this instance itself.
         self.own_suspects: set[str] = set()
         self._period_s = period_s
         self._memory_s = memory_s
@@ -64,12 +67,12 @@
 
     @property
     def others(self) -> set[str]:
-        """Members, but this one, that are alive or suspected."""
+        """The other members that are alive or suspected."""
         return self.roster.present_ids - {self.own.instance_id}
 
     @property
     def dead_ids(self) -> set[str]:
-        """Members that are remembered as dead."""
+        """Dead members that are still retained."""
         return {
             instance_id
             for instance_id in self._forget_at_by_id
@@ -78,27 +81,31 @@
 
     @property
     def suspicion_s(self) -> float:
-        """Seconds that a suspected member has to refute it."""
+        """Seconds that a suspected member has to refute the suspicion."""
         doublings = len(self.roster.present_ids).bit_length()
         periods = SUSPICION_PERIODS
         periods += SUSPICION_PERIODS_PER_DOUBLING * doublings
         return periods * self._period_s
 
     def is_cut_off(self, now: float) -> bool:
-        """Return whether nobody was heard for too long."""
+        """Return whether no message has arrived for too long."""
         return now - self._heard_at > CUT_OFF_PERIODS * self._period_s
 
     def doubt(self, instance_id: str) -> MemberNews | None:
-        """Return what a member has to hear to refute it."""
+        """Return the suspicion or death that a member has to refute.
+
+        ``None`` if the member is unknown, alive or has left.
+        """
         held = self.roster.members_by_id.get(instance_id)
         if held is None or not _is_doubted(held):
             return None
         return held.news(with_info=False)
 
     def news_for(self, now: float, other: str) -> tuple[MemberNews, ...]:
-        """Return what goes with the next message to a member."""
+        """Return the updates to piggyback on the next message to a member."""
         if self.is_cut_off(now):
-            # What is sent now may be the first that gets through again.
+            # This message may be the first one delivered after the isolation
+            # and must not spread verdicts made during it.
             return ()
         count = len(self.roster.present_ids)
         news = self.news.take(self.roster.members_by_id, count)
@@ -107,14 +114,14 @@
             news.insert(0, doubt)
         return tuple(news)
 
-    # Time.
+    # Timers.
 
     def hear(self, now: float) -> list[typing.Any]:
-        """Note that a message came; withdraw verdicts of a silent time.
+        """Record that a message arrived; withdraw verdicts made in isolation.
 
-        An instance that is cut off finds everyone dead. If it kept to that
-        when it is back, it would send no work to anyone, and its news would
-        make all others doubt each other.
+        An isolated instance declares all others dead. If it kept these
+        verdicts after reconnecting, it would not send work to anyone, and
+        gossip of them would make all other instances suspect each other.
         """
         verdicts = self._unheard_verdicts if self.is_cut_off(now) else ()
         self._heard_at = now
@@ -125,13 +132,13 @@
         return effects
 
     def excuse(self, now: float, gap_s: float) -> None:
-        """Take a pause of this process out of all that runs."""
+        """Extend running timeouts by a pause of this process."""
         self._heard_at = now
         for instance_id in self._suspicion_ends_by_id:
             self._suspicion_ends_by_id[instance_id] += gap_s
 
     def end_suspicions(self, now: float) -> list[typing.Any]:
-        """Declare dead who did not refute in time."""
+        """Declare members dead that did not refute a suspicion in time."""
         effects: list[typing.Any] = []
         for instance_id, end in list(self._suspicion_ends_by_id.items()):
             if now >= end:
@@ -139,7 +146,7 @@
         return effects
 
     def forget(self, now: float) -> list[typing.Any]:
-        """Forget who died or left long ago."""
+        """Remove dead and left members whose retention time is over."""
         effects = []
         for instance_id, end in list(self._forget_at_by_id.items()):
             if now >= end:
@@ -151,7 +158,7 @@
     # Verdicts.
 
     def suspect(self, now: float, instance_id: str) -> list[typing.Any]:
-        """Suspect a member that did not acknowledge."""
+        """Suspect a member that did not acknowledge a probe."""
         held = self.roster.members_by_id.get(instance_id)
         if not _is_alive(held):
             return []
@@ -160,7 +167,7 @@
         return effects
 
     def acquit(self, now: float, instance_id: str) -> list[typing.Any]:
-        """Take a doubt of this instance alone back."""
+        """Mark a suspected or dead member alive again, in this view only."""
         held = self.roster.members_by_id.get(instance_id)
         if held is None or not _is_doubted(held):
             return []
@@ -175,7 +182,7 @@
         judged = msgspec.structs.replace(held, state=state)
         return self._believe(now, judged, spread=not self.is_cut_off(now))
 
-    # News.
+    # Updates.
 
     def learn(
         self,
@@ -184,7 +191,10 @@
         *,
         spread: bool = True,
     ) -> list[typing.Any]:
-        """Take news that may be old; pass on what was new."""
+        """Apply updates, which may be stale.
+
+        :param spread: whether to gossip those that changed the view.
+        """
         effects: list[typing.Any] = []
         for item in news:
             if item.instance_id == self.own.instance_id:
@@ -201,13 +211,13 @@
             return []
         info = _known_info(item, held)
         if info is None:
-            # Not enough to reach it; a comparison brings the rest.
+            # The address is missing; a view comparison supplies it.
             self.lacks_info = True
             return []
         state = item.state
         if state is MemberState.DEAD and _is_alive(held):
-            # The member gets time to refute here too, or one instance that
-            # was cut off could remove all others everywhere.
+            # The member gets time to refute the verdict here, too. Otherwise
+            # one isolated instance could remove all members everywhere.
             state = MemberState.SUSPECT
         member = Member(
             instance_id=item.instance_id,
@@ -226,12 +236,12 @@
         has_left = self.own.state is MemberState.LEFT
         if has_left or rank(item) <= rank(self.own):
             return []
-        # A suspicion, or a statement that this process has lost count of: a
-        # higher revision refutes it.
+        # Either a suspicion, or a revision of this incarnation that is
+        # higher than the current one: a still higher revision overrides it.
         return self._believe_own(now, revision=item.revision + 1)
 
     def state_own(self, now: float, **changes: typing.Any) -> list[typing.Any]:
-        """Change what this instance says of itself."""
+        """Change the state that this instance publishes about itself."""
         changed = msgspec.structs.replace(self.own, **changes)
         if changed == self.own or self.own.state is MemberState.LEFT:
             return []
@@ -247,7 +257,7 @@
     def _believe(
         self, now: float, member: Member, *, spread: bool
     ) -> list[typing.Any]:
-        """Hold a belief, spread it and keep the clocks that go with it."""
+        """Store a member's state, queue it for gossip, set its timers."""
         held = self.roster.members_by_id.get(member.instance_id)
         self.roster.put(member)
         self._keep_clocks(now, member)
@@ -288,10 +298,11 @@
 
 
 def _is_urgent(held: Member | None, member: Member) -> bool:
-    """Return whether others must hear before the next probe tells them.
+    """Return whether an update must be sent before the next probe.
 
-    Callers must not be sent to who leaves or drains, and who is suspected
-    needs its time for the refutation, not for hearing of the suspicion.
+    Clients must not be sent to an instance that leaves or drains. A suspected
+    member needs its time for the refutation, which waiting for the next probe
+    would shorten.
     """
     if held is None:
         return False
--- a/dandeliongw/coordination/_comparison.py
+++ b/dandeliongw/coordination/_comparison.py
@@ -1,7 +1,8 @@
-"""Finding, by hashes, what gossip missed.
+"""Anti-entropy: finding, by hashes, the updates that gossip missed.
 
-An instance sends one hash a group of members; the other answers with what
-it believes of the groups that differ, and asks for the same in return.
+An instance sends one hash per group of members. The receiver answers with
+its state of the members in the groups that differ, and requests the sender's
+state of these in return.
 """
 
 from collections import abc
@@ -18,33 +19,34 @@
 from ._roster import MemberState
 from ._roster import version
 
-#: Items of one message that answers a comparison.
+#: Maximum member updates in one message that answers a comparison.
 PART_ITEMS = 32
 
 
 class Comparison:
-    """Compares beliefs with those of another instance.
+    """Compares this instance's view with that of another instance.
 
-    :param beliefs: of this instance.
-    :param probing: of this instance, to look for itself where both differ.
+    :param beliefs: the view of this instance.
+    :param probing: of this instance, to probe members on which views differ.
     """
 
     def __init__(self, *, beliefs: Beliefs, probing: Probing) -> None:
         self._beliefs = beliefs
         self._roster = beliefs.roster
         self._probing = probing
-        #: The last answer told of members that were not known here.
+        #: The last answer contained members that were unknown here.
         self.brought_members = False
 
     def ask(self, other: str) -> parts.Send:
-        """Ask another instance for what it believes otherwise."""
+        """Return a request for the differences from another view."""
         message = ViewHashes(
             own=self._beliefs.own.news(with_info=True),
             hashes=tuple(self._roster.hashes),
             full=self._beliefs.lacks_info,
         )
-        # Set again by news that is not enough. Taken back by an answer's last
-        # message, what its others lacked would be asked for a round later.
+        # Set again by any update without the info it needs. It is reset here
+        # and not by the last message of an answer: that would postpone the
+        # request for info missing from earlier messages by a round.
         self._beliefs.lacks_info = False
         return parts.Send(to=other, message=message)
 
@@ -52,8 +54,8 @@
         self, now: float, sender: str, message: ViewHashes
     ) -> list[typing.Any]:
         """Answer with the groups that differ."""
-        # Compared before the sender is learned: else a joining instance
-        # would not be told what is believed of its earlier process.
+        # Compared before the sender's own state is applied: otherwise a
+        # joining instance would not receive the state of its former process.
         buckets = [
             bucket
             for bucket, (own, other) in enumerate(
@@ -62,7 +64,8 @@
             if own != other
         ]
         effects = self._beliefs.learn(now, (message.own,))
-        # A group of which the sender holds nothing has nothing to answer.
+        # A hash of 0 means that the sender has no alive or suspected member
+        # in the group, so there is nothing to request.
         wanted = tuple(b for b in buckets if message.hashes[b])
         return effects + self._parts_to(
             sender, buckets, wanted, full=message.full
@@ -71,9 +74,9 @@
     def on_part(
         self, now: float, sender: str, message: ViewPart
     ) -> list[typing.Any]:
-        """Take what is newer, and answer if that is wanted."""
-        # Made before anything is learned: the answer has to tell the sender
-        # that it was doubted here.
+        """Apply newer updates, and answer if the sender requests it."""
+        # Built before any update is applied: the answer must tell the sender
+        # if it was suspected or dead here.
         answer: list[typing.Any] = []
         if message.buckets:
             answer = self._parts_to(
@@ -95,21 +98,22 @@
     ) -> list[typing.Any]:
         held = self._roster.members_by_id.get(item.instance_id)
         if held is None or _is_settled(item, held):
-            # Many at once are old news to others, who would be sent them
-            # for minutes; who lacks them finds out by comparing, too.
+            # A large batch is mostly known to other members, and gossiping
+            # it would take minutes. Members that lack it compare views, too.
             few = len(message.news) <= BUDGET
             return self._beliefs.learn(now, (item,), spread=few)
         if message.doubt is not None and item.state is MemberState.ALIVE:
-            # Others doubt this instance: it was cut off or frozen, and its
-            # verdicts of that time are worth nothing.
+            # This instance is suspected or dead elsewhere: it was isolated
+            # or frozen, and its verdicts from that time are unreliable.
             return self._beliefs.acquit(now, item.instance_id)
         if item.state is MemberState.ALIVE and held.state is not item.state:
-            # It can refute only what it hears, so it is to be told.
+            # The member can only refute a suspicion that it receives, so it
+            # has to be notified.
             self._beliefs.contested.add(item.instance_id)
         is_alive = held.state is MemberState.ALIVE
         if message.doubt is None and is_alive and item.state != held.state:
-            # A comparison can bring a verdict that is an hour old. This
-            # instance looks for itself instead of taking it over.
+            # The verdict may be an hour old. This instance probes the member
+            # itself instead of adopting the verdict.
             self._probing.look_at(item.instance_id)
         return []
 
@@ -121,13 +125,13 @@
         *,
         full: bool,
     ) -> list[typing.Any]:
-        """Return the messages, of bounded size, that carry some beliefs.
+        """Return messages of bounded size with the members of some groups.
 
-        :param wanted: groups of which an answer is wanted; the last message
-            asks for it, so that it is given once.
-        :param full: the other knows too little of some. Without that, the
-            info is left out of many items: after a partition, that is three
-            quarters of the bytes, and known already.
+        :param wanted: groups for which an answer is requested. Only the last
+            message requests it, so that it is sent once.
+        :param full: the receiver lacks the info of some members. Otherwise
+            info is left out of large answers: after a partition it makes up
+            three quarters of the bytes, and the receiver has it already.
         """
         members = [
             member
@@ -151,7 +155,7 @@
 
 
 def _is_settled(item: MemberNews, held: Member) -> bool:
-    """Return whether the order of beliefs alone decides between them."""
+    """Return whether precedence alone decides between the two states."""
     differs = version(item) != version(held)
     return differs or item.state is MemberState.LEFT
 
--- a/dandeliongw/coordination/_membership_messages.py
+++ b/dandeliongw/coordination/_membership_messages.py
@@ -1,6 +1,7 @@
-"""What membership takes in, gives out and sends.
+"""Events, effects and messages of the membership protocol.
 
-All of it is re-exported by :mod:`.membership`, which tells the protocol.
+All of them are re-exported by :mod:`.membership`, which describes the
+protocol.
 """
 
 import msgspec
@@ -13,28 +14,28 @@
 
 
 class Discovered(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: instances that can be contacted, whoever told of them."""
+    """Instances that can be contacted were discovered, by any means."""
 
     now: float
     instance_ids: tuple[str, ...]
 
 
 class SetServing(msgspec.Struct, frozen=True, kw_only=True):
-    """This instance may or may not admit work now."""
+    """Whether this instance may admit work changed."""
 
     now: float
     serving: bool
 
 
 class SetDraining(msgspec.Struct, frozen=True, kw_only=True):
-    """This instance takes no new callers from now on, or does again."""
+    """This instance stops, or resumes, accepting new clients."""
 
     now: float
     draining: bool
 
 
 class Leave(msgspec.Struct, frozen=True, kw_only=True):
-    """This process ends soon and won't be back with this incarnation."""
+    """This process ends soon; its incarnation will not be used again."""
 
     now: float
 
@@ -43,28 +44,29 @@
 
 
 class MemberChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """Something about a member changed; perform this before later sends."""
+    """The state of a member changed; perform this before later sends."""
 
     member: Member
 
 
 class MemberForgotten(msgspec.Struct, frozen=True, kw_only=True):
-    """Nothing is remembered of a member that died or left long ago."""
+    """A dead or left member was removed after its retention time."""
 
     instance_id: str
 
 
 class Reconnect(msgspec.Struct, frozen=True, kw_only=True):
-    """Throw the connection to an instance away and use a new one."""
+    """Discard the connection to an instance and open a new one."""
 
     to: str
 
 
 class Superseded(msgspec.Struct, frozen=True, kw_only=True):
-    """Another process runs with this instance's id and more right to it.
+    """Another process has this instance's id and a higher incarnation.
 
-    Two settings files share an id, or the clock that incarnations come from
-    went back. Nothing that this process sends is accepted any more.
+    Either two settings files share an id, or the clock from which
+    incarnations are derived was set back. Other instances no longer accept
+    what this process sends.
     """
 
     incarnation: int
@@ -74,7 +76,12 @@
 
 
 class Probe(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for a :class:`ProbeAck` with the same sequence number."""
+    """Requests a :class:`ProbeAck` with the same sequence number.
+
+    :param retry: the first probe with this number was not acknowledged.
+    :param view_hash: over all alive and suspected members as the sender sees
+        them.
+    """
 
     sequence: int
     retry: bool
@@ -83,7 +90,7 @@
 
 
 class ProbeAck(msgspec.Struct, frozen=True, kw_only=True):
-    """The sender of this was alive when the probe reached it."""
+    """Acknowledges a :class:`Probe`; its sender was alive at that time."""
 
     sequence: int
     view_hash: int
@@ -91,27 +98,32 @@
 
 
 class IndirectProbe(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a helper to probe ``target``."""
+    """Requests the receiver to probe ``target`` on the sender's behalf."""
 
     sequence: int
     target: str
 
 
 class IndirectAck(msgspec.Struct, frozen=True, kw_only=True):
-    """A helper got the acknowledgement that the sender did not."""
+    """Reports that the target of an :class:`IndirectProbe` acknowledged.
+
+    :param sequence: of the request.
+    """
 
     sequence: int
 
 
 class Gossip(msgspec.Struct, frozen=True, kw_only=True):
-    """News that does not wait for the next probe."""
+    """Updates that are sent without waiting for the next probe."""
 
     news: tuple[MemberNews, ...]
 
 
 class ViewHashes(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for what the receiver believes otherwise; also joins.
+    """Requests the members whose states differ; also used to join.
 
+    :param own: the state of the sender.
+    :param hashes: one per group of members.
     :param full: the sender lacks the info of some members.
     """
 
@@ -121,10 +133,10 @@
 
 
 class ViewPart(msgspec.Struct, frozen=True, kw_only=True):
-    """What the sender believes of some members.
+    """The states of some members as the sender sees them.
 
-    :param buckets: groups of which it wants to be told in return.
-    :param doubt: what it believes of the receiver, unless that is alive.
+    :param buckets: groups whose members the sender requests in return.
+    :param doubt: the state of the receiver, if suspected or dead.
     :param full: as in :class:`ViewHashes`, for the answer.
     """
 
@@ -134,7 +146,7 @@
     full: bool
 
 
-#: For the codec of whoever embeds this part.
+#: Message classes to register with the codec.
 MESSAGES = (
     Probe,
     ProbeAck,
--- a/dandeliongw/coordination/_news.py
+++ b/dandeliongw/coordination/_news.py
@@ -1,4 +1,4 @@
-"""News of members that waits to travel with other messages."""
+"""The queue of membership updates to piggyback on other messages."""
 
 import math
 
@@ -6,19 +6,21 @@
 from ._roster import MemberNews
 from ._roster import MemberState
 
-#: Each item travels with about this many times log2(members) messages. With
-#: 3, an item misses a member of 350 in fewer than one case in a million.
+#: Each update is sent about this many times log2(members) times. With 3, and
+#: 350 members, an update misses a member with a probability of less than one
+#: in a million.
 SPREAD_FACTOR = 3
-#: What one message carries: an item costs 1, or 4 with the info of a member.
+#: Capacity of one message for updates: each costs 1, or ``INFO_COST`` if it
+#: contains the info of the member.
 BUDGET = 8
 INFO_COST = 4
 
 
 class NewsQueue:
-    """The latest news of each member, sent a bounded number of times.
+    """The latest update of each member, sent a bounded number of times.
 
-    Without the bounds the bytes of an instance would grow with the number
-    of members, and a burst of changes would push the heartbeats aside.
+    Without the bounds an instance's traffic would grow with the number of
+    members, and a burst of changes would delay the heartbeats.
     """
 
     def __init__(self) -> None:
@@ -27,11 +29,11 @@
         self._urgent_ids: set[str] = set()
 
     def add(self, member: Member, *, with_info: bool, urgent: bool) -> None:
-        """Spread a belief; it takes the place of an earlier one.
+        """Queue the update of a member, replacing an earlier one.
 
-        :param urgent: goes before all that is not.
+        :param urgent: send it before all updates that are not urgent.
         """
-        # Taken out first, so that the dictionary stays in order of age.
+        # Removed first, so that the dictionary stays ordered by age.
         self._sent_by_id.pop(member.instance_id, None)
         self._sent_by_id[member.instance_id] = 0
         if with_info and member.state is not MemberState.LEFT:
@@ -45,16 +47,18 @@
     def take(
         self, members_by_id: dict[str, Member], count: int
     ) -> list[MemberNews]:
-        """Return what goes with the next message, the least sent first.
+        """Return the updates for the next message, the least sent first.
 
-        :param members_by_id: the beliefs as they are now.
-        :param count: of members, for the number of times an item is sent.
+        :param members_by_id: the current states, which are what is sent.
+        :param count: number of members, which determines how many times an
+            update is sent.
         """
         if not self._sent_by_id:
             return []
         limit = SPREAD_FACTOR * max(1, math.ceil(math.log2(count + 1)))
         taken, left = [], BUDGET
-        # Among equals the newest goes first: a refutation can't wait.
+        # Among updates sent equally often the newest goes first, because a
+        # refutation must not be delayed.
         waiting = sorted(reversed(self._sent_by_id), key=self._order)
         for instance_id in waiting:
             with_info = instance_id in self._info_ids
--- a/dandeliongw/coordination/_probing.py
+++ b/dandeliongw/coordination/_probing.py
@@ -1,4 +1,4 @@
-"""Whom to probe next, and which probes still wait."""
+"""Scheduling of probes, and the probes that await an acknowledgement."""
 
 from collections import abc
 import heapq
@@ -7,28 +7,35 @@
 import msgspec
 import xxhash
 
-#: Others that are asked to probe a silent member.
+#: Members requested to probe an unresponsive member.
 HELPERS = 3
-#: Part of the period after which a probe is tried in other ways. It has to
-#: be longer than a round trip between regions.
+#: Fraction of the period after which a probe is retried over a new
+#: connection and through other members. It must be longer than a round trip
+#: between regions.
 ACK_SHARE = 0.3
-#: Periods after which a helper gives a probe for another up.
+#: Periods after which a probe on behalf of another instance times out.
 ERRAND_PERIODS = 2.0
 #: Members that each instance probes in every period, besides the round. With
-#: rounds alone a member may go unprobed for several periods: of 100 simulated
-#: losses among 12 instances the slowest was known to all after 5.5 s, with
-#: one watcher after 2.7 s, with two after 2.4 s. Each costs an instance 310 to
-#: 420 bytes a second, and the second is not worth that.
+#: rounds alone a member may go unprobed for several periods: over 100
+#: simulated losses among 12 instances the slowest was known to all after
+#: 5.5 s; with one member probed every period, after 2.7 s, with two after
+#: 2.4 s. Each costs an instance 310 to 420 bytes a second, which the second
+#: one is not worth.
 WATCHED = 1
-#: Members that wait to be looked at; the round gets to the others.
+#: Maximum members queued to be probed before the round continues; the round
+#: reaches any others.
 MAX_SOON = 8
 _MAX_SEQUENCE = 2**32
-#: Places on the ring of those who watch each other.
+#: Positions on the hash ring that assigns members to watch.
 _RING = 2**32
 
 
 class Pending(msgspec.Struct, kw_only=True):
-    """A probe without an acknowledgement yet."""
+    """A probe that has not been acknowledged yet.
+
+    :param retry_at: when to retry it in other ways.
+    :param verdict_at: when the target is suspected.
+    """
 
     sequence: int
     target: str
@@ -40,7 +47,8 @@
 class Errand(msgspec.Struct, frozen=True, kw_only=True):
     """A probe on behalf of another instance.
 
-    :param sequence: of the probe that the other sent.
+    :param origin: the instance that requested it.
+    :param sequence: of the probe that this instance sent itself.
     """
 
     origin: str
@@ -49,10 +57,10 @@
 
 
 class Probing:
-    """The round over all members, and the probes on their way.
+    """The round over all members, and the probes in flight.
 
-    A round in shuffled order finds a dead member within two rounds for
-    sure; choosing at random would leave it unprobed for any time.
+    A round in shuffled order is certain to probe a dead member within two
+    rounds. With random choice it could stay unprobed for any length of time.
 
     :param period_s: seconds between probes.
     """
@@ -66,17 +74,21 @@
         self._errands_by_sequence: dict[int, Errand] = {}
 
     def start(self, source: random.Random) -> None:
-        """Choose the first number: an earlier process used others."""
+        """Choose a random first sequence number.
+
+        Acknowledgements for an earlier process of this instance then don't
+        match the probes of this one.
+        """
         self._sequence = source.randrange(_MAX_SEQUENCE)
 
     def next_target(
         self, others: set[str], source: random.Random
     ) -> str | None:
-        """Return the next of the round, ``None`` without others."""
+        """Return the next member to probe, ``None`` if there is no other."""
         self._soon &= others
         if self._soon:
-            # Chosen at random: many instances may have the same to look at,
-            # and would all probe the same one at once.
+            # Chosen at random: many instances may have the same members
+            # queued and would otherwise all probe the same one at once.
             target = source.choice(sorted(self._soon))
             self._soon.discard(target)
             return target
@@ -91,12 +103,12 @@
     def watched(self, own_id: str, living: abc.Iterable[str]) -> list[str]:
         """Return the members that this instance probes in every period.
 
-        All instances stand on a ring, in the order of a hash of their ids;
-        each watches those that follow it. So every member has watchers, as
-        long as somebody lives, and neighbours on the ring seldom share a
+        All instances are placed on a hash ring by their ids, and each
+        watches those that follow it. So every member is watched as long as
+        any other is alive, and neighbours on the ring are rarely in the same
         data centre.
 
-        :param living: members that count as alive, this instance or not.
+        :param living: ids of alive members; may include this instance.
         """
         own_place = _ring_place(own_id)
         return heapq.nsmallest(
@@ -106,12 +118,12 @@
         )
 
     def look_at(self, target: str) -> None:
-        """Probe a member before the round goes on."""
+        """Queue a member to be probed before the round continues."""
         if len(self._soon) < MAX_SOON:
             self._soon.add(target)
 
     def begin(self, now: float, target: str) -> int:
-        """Return the sequence number of a new probe."""
+        """Register a new probe and return its sequence number."""
         sequence = self._next_sequence()
         self._pending_by_sequence[sequence] = Pending(
             sequence=sequence,
@@ -122,7 +134,12 @@
         return sequence
 
     def begin_errand(self, now: float, origin: str, sequence: int) -> int:
-        """Return the sequence number of a probe for another instance."""
+        """Register a probe on behalf of another instance.
+
+        :param origin: the instance that requested it.
+        :param sequence: of the probe that ``origin`` sent itself.
+        :returns: the sequence number of the new probe.
+        """
         own_sequence = self._next_sequence()
         self._errands_by_sequence[own_sequence] = Errand(
             origin=origin,
@@ -132,16 +149,16 @@
         return own_sequence
 
     def acknowledge(self, sequence: int) -> Errand | None:
-        """End a probe; return the errand that it was for."""
+        """Complete a probe; return the request it was sent for, if any."""
         self._pending_by_sequence.pop(sequence, None)
         return self._errands_by_sequence.pop(sequence, None)
 
     def forgive(self) -> None:
-        """End all probes without a verdict."""
+        """Cancel all probes of this instance without a verdict."""
         self._pending_by_sequence.clear()
 
     def due_retries(self, now: float) -> list[Pending]:
-        """Return, once each, the probes to be tried in other ways."""
+        """Return the probes that are due for a retry, each once."""
         due = [
             pending
             for pending in self._pending_by_sequence.values()
@@ -152,7 +169,7 @@
         return due
 
     def due_verdicts(self, now: float) -> list[str]:
-        """End the probes whose time is over and return their targets."""
+        """Remove timed-out probes; return the targets of own ones."""
         due = [
             pending
             for pending in self._pending_by_sequence.values()
--- a/dandeliongw/coordination/_roster.py
+++ b/dandeliongw/coordination/_roster.py
@@ -1,13 +1,15 @@
-"""What an instance believes of all members, and which belief wins.
+"""The table of members, and which of two states of a member takes precedence.
 
-A belief is ordered by ``(incarnation, left, revision, severity)``:
+The state of a member is ordered by
+``(incarnation, left, revision, severity)``:
 
-* a restarted member has a higher incarnation, so that nothing said of its
-  earlier process counts any more;
+* a restarted member has a higher incarnation, which overrides any state of
+  its earlier processes;
 * within one incarnation a leave is final;
 * only the member itself raises its revision, to change a flag or to refute
-  a suspicion; so old news of it never wins;
-* at equal revision the worse state wins, until the member refutes it.
+  a suspicion, so a stale update never takes precedence;
+* at equal revision the more severe state takes precedence, until the member
+  refutes it.
 """
 
 import collections
@@ -18,12 +20,13 @@
 
 import msgspec
 
-#: Groups of members that two instances compare by one hash each.
+#: Groups into which members are divided; two instances compare one hash per
+#: group.
 BUCKETS = 32
 
 
 class MemberState(enum.IntEnum):
-    """What is believed of a member; the order is that of severity."""
+    """The state of a member, in order of severity."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -32,10 +35,10 @@
 
 
 class InstanceInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """What a member says of itself once a start.
+    """What a member publishes about itself, fixed for each start.
 
     :param host: where its peers connect, with ``port``.
-    :param callers_address: the URL that callers are given.
+    :param callers_address: the URL at which it serves clients.
     """
 
     host: str
@@ -51,7 +54,10 @@
 
 
 class MemberNews(msgspec.Struct, frozen=True, kw_only=True):
-    """A belief on its way; ``info`` is left out where it is known."""
+    """The state of a member in a message.
+
+    :param info: ``None`` where the receiver is expected to have it.
+    """
 
     instance_id: str
     incarnation: int
@@ -63,10 +69,10 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """What this instance believes of a member.
+    """The state of a member as seen by this instance.
 
-    :param draining: it accepts no new callers.
-    :param serving: it says that it may admit work.
+    :param draining: the member accepts no new clients.
+    :param serving: the member reports that it may admit work.
     """
 
     instance_id: str
@@ -78,7 +84,7 @@
     serving: bool = False
 
     def news(self, *, with_info: bool) -> MemberNews:
-        """Return this belief for others."""
+        """Return this state as an update for other instances."""
         return MemberNews(
             instance_id=self.instance_id,
             incarnation=self.incarnation,
@@ -94,7 +100,7 @@
 
 
 def rank(belief: Member | MemberNews) -> Rank:
-    """Return the order of beliefs of one member."""
+    """Return the key by which states of one member take precedence."""
     return (
         belief.incarnation,
         belief.state is MemberState.LEFT,
@@ -104,13 +110,13 @@
 
 
 def version(belief: Member | MemberNews) -> tuple[int, int]:
-    """Return what only the member itself can raise."""
+    """Return the part of the precedence that only the member can raise."""
     return belief.incarnation, belief.revision
 
 
 @functools.lru_cache(maxsize=4096)
 def bucket_of(instance_id: str) -> int:
-    """Return the group that a member is compared in."""
+    """Return the group to which a member belongs."""
     return hashlib.blake2b(instance_id.encode()).digest()[0] % BUCKETS
 
 
@@ -129,11 +135,11 @@
 
 
 class Roster:
-    """The beliefs by member, with hashes to compare them cheaply.
+    """All members with their states, and hashes to compare them cheaply.
 
-    The hashes cover only members that are alive or suspected: the memory of
-    the others ends at another moment on each instance, which must not look
-    like a difference.
+    The hashes cover only members that are alive or suspected. The retention
+    time of the others ends at a different moment on each instance, which
+    must not appear as a difference.
     """
 
     def __init__(self) -> None:
@@ -143,11 +149,11 @@
             collections.defaultdict(set)
         )
         self._present_ids: set[str] = set()
-        #: ``None`` after a change, until someone asks.
+        #: Cached result of ``alive_ids``; ``None`` after a change.
         self._alive_ids: tuple[str, ...] | None = None
 
     def put(self, member: Member) -> None:
-        """Hold a belief in place of the former one."""
+        """Store the state of a member, replacing its former state."""
         self.remove(member.instance_id)
         self._alive_ids = None
         self.members_by_id[member.instance_id] = member
@@ -158,7 +164,7 @@
             self._present_ids.add(member.instance_id)
 
     def remove(self, instance_id: str) -> None:
-        """Forget a member."""
+        """Remove a member."""
         member = self.members_by_id.pop(instance_id, None)
         if member is None:
             return
@@ -171,15 +177,15 @@
 
     @property
     def present_ids(self) -> set[str]:
-        """Members that are alive or suspected; don't change it."""
+        """Members that are alive or suspected; not to be modified."""
         return self._present_ids
 
     @property
     def alive_ids(self) -> tuple[str, ...]:
-        """Who counts as alive, sorted; suspected members do not.
+        """Alive members, sorted, without suspected ones.
 
-        Kept between two changes. Sorted anew for every question, each booking
-        would cost more the more members there are.
+        Cached between two changes. If they were sorted at every access, the
+        cost of each booking would grow with the number of members.
         """
         if self._alive_ids is None:
             self._alive_ids = tuple(
@@ -192,7 +198,7 @@
         return self._alive_ids
 
     def is_alive(self, instance_id: str) -> bool:
-        """Return whether a member counts as alive."""
+        """Return whether a member is alive and not suspected."""
         member = self.members_by_id.get(instance_id)
         return member is not None and _is_alive(member)
 
@@ -202,6 +208,6 @@
         return functools.reduce(operator.xor, self.hashes)
 
     def in_bucket(self, bucket: int) -> list[Member]:
-        """Return what is believed of the members of one group."""
+        """Return the members of one group."""
         ids = sorted(self._ids_by_bucket[bucket])
         return [self.members_by_id[instance_id] for instance_id in ids]
--- a/dandeliongw/coordination/membership.py
+++ b/dandeliongw/coordination/membership.py
@@ -1,18 +1,20 @@
-"""Which instances are members, and which of them are alive.
-
-Each instance probes one member a period, in rounds over all members in
-shuffled order, by datagrams. Without an acknowledgement it asks some others
-to probe and tries again over a *new* connection, and only then suspects the
-member. A suspected member has time to refute it; then it counts as dead.
-News of members travels with the probes and their acknowledgements, a bounded
-number of times each, so that an instance's cost does not grow with their
-number.
-
-What gossip missed is found by hashes: every probe carries one hash over the
-sender's beliefs, and instances that differ compare groups of members.
-
-Nothing here proves that a member is dead: it may be frozen or cut off. Work
-that must not run twice needs a lease, never this.
+"""Group membership and failure detection between instances.
+
+A SWIM-style protocol. Each instance probes one member per period, in rounds
+over all members in shuffled order, by datagram. If no acknowledgement
+arrives, it asks some other members to probe on its behalf and retries over a
+*new* connection; only then does it suspect the member. A suspected member
+has a limited time to refute the suspicion before it is declared dead.
+Membership updates are piggybacked on probes and acknowledgements, each a
+bounded number of times, so that an instance's cost does not grow with the
+number of members.
+
+Updates that gossip missed are found by anti-entropy: every probe carries one
+hash over the sender's membership view, and instances whose hashes differ
+compare their views group by group.
+
+A verdict here does not prove that a member is dead: it may be frozen or
+partitioned. Work that must not run twice needs a lease instead.
 """
 
 import random
@@ -74,42 +76,45 @@
 
 #: Seconds between two probes of an instance.
 PERIOD_S = 1.0
-#: Periods within which a lost instance is doubted by all that live: one until
-#: it is probed by the one that watches it, one for the verdict, and the spread
-#: of the news. Of 100 simulated losses among 12 instances the longest took
-#: 2.7 periods, with 4 in 100 messages lost 2.8, beside two frozen ones 3.2.
+#: Periods within which all live instances suspect a lost instance: one until
+#: the member assigned to it probes it, one for the verdict, and the time in
+#: which the update spreads. Over 100 simulated losses among 12 instances the
+#: longest took 2.7 periods; with 4 % of messages lost, 2.8; with two other
+#: instances frozen, 3.2.
 MOST_UNSEEN_PERIODS = 3.5
-#: Members that hear urgent news at once from each that learns of it.
+#: Members to which each instance sends an urgent update at once.
 URGENT_FANOUT = 3
-#: Members that a leaver tells at once.
+#: Members that a leaving instance notifies at once.
 LEAVE_FANOUT = 8
-#: Seconds between two bursts of urgent news of one instance.
+#: Minimum seconds between two bursts of urgent updates from one instance.
 URGENT_GAP_S = 0.2
-#: Suspected members that an instance probes again a period; without this
-#: bound the loss of a data centre would multiply everybody's messages.
+#: Suspected members that an instance probes again per period. Without this
+#: bound, losing a data centre would multiply every instance's messages.
 SUSPECT_PROBES = 2
-#: Members that are dead here and alive elsewhere, to be told of it a period.
+#: Members notified per period that they are suspected or dead here, while
+#: another instance reports them alive.
 CONTESTED_PROBES = 2
-#: Periods between two tries to reach a dead member or an unseen seed.
+#: Periods between two attempts to reach a dead member or an unseen seed.
 ABSENT_PERIODS = 10.0
-#: Periods between two comparisons of beliefs that an instance starts.
+#: Periods between two view comparisons started by one instance.
 COMPARE_PERIODS = 5.0
-#: The same after a comparison that told of unknown members: there are likely
-#: more. Where 200 instances start at the same moment, all know all after 9.5 s
-#: of simulated time, with the calm pause alone after 27 s.
+#: The same after a comparison that returned unknown members, since there are
+#: likely more. When 200 instances start at the same moment, all of them know
+#: all others after 9.5 s of simulated time; with ``COMPARE_PERIODS`` alone it
+#: takes 27 s.
 JOIN_PERIODS = 0.5
-#: Instances that are contacted at once when many are found; the others hear
-#: of this one from those. With all of them, 78 that started together opened
-#: 53 connections each in the first second.
+#: Instances contacted at once when many are discovered; the others learn of
+#: this one by gossip. If all were contacted, 78 instances that start together
+#: would open 53 connections each in the first second.
 CONTACTS = 3
-#: Seconds that dead and left members are remembered: longer than regions
-#: lose each other, because an instance cut off for that long still believes
-#: the leaver alive and says so when it is back.
+#: Seconds for which dead and left members are retained. This is longer than
+#: partitions between regions last: an instance that was partitioned still has
+#: a member that left meanwhile as alive, and gossips that once reconnected.
 MEMORY_S = 24 * 3600.0
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True):
-    """An instance that callers may use."""
+    """An instance that clients may send requests to."""
 
     instance_id: str
     callers_address: str
@@ -118,18 +123,18 @@
 
 
 class Membership:
-    """The coordination part; see the module for the protocol.
+    """The membership state machine; the module describes the protocol.
 
-    It needs a tick at least five times a period: probes are tried again and
-    judged at ticks only.
+    It needs a tick at least five times per period, because probes are
+    retried and judged only at ticks.
 
     :param instance_id: this instance.
-    :param incarnation: higher than that of any earlier process of it.
-    :param self_info: what this instance tells the others of itself.
+    :param incarnation: higher than that of any earlier process with this id.
+    :param self_info: what this instance publishes about itself.
     :param seeds_by_id: instances to contact first; this one may be among
         them.
     :param period_s: seconds between probes.
-    :param memory_s: seconds that dead and left members are remembered.
+    :param memory_s: seconds for which dead and left members are retained.
     """
 
     def __init__(
@@ -168,33 +173,33 @@
 
     @property
     def members_by_id(self) -> dict[str, Member]:
-        """Every member that is remembered, this instance included."""
+        """All known members by id, including this instance."""
         return self._beliefs.roster.members_by_id
 
     @property
     def suspicion_s(self) -> float:
-        """Seconds that a suspected member has to refute it."""
+        """Seconds that a suspected member has to refute the suspicion."""
         return self._beliefs.suspicion_s
 
     def alive_ids(self) -> list[str]:
-        """Return who counts as alive, sorted; suspected members do not."""
+        """Return the ids of alive members, sorted, without suspected ones."""
         return list(self._beliefs.roster.alive_ids)
 
     def count_alive(self) -> int:
-        """Return how many count as alive."""
+        """Return the number of alive members, without suspected ones."""
         return len(self._beliefs.roster.alive_ids)
 
     def is_alive(self, instance_id: str) -> bool:
-        """Return whether a member counts as alive."""
+        """Return whether a member is alive and not suspected."""
         return self._beliefs.roster.is_alive(instance_id)
 
     def entries(self, now: float) -> list[Entry]:
-        """Return the instances that callers may use.
+        """Return the instances that clients may send requests to.
 
-        A member is told alive by its acknowledgements, so one that is cut
-        off drops out after the time to detect it, with the last thing that
-        it said of itself. This instance answers only for itself when its
-        own ticks are late, for then all it knows is old.
+        A partitioned member is dropped once failure detection has suspected
+        it; until then its last published state applies. If this instance's
+        own ticks are late, its view is stale, and the result contains at
+        most this instance itself.
         """
         stale = self._is_late(now)
         return [
@@ -204,10 +209,10 @@
             and not (stale and instance_id != self.instance_id)
         ]
 
-    # The part.
+    # Interface of a coordination part.
 
     def handle(self, event: typing.Any) -> list[typing.Any]:
-        """Change state by an event and return effects, to do in order."""
+        """Apply an event; return the effects to perform, in order."""
         match event:
             case parts.Ticked():
                 return self._tick(event)
@@ -225,17 +230,19 @@
                 return self._leave(event.now)
             case Discovered():
                 return self._discover(event)
-        raise TypeError(f'membership does not know {type(event).__name__}')
+        raise TypeError(
+            f'membership cannot handle event {type(event).__name__}'
+        )
 
     def restore(self, record: typing.Any) -> None:
-        """Do nothing: members are learned again at each start."""
+        """Do nothing: members are discovered again at each start."""
 
     def snapshot(self) -> tuple[typing.Any, ...]:
-        """Return nothing to keep."""
+        """Return no records: membership is not persisted."""
         return ()
 
     def _discover(self, event: Discovered) -> list[typing.Any]:
-        """Contact instances that were found while running, at once."""
+        """Contact some newly discovered instances immediately."""
         found = set(event.instance_ids) - {self.instance_id}
         new = found - self._seed_ids - self.members_by_id.keys()
         self._seed_ids = self._seed_ids | found
@@ -245,14 +252,14 @@
 
     def _leave(self, now: float) -> list[typing.Any]:
         effects = self._beliefs.state_own(now, state=MemberState.LEFT)
-        # At once: the process may not live to its next tick.
+        # Sent immediately: the process may end before its next tick.
         message = Gossip(news=(self._beliefs.own.news(with_info=False),))
         return effects + [
             parts.Send(to=to, message=message, by_datagram=True)
             for to in self._sample(self._beliefs.others, LEAVE_FANOUT)
         ]
 
-    # Time.
+    # Ticks.
 
     def _tick(self, event: parts.Ticked) -> list[typing.Any]:
         now = event.now
@@ -287,12 +294,12 @@
         return last is not None and now - last > self.period_s
 
     def _excuse(self, now: float, gap_s: float) -> None:
-        """Give up verdicts that this instance's own pause would cause.
+        """Discard verdicts that this process's own pause would cause.
 
         After a pause every acknowledgement is late, and suspicions that ran
-        during it had no chance to be refuted here. Without this, a process
-        that wakes suspects its peers, and one sees a burst of suspicions
-        with refutations right after.
+        during it could not be refuted here. Without this, a process that
+        resumes would suspect its peers: a burst of suspicions, each followed
+        by its refutation.
         """
         self._probing.forgive()
         self._beliefs.excuse(now, gap_s)
@@ -302,8 +309,8 @@
     def _probe_next(self, now: float) -> list[typing.Any]:
         if now < self._probe_at:
             return []
-        # Not added up from the last time, or a late tick would be followed
-        # by a burst of probes.
+        # Counted from now, not from the last due time: otherwise a late tick
+        # would be followed by a burst of probes.
         self._probe_at = now + self.period_s
         targets = self._sample(self._beliefs.own_suspects, SUSPECT_PROBES)
         contested = self._sample(
@@ -348,13 +355,13 @@
     def _retry(
         self, now: float, target: str, sequence: int
     ) -> list[typing.Any]:
-        """Probe over a new connection and through others.
+        """Retry a probe over a new connection and through other members.
 
-        A connection can go silent for good while new ones work. One would
-        see a healthy member declared dead by a single instance, again and
-        again, and no process restart nearby.
+        One connection can stop delivering while new ones work. Without the
+        retry, a single instance would repeatedly declare a healthy member
+        dead although no process restarted.
         """
-        # The target can't answer one whose address it does not know.
+        # The target can only answer if it has this instance's address.
         own = self._beliefs.own.news(with_info=True)
         probe = msgspec.structs.replace(
             self._probe(now, target, sequence).message, retry=True
@@ -400,22 +407,25 @@
                 return self._comparison.on_hashes(now, sender, message)
             case ViewPart():
                 return self._on_part(now, sender, message)
-        raise TypeError(f'membership does not know {type(message).__name__}')
+        raise TypeError(
+            f'membership cannot handle message {type(message).__name__}'
+        )
 
     def _on_probe(
         self, now: float, sender: str, message: Probe
     ) -> list[typing.Any]:
         effects = self._beliefs.learn(now, message.news)
         if message.retry:
-            # Perhaps the acknowledgement went into a silent connection.
+            # The first acknowledgement may have been sent over a connection
+            # that no longer delivers.
             effects.append(Reconnect(to=sender))
         ack = ProbeAck(
             sequence=message.sequence,
             view_hash=self._beliefs.roster.view_hash,
             news=self._beliefs.news_for(now, sender),
         )
-        # A second try came over a stream: where datagrams don't get through,
-        # its acknowledgement must not be one.
+        # A retry arrives over a stream. Where datagrams are not delivered,
+        # its acknowledgement must not be sent as one.
         effects.append(
             parts.Send(to=sender, message=ack, by_datagram=not message.retry)
         )
@@ -443,20 +453,20 @@
         sequence = self._probing.begin_errand(now, sender, message.sequence)
         return [self._probe(now, message.target, sequence)]
 
-    # Finding what was missed.
+    # Anti-entropy: finding updates that gossip missed.
 
     def _contact_absent(self, now: float) -> list[typing.Any]:
-        """Try a member that is not there.
+        """Contact a dead member or a seed that is not yet a member.
 
         Without this, two halves of a partition that declared each other
-        dead would never meet again.
+        dead would never rejoin.
         """
         if now < self._absent_at:
             return []
         is_alone = not self._beliefs.others
         periods = 1.0 if is_alone else ABSENT_PERIODS
-        # Without the jitter all instances would compare at the same moment
-        # after a partition, whose end is the same moment for all.
+        # Without the jitter all instances would compare their views at the
+        # same moment after a partition, which ends for all of them at once.
         periods *= self._random.uniform(0.5, 1.5)
         self._absent_at = now + periods * self.period_s
         absent = self._beliefs.dead_ids | self._seed_ids
@@ -485,8 +495,8 @@
         self._beliefs.is_urgent = False
         self._urgent_at = now + URGENT_GAP_S
         effects: list[typing.Any] = []
-        # A suspected member has to hear it more than anyone, so the
-        # suspected ones are among those that are chosen from.
+        # Suspected members are among the candidates: they most need the
+        # update, because they have to refute it.
         for to in self._sample(self._beliefs.others, URGENT_FANOUT):
             message = Gossip(news=self._beliefs.news_for(now, to))
             effects.append(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is alive: the failures that may not make, or hide, a verdict."""
+"""Membership: failures that must not cause, or hide, a verdict."""
 
 import asyncio
 import collections
@@ -23,7 +23,7 @@
 from tests import relay
 
 TICK_S = 0.1
-#: Seconds after which a condition that must come true counts as failed.
+#: Seconds after which an awaited condition counts as failed.
 LIMIT_S = 30.0
 DELAY_S = 0.001
 
@@ -44,7 +44,7 @@
 
 
 class Lan:
-    """Members on a virtual clock; ``lost`` decides what gets through."""
+    """Members on a virtual clock; ``lost`` decides which messages are lost."""
 
     def __init__(self, *, count: int, seed: int = 7) -> None:
         self.now = 0.0
@@ -81,8 +81,8 @@
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
-            # Ticks go first: a process that wakes may look at its clock
-            # before it reads what came meanwhile.
+            # Ticks first: a process that resumes may read its clock before
+            # it receives the messages that arrived in the meantime.
             for instance_id in self.ids:
                 if instance_id not in self.frozen:
                     entropy = self._random.getrandbits(64)
@@ -96,7 +96,10 @@
         self.tell(to, event)
 
     def states(self, of: str, *, but: abc.Collection[str] = ()) -> set[str]:
-        """Return what all others believe of one member."""
+        """Return the states that all other members have for one member.
+
+        :param but: observers to leave out.
+        """
         return {
             self.state(observer, of)
             for observer in self.ids
@@ -108,7 +111,7 @@
         return member.state.name if member else 'UNKNOWN'
 
     def beliefs_since(self, seconds: float) -> set[tuple[str, str, str]]:
-        """Return (observer, member, state) of each change of belief."""
+        """Return (observer, member, state) of each change since a time."""
         return {
             (observer, effect.member.instance_id, effect.member.state.name)
             for at, observer, effect in self.log
@@ -194,7 +197,7 @@
 def make_news(
     state: str, incarnation: int, revision: int
 ) -> membership.MemberNews:
-    """Return news of gw-2."""
+    """Return an update of the state of gw-2."""
     return membership.MemberNews(
         instance_id='gw-2',
         incarnation=incarnation,
@@ -211,16 +214,17 @@
 
 
 def cut_off(*ids: str) -> Lost:
-    """Between these and all others nothing gets through."""
+    """Lose all messages between these instances and all others."""
     return lambda sender, to, message: (sender in ids) != (to in ids)
 
 
 class JoinTest(unittest.TestCase):
-    """Symptom: 200 instances that start together know each other after 27 s.
+    """Guards against slow discovery when many instances start together.
 
-    Sequence: each asks the seeds, which know few as yet, and then one other
-    in five seconds; meanwhile it does not send callers and work to the rest.
-    Cause: the pause between comparisons is that of a calm system.
+    Each compares views with the seeds, which have few members yet, and then
+    with one member in five seconds. With only this steady-state interval,
+    200 instances took 27 s to discover each other, and until then sent no
+    clients or work to undiscovered ones.
     """
 
     def test_all_know_all_soon_after_they_start_together(self):
@@ -230,10 +234,10 @@
             self.assertEqual(sorted(lan.ids), member.alive_ids())
 
     def test_few_of_those_found_are_contacted_at_once(self):
-        """Symptom: 78 that start open 53 connections each in a second.
+        """Guards against a burst of connections when many instances start.
 
-        Sequence: a seed names all that it knows.
-        Cause: each of them is contacted.
+        A seed returns all its members. When each of them was contacted, 78
+        starting instances opened 53 connections each in a second.
         """
         lan = Lan(count=3)
         found = membership.Discovered(
@@ -247,12 +251,12 @@
         ]
         self.assertEqual(3, len(set(contacted)))
 
-    def test_all_that_lacks_is_asked_for_in_the_next_round(self):
-        """Symptom: single members stay unknown for a round longer.
+    def test_all_missing_info_is_requested_in_the_next_round(self):
+        """Guards against members staying unknown for an additional round.
 
-        Sequence: an answer comes in several messages; one of them tells of
-        members by name only, the last one tells nothing new.
-        Cause: the last message takes back what the first one found lacking.
+        An answer consists of several messages. An earlier one contains a
+        member without its info, the last one nothing new. Handling the last
+        message must not reset the flag that info is missing.
         """
         lan = joined()
         lacking = msgspec.structs.replace(
@@ -265,12 +269,12 @@
             )
             event = parts.Received(now=lan.now, sender='gw-3', message=part)
             lan.tell('gw-2', event)
-        asked = lan.members['gw-2']._comparison.ask('gw-4').message
-        self.assertTrue(asked.full)
+        request = lan.members['gw-2']._comparison.ask('gw-4').message
+        self.assertTrue(request.full)
 
 
 class DatagramTest(unittest.TestCase):
-    """Which messages may be lost without a word."""
+    """Which messages may be sent as datagrams, and so be lost unnoticed."""
 
     def sends(self, member: membership.Membership, event) -> dict[type, bool]:
         return {
@@ -280,10 +284,10 @@
         }
 
     def test_a_second_try_needs_no_datagrams(self):
-        """Symptom: all members suspect each other at a new site.
+        """Guards against mutual suspicion where datagrams are not delivered.
 
-        Sequence: what stands between them passes no datagrams.
-        Cause: neither the second try nor its answer goes another way.
+        If a middlebox at a new site drops all datagrams, the retry of a
+        probe and its acknowledgement must use a stream.
         """
         lan = joined()
         lan.lost = cut(('gw-1', 'gw-2'))
@@ -308,7 +312,7 @@
             self.assertEqual(each.by_datagram, answer)
 
     def test_comparisons_go_over_streams(self):
-        """They are large, and nobody asks for a lost part again."""
+        """They are large, and a lost part is not requested again."""
         lan = joined()
         two = lan.members['gw-2']
         hashes = membership.ViewHashes(
@@ -321,10 +325,10 @@
 
 
 class LinkFaultTest(unittest.TestCase):
-    """Symptom: a healthy member is declared dead, again and again.
+    """Guards against repeatedly declaring a healthy member dead.
 
-    Sequence: one link fails while both its ends are well.
-    Cause: a verdict by one observer over one connection.
+    One link fails while both its ends are healthy; a verdict must not depend
+    on one observer and one connection.
     """
 
     @params(
@@ -342,10 +346,10 @@
         )
 
     def test_a_lost_acknowledgement_is_no_verdict(self):
-        """Symptom: a member is suspected after one lost message.
+        """Guards against suspecting a member after one lost message.
 
-        Sequence: every first acknowledgement is lost, a second gets through.
-        Cause: no second try before the verdict.
+        Every first acknowledgement is lost and the second is delivered, so a
+        probe must be retried before the verdict.
         """
         lan = joined()
         answered: set[tuple[str, int]] = set()
@@ -362,11 +366,11 @@
         self.assertEqual(set(), lan.beliefs_since(5))
 
     def test_two_that_suspect_each_other_both_live(self):
-        """Symptom: both ends of a cut link are declared dead.
+        """Guards against declaring both ends of a failed link dead.
 
-        Sequence: the link between two is cut and nobody helps; each
-        suspects the other; a third hears both suspicions.
-        Cause: a suspicion that its subject does not hear of, or can't refute.
+        The link between two members is cut and indirect probes are lost, so
+        each suspects the other, and a third receives both suspicions. Each
+        suspected member must be notified and be able to refute.
         """
         lan = joined(3)
         both = cut(('gw-1', 'gw-2'), ('gw-2', 'gw-1'))
@@ -385,19 +389,19 @@
     def test_a_death_is_known_to_all_within_its_time(self):
         lan = joined()
         lan.frozen.add('gw-4')
-        # A probe, its verdict, the news of it, and time to refute.
+        # A probe, its verdict, the spread of the update, time to refute.
         lan.run(2 + 1 + 3 + lan.members['gw-0'].suspicion_s)
         self.assertEqual({'DEAD'}, lan.states('gw-4'))
         others = {b for b in lan.beliefs_since(5) if b[1] != 'gw-4'}
         self.assertEqual(set(), others)
 
     def test_no_loss_stays_unseen_for_longer_than_its_bound(self):
-        """Symptom: callers are sent for 6 s to an instance without power.
+        """Guards against sending clients to a lost instance for seconds.
 
-        Sequence: an instance is lost right after it was probed, and by
-        chance stands late in everybody's next round.
-        Cause: rounds in shuffled order bound the time only by their length;
-        of a hundred losses, one took 5 s.
+        An instance is lost right after it was probed and by chance comes
+        late in the next round of every member. Shuffled rounds alone bound
+        the detection time only by their length: of 100 losses one took 5 s,
+        and clients were sent to an instance without power for 6 s.
         """
         for seed in range(100):
             lan = joined(12, seed=seed)
@@ -408,10 +412,10 @@
             self.assertNotIn('ALIVE', lan.states(lost), f'seed {seed}')
 
     def test_a_loss_is_seen_while_others_are_frozen(self):
-        """Symptom: a lost instance is named for seconds beside a freeze.
+        """Guards against slow detection while other instances are frozen.
 
-        Sequence: two more instances stand still at the moment of the loss.
-        Cause: one of those that watch the lost one may be among them.
+        Two more instances freeze at the moment of the loss; the one that
+        watches the lost instance may be among them.
         """
         for seed in range(40):
             lan = joined(12, seed=seed)
@@ -424,11 +428,11 @@
 
     @params(1.5, 2.5, 4.5)
     def test_a_frozen_member_refutes_and_blames_nobody(self, seconds):
-        """Symptom: a process that wakes declares its peers dead.
+        """Guards against a resumed process declaring its peers dead.
 
-        Sequence: it is frozen while a probe of its own is on its way; on
-        waking it finds the acknowledgement late.
-        Cause: a pause of one's own, taken for the silence of others.
+        It is frozen while one of its probes is in flight and finds the
+        acknowledgement overdue when it resumes. Its own pause must not count
+        as unresponsiveness of others.
         """
         lan = joined()
 
@@ -475,10 +479,10 @@
 class PartitionTest(unittest.TestCase):
     @params(4, 6, 8, 30)
     def test_one_that_was_cut_off_disturbs_nobody(self, seconds):
-        """Symptom: all instances doubt each other for some seconds.
+        """Guards against mutual suspicion of all instances for some seconds.
 
-        Sequence: one is cut off, finds everyone dead, and comes back.
-        Cause: verdicts made while hearing nobody, spread afterwards.
+        One instance is isolated, declares all others dead and reconnects. It
+        must not gossip verdicts made while it received no messages.
         """
         lan = joined()
         lan.lost = cut_off('gw-4')
@@ -497,10 +501,10 @@
         self.assertEqual(set(), doubts)
 
     def test_two_halves_meet_again(self):
-        """Symptom: after a partition two groups go on without each other.
+        """Guards against a partition that persists after the network heals.
 
-        Sequence: each half declares the other dead; the network heals.
-        Cause: nobody probes the dead.
+        Each half has declared the other dead. Unless dead members are still
+        contacted, the halves never rejoin.
         """
         lan = joined()
         lan.lost = cut_off(*lan.ids[:4])
@@ -513,11 +517,11 @@
             self.assertEqual(lan.ids, member.alive_ids())
 
     def test_one_cut_off_from_a_leave_learns_it_and_revives_nobody(self):
-        """Symptom: an instance that left is listed for callers again.
+        """Guards against listing an instance that left for clients again.
 
-        Sequence: one is cut off; another leaves; the first comes back and
-        still believes the leaver alive.
-        Cause: a leave that travels only once, or is not remembered.
+        One instance is isolated while another leaves, and reconnects with
+        the leaver still marked alive. A leave must be retained, and sent more
+        than once.
         """
         lan = joined()
         lan.lost = cut_off('gw-4')
@@ -536,11 +540,10 @@
 
 
 class IncarnationTest(unittest.TestCase):
-    """Symptom: a member flaps, or a dead process is listed for callers.
+    """Guards against flapping members and dead processes listed for clients.
 
-    Sequence: a process ends and another starts with its id and address;
-    what was said of the first arrives after that.
-    Cause: news without an order that survives a restart.
+    A process ends and another starts with its id and address; updates about
+    the first arrive later. Updates need an order that survives a restart.
     """
 
     def test_a_restart_is_a_new_process_at_once(self):
@@ -576,15 +579,15 @@
         self.check(lan, make_news(state, 1, 99), 'LEFT')
 
     def test_a_death_by_hearsay_is_a_suspicion_first(self):
-        """Symptom: one confused instance removes others everywhere.
+        """Guards against one faulty instance removing others everywhere.
 
-        Sequence: its verdict arrives where the member answers every probe.
-        Cause: taking a verdict over without a chance to refute it.
+        Its verdict arrives at an instance whose probes the member answers.
+        The member must get time to refute a verdict before it is adopted.
         """
         self.check(joined(3), make_news('DEAD', 1, 0), 'SUSPECT')
 
     def check(self, lan, news, expected):
-        """Tell one member of gw-2 and compare what it believes then."""
+        """Send gw-0 an update of gw-2 and compare its state of gw-2 then."""
         before = lan.members['gw-0'].members_by_id['gw-2']
         lan.gossip('gw-0', news)
         after = lan.members['gw-0'].members_by_id['gw-2']
@@ -602,10 +605,10 @@
 
 class BoundTest(unittest.TestCase):
     def test_messages_stay_small_while_fifty_join(self):
-        """Symptom: heartbeats late, links full, when a rack comes back.
+        """Guards against late heartbeats and full links when a rack returns.
 
-        Sequence: many members change at once.
-        Cause: all news in one message.
+        Many members change at once; their updates must not all go into one
+        message.
         """
         lan = Lan(count=50)
         lan.run(20)
@@ -616,7 +619,7 @@
 
 
 class Process:
-    """A member with real connections and a clock that the test moves."""
+    """A member with real connections and a clock advanced by the test."""
 
     def __init__(self, number: int, addresses: dict) -> None:
         self.id = f'gw-{number}'
@@ -691,7 +694,7 @@
 async def two_processes() -> abc.AsyncIterator[
     tuple[Process, Process, list[relay.Relay]]
 ]:
-    """Two members that know each other; a relay each way between them."""
+    """Two joined members, with a relay in each direction between them."""
     addresses: list[dict[str, tuple[str, int]]] = [{}, {}]
     both = [Process(number, addresses[number]) for number in range(2)]
     async with contextlib.AsyncExitStack() as stack:
@@ -710,11 +713,11 @@
 
 
 class SilentConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """Symptom: a healthy member is declared dead and stays so.
+    """Guards against a healthy member being declared dead permanently.
 
-    Sequence: the connection that carries the probes, or the one that
-    carries the acknowledgements, goes silent; new connections work.
-    Cause: a verdict over one connection.
+    The connection for the probes, or the one for the acknowledgements, stops
+    delivering while new connections work. A verdict must not depend on one
+    connection.
     """
 
     async def test_probes_go_over_a_new_connection(self):
@@ -725,7 +728,7 @@
 
     async def _recover(self, *, towards: int) -> None:
         async with two_processes() as (one, two, relays):
-            # Both directions have a connection that works.
+            # Establish a working connection in both directions.
             one.probe()
             await one.until(lambda: one.acks() == 1)
             relays[towards].blackhole()
@@ -734,7 +737,7 @@
             one.probe()
             await relays[towards].until(lambda: silent.swallowed > swallowed)
             self.assertEqual(1, one.acks())
-            one.probe()  # The second try of the same probe.
+            one.probe()  # The retry of the same probe.
             await one.until(lambda: one.acks() == 2)
             one.tick(0.8)  # Past the verdict.
             doubted = [m for m in one.changes if m.state.name != 'ALIVE']
