--- a/dandeliongw/coordination/_comparison.py
+++ b/dandeliongw/coordination/_comparison.py
@@ -9,10 +9,10 @@
 import typing
 
 from . import parts
-from ._beliefs import Beliefs
+from ._gossip_queue import BUDGET
 from ._membership_messages import ViewHashes
 from ._membership_messages import ViewPart
-from ._news import BUDGET
+from ._membership_view import MembershipView
 from ._probing import Probing
 from ._roster import Member
 from ._roster import MemberNews
@@ -26,28 +26,28 @@
 class Comparison:
     """Compares this instance's view with that of another instance.
 
-    :param beliefs: the view of this instance.
+    :param view: the view of this instance.
     :param probing: of this instance, to probe members on which views differ.
     """
 
-    def __init__(self, *, beliefs: Beliefs, probing: Probing) -> None:
-        self._beliefs = beliefs
-        self._roster = beliefs.roster
+    def __init__(self, *, view: MembershipView, probing: Probing) -> None:
+        self._view = view
+        self._roster = view.roster
         self._probing = probing
         #: The last answer contained members that were unknown here.
-        self.brought_members = False
+        self.found_members = False
 
-    def ask(self, other: str) -> parts.Send:
+    def make_request(self, other: str) -> parts.Send:
         """Return a request for the differences from another view."""
         message = ViewHashes(
-            own=self._beliefs.own.news(with_info=True),
+            own=self._view.own.news(with_info=True),
             hashes=tuple(self._roster.hashes),
-            full=self._beliefs.lacks_info,
+            full=self._view.is_info_missing,
         )
         # Set again by any update without the info it needs. It is reset here
         # and not by the last message of an answer: that would postpone the
         # request for info missing from earlier messages by a round.
-        self._beliefs.lacks_info = False
+        self._view.is_info_missing = False
         return parts.Send(to=other, message=message)
 
     def on_hashes(
@@ -63,7 +63,7 @@
             )
             if own != other
         ]
-        effects = self._beliefs.learn(now, (message.own,))
+        effects = self._view.apply_updates(now, (message.own,))
         # A hash of 0 means that the sender has no alive or suspected member
         # in the group, so there is nothing to request.
         wanted = tuple(b for b in buckets if message.hashes[b])
@@ -82,7 +82,7 @@
             answer = self._parts_to(
                 sender, message.buckets, (), full=message.full
             )
-        self.brought_members = any(
+        self.found_members = any(
             item.instance_id not in self._roster.members_by_id
             for item in message.news
         )
@@ -90,31 +90,31 @@
         for item in message.news:
             effects += self._compare(now, item, message)
         if message.doubt is not None:
-            effects += self._beliefs.learn(now, (message.doubt,))
+            effects += self._view.apply_updates(now, (message.doubt,))
         return effects + answer
 
     def _compare(
         self, now: float, item: MemberNews, message: ViewPart
     ) -> list[typing.Any]:
-        held = self._roster.members_by_id.get(item.instance_id)
-        if held is None or _is_settled(item, held):
+        current = self._roster.members_by_id.get(item.instance_id)
+        if current is None or _is_settled(item, current):
             # A large batch is mostly known to other members, and gossiping
             # it would take minutes. Members that lack it compare views, too.
             few = len(message.news) <= BUDGET
-            return self._beliefs.learn(now, (item,), spread=few)
+            return self._view.apply_updates(now, (item,), spread=few)
         if message.doubt is not None and item.state is MemberState.ALIVE:
             # This instance is suspected or dead elsewhere: it was isolated
             # or frozen, and its verdicts from that time are unreliable.
-            return self._beliefs.acquit(now, item.instance_id)
-        if item.state is MemberState.ALIVE and held.state is not item.state:
+            return self._view.withdraw_suspicion(now, item.instance_id)
+        if item.state is MemberState.ALIVE and current.state is not item.state:
             # The member can only refute a suspicion that it receives, so it
             # has to be notified.
-            self._beliefs.contested.add(item.instance_id)
-        is_alive = held.state is MemberState.ALIVE
-        if message.doubt is None and is_alive and item.state != held.state:
+            self._view.contested.add(item.instance_id)
+        is_alive = current.state is MemberState.ALIVE
+        if message.doubt is None and is_alive and item.state != current.state:
             # The verdict may be an hour old. This instance probes the member
             # itself instead of adopting the verdict.
-            self._probing.look_at(item.instance_id)
+            self._probing.probe_soon(item.instance_id)
         return []
 
     def _parts_to(
@@ -139,27 +139,27 @@
             for member in self._roster.in_bucket(bucket)
         ]
         with_info = full or len(members) <= PART_ITEMS
-        told = [_told(member, with_info) for member in members]
-        doubt = self._beliefs.doubt(other)
+        updates = [_update_of(member, with_info) for member in members]
+        doubt = self._view.state_to_refute(other)
         effects = []
-        for start in range(0, max(1, len(told)), PART_ITEMS):
-            is_last = start + PART_ITEMS >= len(told)
+        for start in range(0, max(1, len(updates)), PART_ITEMS):
+            is_last = start + PART_ITEMS >= len(updates)
             message = ViewPart(
-                news=tuple(told[start : start + PART_ITEMS]),
+                news=tuple(updates[start : start + PART_ITEMS]),
                 buckets=wanted if is_last else (),
                 doubt=doubt,
-                full=self._beliefs.lacks_info,
+                full=self._view.is_info_missing,
             )
             effects.append(parts.Send(to=other, message=message))
         return effects
 
 
-def _is_settled(item: MemberNews, held: Member) -> bool:
+def _is_settled(item: MemberNews, current: Member) -> bool:
     """Return whether precedence alone decides between the two states."""
-    differs = version(item) != version(held)
+    differs = version(item) != version(current)
     return differs or item.state is MemberState.LEFT
 
 
-def _told(member: Member, with_info: bool) -> MemberNews:
+def _update_of(member: Member, with_info: bool) -> MemberNews:
     has_left = member.state is MemberState.LEFT
     return member.news(with_info=with_info and not has_left)
--- a/dandeliongw/coordination/_news.py
+++ b/dandeliongw/coordination/_gossip_queue.py
@@ -16,7 +16,7 @@
 INFO_COST = 4
 
 
-class NewsQueue:
+class GossipQueue:
     """The latest update of each member, sent a bounded number of times.
 
     Without the bounds an instance's traffic would grow with the number of
--- a/dandeliongw/coordination/_probing.py
+++ b/dandeliongw/coordination/_probing.py
@@ -8,26 +8,26 @@
 import xxhash
 
 #: Members requested to probe an unresponsive member.
-HELPERS = 3
+INDIRECT_PROBES = 3
 #: Fraction of the period after which a probe is retried over a new
 #: connection and through other members. It must be longer than a round trip
 #: between regions.
-ACK_SHARE = 0.3
+RETRY_AFTER_PERIODS = 0.3
 #: Periods after which a probe on behalf of another instance times out.
-ERRAND_PERIODS = 2.0
+RELAYED_PERIODS = 2.0
 #: Members that each instance probes in every period, besides the round. With
 #: rounds alone a member may go unprobed for several periods: over 100
 #: simulated losses among 12 instances the slowest was known to all after
 #: 5.5 s; with one member probed every period, after 2.7 s, with two after
 #: 2.4 s. Each costs an instance 310 to 420 bytes a second, which the second
 #: one is not worth.
-WATCHED = 1
+WATCHED_MEMBERS = 1
 #: Maximum members queued to be probed before the round continues; the round
 #: reaches any others.
-MAX_SOON = 8
+MAX_QUEUED_PROBES = 8
 _MAX_SEQUENCE = 2**32
 #: Positions on the hash ring that assigns members to watch.
-_RING = 2**32
+_RING_SIZE = 2**32
 
 
 class Pending(msgspec.Struct, kw_only=True):
@@ -44,7 +44,7 @@
     retried: bool = False
 
 
-class Errand(msgspec.Struct, frozen=True, kw_only=True):
+class RelayedProbe(msgspec.Struct, frozen=True, kw_only=True):
     """A probe on behalf of another instance.
 
     :param origin: the instance that requested it.
@@ -69,9 +69,9 @@
         self._period_s = period_s
         self._sequence = 0
         self._round: list[str] = []
-        self._soon: set[str] = set()
+        self._queued_ids: set[str] = set()
         self._pending_by_sequence: dict[int, Pending] = {}
-        self._errands_by_sequence: dict[int, Errand] = {}
+        self._relayed_by_sequence: dict[int, RelayedProbe] = {}
 
     def start(self, source: random.Random) -> None:
         """Choose a random first sequence number.
@@ -85,12 +85,12 @@
         self, others: set[str], source: random.Random
     ) -> str | None:
         """Return the next member to probe, ``None`` if there is no other."""
-        self._soon &= others
-        if self._soon:
+        self._queued_ids &= others
+        if self._queued_ids:
             # Chosen at random: many instances may have the same members
             # queued and would otherwise all probe the same one at once.
-            target = source.choice(sorted(self._soon))
-            self._soon.discard(target)
+            target = source.choice(sorted(self._queued_ids))
+            self._queued_ids.discard(target)
             return target
         while self._round:
             target = self._round.pop()
@@ -112,15 +112,18 @@
         """
         own_place = _ring_place(own_id)
         return heapq.nsmallest(
-            WATCHED,
+            WATCHED_MEMBERS,
             (each for each in living if each != own_id),
-            key=lambda each: ((_ring_place(each) - own_place) % _RING, each),
+            key=lambda each: (
+                (_ring_place(each) - own_place) % _RING_SIZE,
+                each,
+            ),
         )
 
-    def look_at(self, target: str) -> None:
+    def probe_soon(self, target: str) -> None:
         """Queue a member to be probed before the round continues."""
-        if len(self._soon) < MAX_SOON:
-            self._soon.add(target)
+        if len(self._queued_ids) < MAX_QUEUED_PROBES:
+            self._queued_ids.add(target)
 
     def begin(self, now: float, target: str) -> int:
         """Register a new probe and return its sequence number."""
@@ -128,12 +131,12 @@
         self._pending_by_sequence[sequence] = Pending(
             sequence=sequence,
             target=target,
-            retry_at=now + ACK_SHARE * self._period_s,
+            retry_at=now + RETRY_AFTER_PERIODS * self._period_s,
             verdict_at=now + self._period_s,
         )
         return sequence
 
-    def begin_errand(self, now: float, origin: str, sequence: int) -> int:
+    def begin_relayed(self, now: float, origin: str, sequence: int) -> int:
         """Register a probe on behalf of another instance.
 
         :param origin: the instance that requested it.
@@ -141,19 +144,19 @@
         :returns: the sequence number of the new probe.
         """
         own_sequence = self._next_sequence()
-        self._errands_by_sequence[own_sequence] = Errand(
+        self._relayed_by_sequence[own_sequence] = RelayedProbe(
             origin=origin,
             sequence=sequence,
-            expires_at=now + ERRAND_PERIODS * self._period_s,
+            expires_at=now + RELAYED_PERIODS * self._period_s,
         )
         return own_sequence
 
-    def acknowledge(self, sequence: int) -> Errand | None:
+    def acknowledge(self, sequence: int) -> RelayedProbe | None:
         """Complete a probe; return the request it was sent for, if any."""
         self._pending_by_sequence.pop(sequence, None)
-        return self._errands_by_sequence.pop(sequence, None)
+        return self._relayed_by_sequence.pop(sequence, None)
 
-    def forgive(self) -> None:
+    def cancel_all(self) -> None:
         """Cancel all probes of this instance without a verdict."""
         self._pending_by_sequence.clear()
 
@@ -177,9 +180,9 @@
         ]
         for pending in due:
             del self._pending_by_sequence[pending.sequence]
-        for sequence, errand in list(self._errands_by_sequence.items()):
-            if now >= errand.expires_at:
-                del self._errands_by_sequence[sequence]
+        for sequence, relayed in list(self._relayed_by_sequence.items()):
+            if now >= relayed.expires_at:
+                del self._relayed_by_sequence[sequence]
         return [pending.target for pending in due]
 
     def _next_sequence(self) -> int:
--- a/dandeliongw/coordination/_roster.py
+++ b/dandeliongw/coordination/_roster.py
@@ -99,19 +99,19 @@
 Rank = tuple[int, bool, int, MemberState]
 
 
-def rank(belief: Member | MemberNews) -> Rank:
+def rank(member: Member | MemberNews) -> Rank:
     """Return the key by which states of one member take precedence."""
     return (
-        belief.incarnation,
-        belief.state is MemberState.LEFT,
-        belief.revision,
-        belief.state,
+        member.incarnation,
+        member.state is MemberState.LEFT,
+        member.revision,
+        member.state,
     )
 
 
-def version(belief: Member | MemberNews) -> tuple[int, int]:
+def version(member: Member | MemberNews) -> tuple[int, int]:
     """Return the part of the precedence that only the member can raise."""
-    return belief.incarnation, belief.revision
+    return member.incarnation, member.revision
 
 
 @functools.lru_cache(maxsize=4096)
--- a/dandeliongw/coordination/membership.py
+++ b/dandeliongw/coordination/membership.py
@@ -23,7 +23,6 @@
 import msgspec
 
 from . import parts
-from ._beliefs import Beliefs
 from ._comparison import Comparison
 from ._membership_messages import Discovered
 from ._membership_messages import Gossip
@@ -41,7 +40,8 @@
 from ._membership_messages import Superseded
 from ._membership_messages import ViewHashes
 from ._membership_messages import ViewPart
-from ._probing import HELPERS
+from ._membership_view import MembershipView
+from ._probing import INDIRECT_PROBES
 from ._probing import Probing
 from ._roster import InstanceInfo
 from ._roster import Member
@@ -87,7 +87,7 @@
 #: Members that a leaving instance notifies at once.
 LEAVE_FANOUT = 8
 #: Minimum seconds between two bursts of urgent updates from one instance.
-URGENT_GAP_S = 0.2
+URGENT_INTERVAL_S = 0.2
 #: Suspected members that an instance probes again per period. Without this
 #: bound, losing a data centre would multiply every instance's messages.
 SUSPECT_PROBES = 2
@@ -106,7 +106,7 @@
 #: Instances contacted at once when many are discovered; the others learn of
 #: this one by gossip. If all were contacted, 78 instances that start together
 #: would open 53 connections each in the first second.
-CONTACTS = 3
+DISCOVERY_FANOUT = 3
 #: Seconds for which dead and left members are retained. This is longer than
 #: partitions between regions last: an instance that was partitioned still has
 #: a member that left meanwhile as alive, and gossips that once reconnected.
@@ -157,11 +157,11 @@
         self.instance_id = instance_id
         self.period_s = period_s
         self._seed_ids = seeds_by_id.keys() - {instance_id}
-        self._beliefs = Beliefs(own=own, period_s=period_s, memory_s=memory_s)
-        self._probing = Probing(period_s=period_s)
-        self._comparison = Comparison(
-            beliefs=self._beliefs, probing=self._probing
+        self._view = MembershipView(
+            own=own, period_s=period_s, memory_s=memory_s
         )
+        self._probing = Probing(period_s=period_s)
+        self._comparison = Comparison(view=self._view, probing=self._probing)
         self._random = random.Random(0)
         self._ticked_at: float | None = None
         self._probe_at = 0.0
@@ -174,24 +174,24 @@
     @property
     def members_by_id(self) -> dict[str, Member]:
         """All known members by id, including this instance."""
-        return self._beliefs.roster.members_by_id
+        return self._view.roster.members_by_id
 
     @property
     def suspicion_s(self) -> float:
         """Seconds that a suspected member has to refute the suspicion."""
-        return self._beliefs.suspicion_s
+        return self._view.suspicion_s
 
     def alive_ids(self) -> list[str]:
         """Return the ids of alive members, sorted, without suspected ones."""
-        return list(self._beliefs.roster.alive_ids)
+        return list(self._view.roster.alive_ids)
 
     def count_alive(self) -> int:
         """Return the number of alive members, without suspected ones."""
-        return len(self._beliefs.roster.alive_ids)
+        return len(self._view.roster.alive_ids)
 
     def is_alive(self, instance_id: str) -> bool:
         """Return whether a member is alive and not suspected."""
-        return self._beliefs.roster.is_alive(instance_id)
+        return self._view.roster.is_alive(instance_id)
 
     def entries(self, now: float) -> list[Entry]:
         """Return the instances that clients may send requests to.
@@ -205,7 +205,7 @@
         return [
             _entry(self.members_by_id[instance_id])
             for instance_id in self.alive_ids()
-            if _may_serve(self.members_by_id[instance_id])
+            if _accepts_clients(self.members_by_id[instance_id])
             and not (stale and instance_id != self.instance_id)
         ]
 
@@ -219,11 +219,9 @@
             case parts.Received():
                 return self._receive(event)
             case SetServing():
-                return self._beliefs.state_own(
-                    event.now, serving=event.serving
-                )
+                return self._view.update_own(event.now, serving=event.serving)
             case SetDraining():
-                return self._beliefs.state_own(
+                return self._view.update_own(
                     event.now, draining=event.draining
                 )
             case Leave():
@@ -247,16 +245,17 @@
         new = found - self._seed_ids - self.members_by_id.keys()
         self._seed_ids = self._seed_ids | found
         return [
-            self._comparison.ask(each) for each in self._sample(new, CONTACTS)
+            self._comparison.make_request(each)
+            for each in self._sample(new, DISCOVERY_FANOUT)
         ]
 
     def _leave(self, now: float) -> list[typing.Any]:
-        effects = self._beliefs.state_own(now, state=MemberState.LEFT)
+        effects = self._view.update_own(now, state=MemberState.LEFT)
         # Sent immediately: the process may end before its next tick.
-        message = Gossip(news=(self._beliefs.own.news(with_info=False),))
+        message = Gossip(news=(self._view.own.news(with_info=False),))
         return effects + [
             parts.Send(to=to, message=message, by_datagram=True)
-            for to in self._sample(self._beliefs.others, LEAVE_FANOUT)
+            for to in self._sample(self._view.others, LEAVE_FANOUT)
         ]
 
     # Ticks.
@@ -267,33 +266,34 @@
         if self._ticked_at is None:
             self._start(now)
         elif self._is_late(now):
-            self._excuse(now, now - self._ticked_at)
+            self._handle_own_pause(now, now - self._ticked_at)
         self._ticked_at = now
         if self._has_left:
             return self._send_urgent(now)
         effects = self._check_probes(now)
-        effects += self._beliefs.end_suspicions(now)
+        effects += self._view.expire_suspicions(now)
         effects += self._probe_next(now)
         effects += self._contact_absent(now)
         effects += self._send_urgent(now)
-        effects += self._beliefs.forget(now)
+        effects += self._view.forget(now)
         return effects
 
     @property
     def _has_left(self) -> bool:
-        return self._beliefs.own.state is MemberState.LEFT
+        return self._view.own.state is MemberState.LEFT
 
     def _start(self, now: float) -> None:
         self._probing.start(self._random)
         self._probe_at = now + self._random.uniform(0, self.period_s)
         self._absent_at = now
-        self._beliefs.hear(now)
+        # Isolation is counted from the start.
+        self._view.on_message(now)
 
     def _is_late(self, now: float) -> bool:
         last = self._ticked_at
         return last is not None and now - last > self.period_s
 
-    def _excuse(self, now: float, gap_s: float) -> None:
+    def _handle_own_pause(self, now: float, gap_s: float) -> None:
         """Discard verdicts that this process's own pause would cause.
 
         After a pause every acknowledgement is late, and suspicions that ran
@@ -301,8 +301,8 @@
         resumes would suspect its peers: a burst of suspicions, each followed
         by its refutation.
         """
-        self._probing.forgive()
-        self._beliefs.excuse(now, gap_s)
+        self._probing.cancel_all()
+        self._view.extend_timeouts(now, gap_s)
 
     # Probing.
 
@@ -312,11 +312,11 @@
         # Counted from now, not from the last due time: otherwise a late tick
         # would be followed by a burst of probes.
         self._probe_at = now + self.period_s
-        targets = self._sample(self._beliefs.own_suspects, SUSPECT_PROBES)
+        targets = self._sample(self._view.suspected_here, SUSPECT_PROBES)
         contested = self._sample(
-            self._beliefs.contested - set(targets), CONTESTED_PROBES
+            self._view.contested - set(targets), CONTESTED_PROBES
         )
-        self._beliefs.contested.difference_update(contested)
+        self._view.contested.difference_update(contested)
         targets += contested
         targets += [
             each
@@ -325,9 +325,7 @@
             )
             if each not in targets
         ]
-        following = self._probing.next_target(
-            self._beliefs.others, self._random
-        )
+        following = self._probing.next_target(self._view.others, self._random)
         if following is not None and following not in targets:
             targets.append(following)
         return [
@@ -339,15 +337,15 @@
         message = Probe(
             sequence=sequence,
             retry=False,
-            view_hash=self._beliefs.roster.view_hash,
-            news=self._beliefs.news_for(now, target),
+            view_hash=self._view.roster.view_hash,
+            news=self._view.updates_for(now, target),
         )
         return parts.Send(to=target, message=message, by_datagram=True)
 
     def _check_probes(self, now: float) -> list[typing.Any]:
         effects: list[typing.Any] = []
         for target in self._probing.due_verdicts(now):
-            effects += self._beliefs.suspect(now, target)
+            effects += self._view.suspect(now, target)
         for pending in self._probing.due_retries(now):
             effects += self._retry(now, pending.target, pending.sequence)
         return effects
@@ -362,7 +360,7 @@
         dead although no process restarted.
         """
         # The target can only answer if it has this instance's address.
-        own = self._beliefs.own.news(with_info=True)
+        own = self._view.own.news(with_info=True)
         probe = msgspec.structs.replace(
             self._probe(now, target, sequence).message, retry=True
         )
@@ -371,7 +369,7 @@
         effects.append(parts.Send(to=target, message=probe))
         message = IndirectProbe(sequence=sequence, target=target)
         helpers = set(self.alive_ids()) - {self.instance_id, target}
-        for helper in self._sample(helpers, HELPERS):
+        for helper in self._sample(helpers, INDIRECT_PROBES):
             effects.append(
                 parts.Send(to=helper, message=message, by_datagram=True)
             )
@@ -385,7 +383,7 @@
     def _receive(self, event: parts.Received) -> list[typing.Any]:
         if self._has_left:
             return []
-        effects = self._beliefs.hear(event.now)
+        effects = self._view.on_message(event.now)
         return effects + self._dispatch(event.now, event.sender, event.message)
 
     def _dispatch(
@@ -402,7 +400,7 @@
                 self._probing.acknowledge(message.sequence)
                 return []
             case Gossip():
-                return self._beliefs.learn(now, message.news)
+                return self._view.apply_updates(now, message.news)
             case ViewHashes():
                 return self._comparison.on_hashes(now, sender, message)
             case ViewPart():
@@ -414,15 +412,15 @@
     def _on_probe(
         self, now: float, sender: str, message: Probe
     ) -> list[typing.Any]:
-        effects = self._beliefs.learn(now, message.news)
+        effects = self._view.apply_updates(now, message.news)
         if message.retry:
             # The first acknowledgement may have been sent over a connection
             # that no longer delivers.
             effects.append(Reconnect(to=sender))
         ack = ProbeAck(
             sequence=message.sequence,
-            view_hash=self._beliefs.roster.view_hash,
-            news=self._beliefs.news_for(now, sender),
+            view_hash=self._view.roster.view_hash,
+            news=self._view.updates_for(now, sender),
         )
         # A retry arrives over a stream. Where datagrams are not delivered,
         # its acknowledgement must not be sent as one.
@@ -434,23 +432,23 @@
     def _on_ack(
         self, now: float, sender: str, message: ProbeAck
     ) -> list[typing.Any]:
-        effects = self._beliefs.learn(now, message.news)
-        errand = self._probing.acknowledge(message.sequence)
-        if errand is not None:
-            answer = IndirectAck(sequence=errand.sequence)
+        effects = self._view.apply_updates(now, message.news)
+        relayed = self._probing.acknowledge(message.sequence)
+        if relayed is not None:
+            answer = IndirectAck(sequence=relayed.sequence)
             effects.append(
-                parts.Send(to=errand.origin, message=answer, by_datagram=True)
+                parts.Send(to=relayed.origin, message=answer, by_datagram=True)
             )
-        if message.view_hash != self._beliefs.roster.view_hash:
+        if message.view_hash != self._view.roster.view_hash:
             effects += self._compare(now, sender)
         return effects
 
     def _on_indirect_probe(
         self, now: float, sender: str, message: IndirectProbe
     ) -> list[typing.Any]:
-        if message.target not in self._beliefs.others:
+        if message.target not in self._view.others:
             return []
-        sequence = self._probing.begin_errand(now, sender, message.sequence)
+        sequence = self._probing.begin_relayed(now, sender, message.sequence)
         return [self._probe(now, message.target, sequence)]
 
     # Anti-entropy: finding updates that gossip missed.
@@ -463,22 +461,25 @@
         """
         if now < self._absent_at:
             return []
-        is_alone = not self._beliefs.others
+        is_alone = not self._view.others
         periods = 1.0 if is_alone else ABSENT_PERIODS
         # Without the jitter all instances would compare their views at the
         # same moment after a partition, which ends for all of them at once.
         periods *= self._random.uniform(0.5, 1.5)
         self._absent_at = now + periods * self.period_s
-        absent = self._beliefs.dead_ids | self._seed_ids
-        absent -= self._beliefs.roster.present_ids
-        chosen = self._sample(absent, HELPERS if is_alone else 1)
-        return [self._comparison.ask(instance_id) for instance_id in chosen]
+        absent = self._view.dead_ids | self._seed_ids
+        absent -= self._view.roster.present_ids
+        chosen = self._sample(absent, INDIRECT_PROBES if is_alone else 1)
+        return [
+            self._comparison.make_request(instance_id)
+            for instance_id in chosen
+        ]
 
     def _on_part(
         self, now: float, sender: str, message: ViewPart
     ) -> list[typing.Any]:
         effects = self._comparison.on_part(now, sender, message)
-        if self._comparison.brought_members:
+        if self._comparison.found_members:
             soon = now + JOIN_PERIODS * self.period_s
             self._compare_at = min(self._compare_at, soon)
         return effects
@@ -487,18 +488,18 @@
         if now < self._compare_at:
             return []
         self._compare_at = now + COMPARE_PERIODS * self.period_s
-        return [self._comparison.ask(other)]
+        return [self._comparison.make_request(other)]
 
     def _send_urgent(self, now: float) -> list[typing.Any]:
-        if not self._beliefs.is_urgent or now < self._urgent_at:
+        if not self._view.is_urgent or now < self._urgent_at:
             return []
-        self._beliefs.is_urgent = False
-        self._urgent_at = now + URGENT_GAP_S
+        self._view.is_urgent = False
+        self._urgent_at = now + URGENT_INTERVAL_S
         effects: list[typing.Any] = []
         # Suspected members are among the candidates: they most need the
         # update, because they have to refute it.
-        for to in self._sample(self._beliefs.others, URGENT_FANOUT):
-            message = Gossip(news=self._beliefs.news_for(now, to))
+        for to in self._sample(self._view.others, URGENT_FANOUT):
+            message = Gossip(news=self._view.updates_for(now, to))
             effects.append(
                 parts.Send(to=to, message=message, by_datagram=True)
             )
@@ -514,7 +515,7 @@
     )
 
 
-def _may_serve(member: Member) -> bool:
+def _accepts_clients(member: Member) -> bool:
     return (
         member.serving
         and not member.draining
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -75,7 +75,7 @@
             },
         )
 
-    def tell(self, instance_id: str, event: typing.Any) -> None:
+    def handle(self, instance_id: str, event: typing.Any) -> None:
         self._perform(instance_id, self.members[instance_id].handle(event))
 
     def run(self, seconds: float) -> None:
@@ -87,13 +87,13 @@
                 if instance_id not in self.frozen:
                     entropy = self._random.getrandbits(64)
                     ticked = parts.Ticked(now=self.now, entropy=entropy)
-                    self.tell(instance_id, ticked)
+                    self.handle(instance_id, ticked)
             self._deliver()
 
     def gossip(self, to: str, news: membership.MemberNews) -> None:
         message = membership.Gossip(news=(news,))
         event = parts.Received(now=self.now, sender='gw-1', message=message)
-        self.tell(to, event)
+        self.handle(to, event)
 
     def states(self, of: str, *, but: abc.Collection[str] = ()) -> set[str]:
         """Return the states that all other members have for one member.
@@ -110,7 +110,7 @@
         member = self.members[observer].members_by_id.get(of)
         return member.state.name if member else 'UNKNOWN'
 
-    def beliefs_since(self, seconds: float) -> set[tuple[str, str, str]]:
+    def changes_since(self, seconds: float) -> set[tuple[str, str, str]]:
         """Return (observer, member, state) of each change since a time."""
         return {
             (observer, effect.member.instance_id, effect.member.state.name)
@@ -143,7 +143,7 @@
                 kept.append(item)
                 continue
             message = CODEC.decode(*encoded)
-            self.tell(
+            self.handle(
                 to,
                 parts.Received(now=self.now, sender=sender, message=message),
             )
@@ -158,16 +158,16 @@
 
 
 class FaultFreeTest(unittest.TestCase):
-    def test_all_learn_all_from_three_seeds(self):
+    def test_all_members_are_discovered_from_three_seeds(self):
         lan = joined()
         for member in lan.members.values():
             self.assertEqual(lan.ids, member.alive_ids())
             self.assertEqual(make_info(8), member.members_by_id['gw-8'].info)
 
-    def test_nobody_is_doubted_in_a_quiet_minute(self):
+    def test_no_member_is_suspected_in_a_fault_free_minute(self):
         lan = joined()
         lan.run(60)
-        self.assertEqual(set(), lan.beliefs_since(5))
+        self.assertEqual(set(), lan.changes_since(5))
         self.assertEqual(
             [],
             [e for _, _, e in lan.log if isinstance(e, membership.Reconnect)],
@@ -176,19 +176,19 @@
     def test_entries_are_those_that_serve_and_do_not_drain(self):
         lan = joined()
         for instance_id in lan.ids[:4]:
-            lan.tell(
+            lan.handle(
                 instance_id, membership.SetServing(now=lan.now, serving=True)
             )
         lan.run(5)
-        lan.tell('gw-0', membership.SetDraining(now=lan.now, draining=True))
+        lan.handle('gw-0', membership.SetDraining(now=lan.now, draining=True))
         lan.run(1)
         entries = lan.members['gw-8'].entries(lan.now)
         self.assertEqual(lan.ids[1:4], [e.instance_id for e in entries])
         self.assertEqual('http://10.0.0.1:8080', entries[0].callers_address)
 
-    def test_a_leave_is_known_at_once(self):
+    def test_a_leave_reaches_all_members_at_once(self):
         lan = joined()
-        lan.tell('gw-4', membership.Leave(now=lan.now))
+        lan.handle('gw-4', membership.Leave(now=lan.now))
         lan.frozen.add('gw-4')
         lan.run(2 * TICK_S)
         self.assertEqual({'LEFT'}, lan.states('gw-4'))
@@ -227,13 +227,13 @@
     clients or work to undiscovered ones.
     """
 
-    def test_all_know_all_soon_after_they_start_together(self):
+    def test_members_that_start_together_discover_each_other_soon(self):
         lan = Lan(count=60)
         lan.run(6)
         for member in lan.members.values():
             self.assertEqual(sorted(lan.ids), member.alive_ids())
 
-    def test_few_of_those_found_are_contacted_at_once(self):
+    def test_few_discovered_instances_are_contacted_at_once(self):
         """Guards against a burst of connections when many instances start.
 
         A seed returns all its members. When each of them was contacted, 78
@@ -268,8 +268,8 @@
                 news=(news,), buckets=(), doubt=None, full=False
             )
             event = parts.Received(now=lan.now, sender='gw-3', message=part)
-            lan.tell('gw-2', event)
-        request = lan.members['gw-2']._comparison.ask('gw-4').message
+            lan.handle('gw-2', event)
+        request = lan.members['gw-2']._comparison.make_request('gw-4').message
         self.assertTrue(request.full)
 
 
@@ -283,7 +283,7 @@
             if isinstance(effect, parts.Send)
         }
 
-    def test_a_second_try_needs_no_datagrams(self):
+    def test_a_retry_needs_no_datagrams(self):
         """Guards against mutual suspicion where datagrams are not delivered.
 
         If a middlebox at a new site drops all datagrams, the retry of a
@@ -317,7 +317,7 @@
         two = lan.members['gw-2']
         hashes = membership.ViewHashes(
             own=make_news('ALIVE', 1, 0),
-            hashes=(1,) * len(two._beliefs.roster.hashes),
+            hashes=(1,) * len(two._view.roster.hashes),
             full=True,
         )
         event = parts.Received(now=lan.now, sender='gw-1', message=hashes)
@@ -336,16 +336,16 @@
         (cut(('gw-2', 'gw-1')),),
         (cut(('gw-1', 'gw-2'), ('gw-2', 'gw-1')),),
     )
-    def test_a_cut_link_is_no_verdict(self, lost):
+    def test_a_cut_link_causes_no_suspicion(self, lost):
         lan = joined()
         lan.lost = lost
         lan.run(30)
-        self.assertEqual(set(), lan.beliefs_since(5))
+        self.assertEqual(set(), lan.changes_since(5))
         self.assertTrue(
             any(isinstance(e, membership.Reconnect) for _, _, e in lan.log)
         )
 
-    def test_a_lost_acknowledgement_is_no_verdict(self):
+    def test_a_lost_acknowledgement_causes_no_suspicion(self):
         """Guards against suspecting a member after one lost message.
 
         Every first acknowledgement is lost and the second is delivered, so a
@@ -363,9 +363,9 @@
 
         lan.lost = lost
         lan.run(20)
-        self.assertEqual(set(), lan.beliefs_since(5))
+        self.assertEqual(set(), lan.changes_since(5))
 
-    def test_two_that_suspect_each_other_both_live(self):
+    def test_two_members_that_suspect_each_other_stay_alive(self):
         """Guards against declaring both ends of a failed link dead.
 
         The link between two members is cut and indirect probes are lost, so
@@ -379,10 +379,10 @@
             or isinstance(message, membership.IndirectProbe)
         )
         lan.run(40)
-        beliefs = lan.beliefs_since(5)
-        self.assertIn(('gw-1', 'gw-2', 'SUSPECT'), beliefs)
-        self.assertIn(('gw-2', 'gw-1', 'SUSPECT'), beliefs)
-        self.assertEqual(set(), {b for b in beliefs if b[2] == 'DEAD'})
+        changes = lan.changes_since(5)
+        self.assertIn(('gw-1', 'gw-2', 'SUSPECT'), changes)
+        self.assertIn(('gw-2', 'gw-1', 'SUSPECT'), changes)
+        self.assertEqual(set(), {b for b in changes if b[2] == 'DEAD'})
 
 
 class DeathTest(unittest.TestCase):
@@ -392,10 +392,10 @@
         # A probe, its verdict, the spread of the update, time to refute.
         lan.run(2 + 1 + 3 + lan.members['gw-0'].suspicion_s)
         self.assertEqual({'DEAD'}, lan.states('gw-4'))
-        others = {b for b in lan.beliefs_since(5) if b[1] != 'gw-4'}
+        others = {b for b in lan.changes_since(5) if b[1] != 'gw-4'}
         self.assertEqual(set(), others)
 
-    def test_no_loss_stays_unseen_for_longer_than_its_bound(self):
+    def test_every_loss_is_detected_within_the_bound(self):
         """Guards against sending clients to a lost instance for seconds.
 
         An instance is lost right after it was probed and by chance comes
@@ -411,7 +411,7 @@
             lan.run(membership.MOST_UNSEEN_PERIODS)
             self.assertNotIn('ALIVE', lan.states(lost), f'seed {seed}')
 
-    def test_a_loss_is_seen_while_others_are_frozen(self):
+    def test_a_loss_is_detected_while_others_are_frozen(self):
         """Guards against slow detection while other instances are frozen.
 
         Two more instances freeze at the moment of the loss; the one that
@@ -427,7 +427,7 @@
             self.assertNotIn('ALIVE', seen, f'seed {seed}')
 
     @params(1.5, 2.5, 4.5)
-    def test_a_frozen_member_refutes_and_blames_nobody(self, seconds):
+    def test_a_resumed_member_refutes_and_suspects_no_other(self, seconds):
         """Guards against a resumed process declaring its peers dead.
 
         It is frozen while one of its probes is in flight and finds the
@@ -450,11 +450,11 @@
         lan.frozen.clear()
         lan.run(5)
         self.assertEqual({'ALIVE'}, lan.states('gw-4'))
-        beliefs = lan.beliefs_since(start)
-        self.assertEqual(set(), {b for b in beliefs if b[1] != 'gw-4'})
-        self.assertEqual(set(), {b for b in beliefs if b[2] == 'DEAD'})
+        changes = lan.changes_since(start)
+        self.assertEqual(set(), {b for b in changes if b[1] != 'gw-4'})
+        self.assertEqual(set(), {b for b in changes if b[2] == 'DEAD'})
 
-    def test_one_that_was_frozen_for_a_minute_is_taken_back(self):
+    def test_a_member_frozen_for_a_minute_rejoins(self):
         lan = joined()
         lan.frozen.add('gw-4')
         lan.run(60)
@@ -464,9 +464,9 @@
         self.assertEqual({'ALIVE'}, lan.states('gw-4'))
         self.assertEqual(lan.ids, lan.members['gw-4'].alive_ids())
 
-    def test_a_leaver_is_forgotten_in_the_end(self):
+    def test_a_left_member_is_removed_after_its_retention(self):
         lan = joined(3)
-        lan.tell('gw-2', membership.Leave(now=lan.now))
+        lan.handle('gw-2', membership.Leave(now=lan.now))
         lan.frozen.add('gw-2')
         lan.run(10)
         lan.now += membership.MEMORY_S
@@ -478,7 +478,7 @@
 
 class PartitionTest(unittest.TestCase):
     @params(4, 6, 8, 30)
-    def test_one_that_was_cut_off_disturbs_nobody(self, seconds):
+    def test_an_isolated_member_causes_no_suspicion_of_others(self, seconds):
         """Guards against mutual suspicion of all instances for some seconds.
 
         One instance is isolated, declares all others dead and reconnects. It
@@ -495,12 +495,12 @@
         self.assertEqual(lan.ids, lan.members['gw-4'].alive_ids())
         doubts = {
             (observer, of)
-            for observer, of, state in lan.beliefs_since(back)
+            for observer, of, state in lan.changes_since(back)
             if state != 'ALIVE' and 'gw-4' not in (observer, of)
         }
         self.assertEqual(set(), doubts)
 
-    def test_two_halves_meet_again(self):
+    def test_two_halves_of_a_partition_rejoin(self):
         """Guards against a partition that persists after the network heals.
 
         Each half has declared the other dead. Unless dead members are still
@@ -516,7 +516,7 @@
         for member in lan.members.values():
             self.assertEqual(lan.ids, member.alive_ids())
 
-    def test_one_cut_off_from_a_leave_learns_it_and_revives_nobody(self):
+    def test_a_leave_missed_in_isolation_is_received_and_final(self):
         """Guards against listing an instance that left for clients again.
 
         One instance is isolated while another leaves, and reconnects with
@@ -526,7 +526,7 @@
         lan = joined()
         lan.lost = cut_off('gw-4')
         lan.run(1)
-        lan.tell('gw-7', membership.Leave(now=lan.now))
+        lan.handle('gw-7', membership.Leave(now=lan.now))
         lan.frozen.add('gw-7')
         lan.run(3)
         lan.lost = lambda *message: False
@@ -534,7 +534,7 @@
         lan.run(20)
         self.assertEqual({'LEFT'}, lan.states('gw-7'))
         revived = {
-            b for b in lan.beliefs_since(back) if b[1:] == ('gw-7', 'ALIVE')
+            b for b in lan.changes_since(back) if b[1:] == ('gw-7', 'ALIVE')
         }
         self.assertEqual(set(), {b for b in revived if b[0] != 'gw-4'})
 
@@ -564,7 +564,9 @@
         ('LEFT', 1, 99),
         ('ALIVE', 2, 0),
     )
-    def test_old_news_changes_nothing(self, state, incarnation, revision):
+    def test_a_stale_update_changes_nothing(
+        self, state, incarnation, revision
+    ):
         lan = joined(3)
         lan.start('gw-2')
         lan.run(5)
@@ -573,12 +575,12 @@
     @params(('ALIVE',), ('SUSPECT',), ('DEAD',))
     def test_a_leave_is_final_in_its_incarnation(self, state):
         lan = joined(3)
-        lan.tell('gw-2', membership.Leave(now=lan.now))
+        lan.handle('gw-2', membership.Leave(now=lan.now))
         lan.frozen.add('gw-2')
         lan.run(1)
         self.check(lan, make_news(state, 1, 99), 'LEFT')
 
-    def test_a_death_by_hearsay_is_a_suspicion_first(self):
+    def test_a_death_reported_by_others_starts_as_a_suspicion(self):
         """Guards against one faulty instance removing others everywhere.
 
         Its verdict arrives at an instance whose probes the member answers.
@@ -595,7 +597,7 @@
         self.assertEqual(before.incarnation, after.incarnation)
         self.assertEqual(before.revision, after.revision)
 
-    def test_one_whose_id_another_process_took_is_told(self):
+    def test_a_process_whose_id_was_taken_over_is_notified(self):
         lan = joined(3)
         lan.gossip('gw-2', make_news('ALIVE', 2, 0))
         self.assertIn(
