--- a/dandeliongw/coordination/_cases.py
+++ b/dandeliongw/coordination/_cases.py
@@ -1,8 +1,9 @@
-"""Which calls ended backend servers, and what follows from it.
+"""The evidence on calls that crash backend servers, and its evaluation.
 
 The evidence on a call is a set of pairs (call, start of a backend server),
-and a set of those that don't count any more. Both only grow, so that any
-order and doubling of news ends in the same state at every instance.
+and a set of starts that no longer count against it. Both only grow, so
+instances converge to the same state whatever the order of reports, and
+however often they arrive.
 """
 
 from collections import abc
@@ -15,35 +16,38 @@
 from ._quarantine_messages import ReportedEnd
 from ._quarantine_messages import ReportedLift
 
-#: Ends that tell that a call is to blame. One may be chance, and of the calls
-#: that ran beside a bad one some run beside its next send, too.
+#: Crashes that quarantine a call. One may be a coincidence, and some of the
+#: calls that ran beside a bad one also run beside its next request.
 ENDS_TO_HOLD = 3
-#: ... where another call ran on each of these backend servers as well, or one
-#: that is held explains some of them.
+#: Crashes that quarantine a call if another call ran on each of these backend
+#: servers as well, or if a quarantined call explains some of the crashes.
 ENDS_TO_HOLD_IF_SHARED = 4
-#: ... and so many seconds between the first end and the last. A rack that
-#: loses power ends several servers at one moment, under all that they ran.
+#: Seconds that must then lie between the first crash and the last. A rack
+#: that loses power takes several servers down at one moment, under all calls
+#: that they were running.
 SPREAD_S = 0.3
-#: Seconds after its last end for which a call is held, doubled with each end
-#: more: one that was held wrongly, or was mended, gets a try now and then.
+#: Seconds of quarantine after the last crash, doubled with each further crash
+#: up to ``MAX_QUARANTINE_S``. It ends so that a call that was quarantined
+#: wrongly, or has been fixed, is tried again from time to time.
 HELD_S = 600.0
 MOST_HELD_S = 3600.0
-#: Seconds for which evidence is kept on a call that isn't held. Callers come
-#: again for as long as they wait, which is seconds; jobs, every few minutes.
+#: Seconds for which the evidence on a call with fewer crashes is retained.
+#: Interactive clients retry for as long as they wait, which is seconds; jobs
+#: retry every few minutes.
 KEPT_S = 600.0
-#: Calls of which evidence is kept, about 1 KB each.
+#: Maximum calls with evidence, about 1 KB each.
 MOST_CASES = 2_000
-#: Parts in which two instances compare what they have: what is told again is
-#: the part that differs.
+#: Groups into which calls are divided for comparison; two instances exchange
+#: only the groups whose checksums differ.
 BUCKETS = 16
 
 
 class End(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server ended under a call.
+    """A crash of a backend server while it ran a call.
 
-    :param ended_at: on this instance's clock.
-    :param told_by: the entry that saw it.
-    :param is_trial: whether the call was held, and tried just there.
+    :param ended_at: when, on this instance's clock.
+    :param told_by: the instance that observed it.
+    :param is_trial: whether the run was a trial of the quarantined call.
     """
 
     start: BackendStart
@@ -53,7 +57,7 @@
 
 
 class Lifted(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator released a call."""
+    """An operator lifted the quarantine of a call."""
 
     operator: str
     reason: str
@@ -63,7 +67,8 @@
 class Case(msgspec.Struct, kw_only=True):
     """The evidence on one call.
 
-    :param held_until: while it is held, when that ends; else ``None``.
+    :param cleared: starts whose crashes no longer count against the call.
+    :param held_until: when its quarantine ends; ``None`` if there is none.
     """
 
     fingerprint: str
@@ -76,7 +81,7 @@
 
     @property
     def counted(self) -> list[End]:
-        """The ends that count, in the order of time."""
+        """The crashes that count, oldest first."""
         found = [
             end
             for start, end in self.ends_by_start.items()
@@ -86,11 +91,11 @@
 
     @property
     def last_at(self) -> float:
-        """When the last backend server ended, counted or not."""
+        """When the last crash happened, whether or not it still counts."""
         return max(end.ended_at for end in self.ends_by_start.values())
 
     def report(self, now: float) -> CaseReport:
-        """Return all of it for another instance."""
+        """Return all evidence on the call, for another instance."""
         lift = self.lifted
         return CaseReport(
             fingerprint=self.fingerprint,
@@ -115,21 +120,21 @@
 
 
 class Cases:
-    """All evidence that an instance has."""
+    """All evidence of an instance."""
 
     def __init__(self) -> None:
         self.by_fingerprint: dict[str, Case] = {}
         self._fingerprints_by_start: dict[BackendStart, set[str]] = {}
-        #: Of all evidence; ``None`` after a change.
+        #: Cached result of ``checksums``; ``None`` after a change.
         self._checksums: tuple[int, ...] | None = None
 
     def count(self, fingerprint: str) -> int:
-        """Return how many servers ended under a call, counted or not."""
+        """Return the crashes under a call, whether or not they still count."""
         case = self.by_fingerprint.get(fingerprint)
         return 0 if case is None else len(case.ends_by_start)
 
     def size(self, fingerprint: str) -> int:
-        """Return how much is known of a call; it only grows."""
+        """Return the number of items of evidence on a call; it only grows."""
         case = self.by_fingerprint.get(fingerprint)
         if case is None:
             return 0
@@ -155,7 +160,7 @@
         known = self.size(report.fingerprint)
         for end in ends:
             self._add(case, end)
-        # A clearing may overtake the end that it is about.
+        # A clearing may arrive before the crash that it is about.
         case.cleared.update(report.cleared)
         if report.lift is not None and case.lifted is None:
             case.lifted = Lifted(
@@ -178,10 +183,10 @@
     def _is_over(
         self, now: float, report: CaseReport, ends: abc.Sequence[End]
     ) -> bool:
-        """Whether a report is of what would be forgotten at once.
+        """Return whether the retention time of a report is over.
 
-        Instances forget at slightly different times. Taken back from a
-        slower one, evidence would go round and never end.
+        Instances remove evidence at slightly different times. If they took
+        it back from a slower one, it would circulate for ever.
         """
         cleared = set(report.cleared)
         counted = sum(end.start not in cleared for end in ends)
@@ -189,12 +194,13 @@
         return now >= last_at + _kept_s(counted)
 
     def judge(self) -> dict[str, float]:
-        """Return the calls that are to be held, and until when.
+        """Return the calls to quarantine, each with the end of its quarantine.
 
-        An engine carries dozens of streams. Held against all of them alike,
-        a few sends of one bad call would get its neighbours refused. So the
-        first call that is held explains its ends, and the others are judged
-        by what is left, see :meth:`_are_enough`.
+        An engine runs dozens of streams. If its crash counted against all of
+        them alike, a few requests for one bad call would get the calls that
+        ran beside it refused. So the first call that is quarantined explains
+        its crashes, and the others are judged by the remaining ones, see
+        :meth:`_is_sufficient`.
         """
         until_by_fingerprint: dict[str, float] = {}
         explained: set[BackendStart] = set()
@@ -213,7 +219,7 @@
     def _first_to_hold(
         self, cases: abc.Sequence[Case], explained: set[BackendStart]
     ) -> tuple[Case, list[End]] | None:
-        """Return the call that was the first to end enough servers."""
+        """Return the first call to reach enough crashes, with these."""
         found = None
         for case in cases:
             ends = case.counted
@@ -229,17 +235,19 @@
     ) -> bool:
         own = [end for end in ends if end.start not in explained]
         if len(own) >= ENDS_TO_HOLD and not self._has_rival(case, own):
-            # Also at one moment: copies of a bad call may come at once, and
-            # the next ones would end the servers as they come back.
+            # Also if they happened at one moment: several requests for a bad
+            # call may arrive at once, and the next ones would crash the
+            # servers as soon as they are back.
             return True
         if not own or len(ends) < ENDS_TO_HOLD_IF_SHARED:
             return False
-        # What explains the others may itself be a neighbour of this one: it
-        # puts off the hold by one end, and not for as long as it explains.
+        # The call that explains the other crashes may itself only have run
+        # beside this one. Therefore it raises the limit by one crash and
+        # does not exclude this call for as long as it is quarantined.
         return ends[-1].ended_at - ends[0].ended_at >= SPREAD_S
 
     def _has_rival(self, case: Case, ends: abc.Sequence[End]) -> bool:
-        """Whether another call ran wherever this one did."""
+        """Return whether another call ran on every one of these servers."""
         with_each = [
             {
                 fingerprint
@@ -251,7 +259,7 @@
         return len(set.intersection(*with_each)) > 1
 
     def forget_old(self, now: float) -> None:
-        """Drop what is old, or too much."""
+        """Remove expired evidence, and calls in excess of the maximum."""
         old = [
             case
             for case in self.by_fingerprint.values()
@@ -261,7 +269,8 @@
             self._drop(case)
         surplus = len(self.by_fingerprint) - MOST_CASES
         if surplus > 0:
-            # By the set alone: two that have the same drop the same.
+            # Ranked by the evidence alone, so that instances with the same
+            # evidence remove the same calls.
             ranked = sorted(
                 self.by_fingerprint.values(),
                 key=lambda case: (len(case.counted), case.fingerprint),
@@ -279,7 +288,7 @@
                 del self._fingerprints_by_start[start]
 
     def checksums(self) -> tuple[int, ...]:
-        """Return a checksum of each part of the evidence."""
+        """Return one checksum per group of calls."""
         if self._checksums is None:
             self._checksums = self._sum_up()
         return self._checksums
@@ -294,21 +303,27 @@
 
 
 def bucket_of(fingerprint: str) -> int:
-    """Return the part that a call belongs to."""
+    """Return the group to which a call belongs."""
     return xxhash.xxh64_intdigest(fingerprint.encode()) % BUCKETS
 
 
 def _until(ends: abc.Sequence[End]) -> float:
-    """Return when a call may be tried again after these ends."""
+    """Return when the quarantine for these crashes ends."""
     held_s = HELD_S * 2 ** (len(ends) - ENDS_TO_HOLD)
     return ends[-1].ended_at + min(held_s, MOST_HELD_S)
 
 
 def _kept_s(counted: int) -> float:
-    """Return how long evidence is kept after the last end."""
+    """Return the seconds for which evidence is retained.
+
+    They count from the last crash.
+
+    :param counted: number of crashes that count against the call.
+    """
     if counted < ENDS_TO_HOLD:
         return KEPT_S
-    # One end more after the call was released holds it again, for longer.
+    # Longer than the quarantine, so that a further crash after the release
+    # quarantines the call again, and for longer.
     return 2 * MOST_HELD_S
 
 
--- a/dandeliongw/coordination/_quarantine_messages.py
+++ b/dandeliongw/coordination/_quarantine_messages.py
@@ -1,6 +1,7 @@
-"""What the quarantine takes in, gives out and sends.
+"""Events, effects and messages of the quarantine.
 
-All of it is re-exported by :mod:`.quarantine`, which tells the protocol.
+All of them are re-exported by :mod:`.quarantine`, which describes the
+protocol.
 """
 
 import msgspec
@@ -12,11 +13,12 @@
 
 
 class Ended(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server ended while it ran a call of this entry.
+    """A backend server crashed while it ran a call for this instance.
 
     :param fingerprint: of the call.
+    :param start: of the backend server that crashed.
     :param ended_at: when the run broke off, on this instance's clock.
-    :param is_trial: whether the call was held, and tried just there.
+    :param is_trial: whether the run was a trial of the quarantined call.
     """
 
     now: float
@@ -27,17 +29,17 @@
 
 
 class Succeeded(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server ran a call to its end and is still there."""
+    """A backend server completed a call and is still present."""
 
     now: float
     fingerprint: str
 
 
 class AskTrial(msgspec.Struct, frozen=True, kw_only=True):
-    """A send of a held call would go through, if no other one does.
+    """Requests a trial of a quarantined call.
 
-    :param ticket: of the :class:`.parts.Complete` that tells whether it may.
-        It may never come.
+    :param ticket: of the :class:`.parts.Complete` whose result is whether the
+        trial is granted. It may never arrive.
     """
 
     now: float
@@ -46,10 +48,10 @@
 
 
 class Lift(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator wants a call to be sent again.
+    """An operator lifts the quarantine of a call.
 
-    :param ticket: of the :class:`.parts.Complete` that tells whether
-        anything was known of the call.
+    :param ticket: of the :class:`.parts.Complete` whose result is whether
+        there is any evidence on the call.
     """
 
     now: float
@@ -60,7 +62,7 @@
 
 
 class SetPeers(msgspec.Struct, frozen=True, kw_only=True):
-    """These instances are there; all of them keep the same evidence."""
+    """The set of alive instances, which replicate the evidence."""
 
     now: float
     instance_ids: tuple[str, ...]
@@ -70,11 +72,11 @@
 
 
 class Quarantined(msgspec.Struct, frozen=True, kw_only=True):
-    """A call is not to be sent to any backend server from now on.
+    """A call was quarantined: it must not be sent to any backend server.
 
-    :param backend_ids: those that ended under it.
-    :param told_by: the entries that it ran through.
-    :param held_s: seconds until it may be tried again.
+    :param backend_ids: the backend servers that crashed under it.
+    :param told_by: the instances that forwarded it.
+    :param held_s: seconds until the quarantine ends.
     """
 
     fingerprint: str
@@ -84,7 +86,10 @@
 
 
 class Released(msgspec.Struct, frozen=True, kw_only=True):
-    """A call may be sent again."""
+    """The quarantine of a call ended.
+
+    :param why: the reason, for the log.
+    """
 
     fingerprint: str
     why: str
@@ -94,11 +99,11 @@
 
 
 class ReportedEnd(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server's end under a call, on its way.
+    """A crash of a backend server under a call, in a message.
 
-    :param age_s: since the end, when this was sent.
-    :param told_by: the entry that saw it.
-    :param is_trial: whether the call was held, and tried just there.
+    :param age_s: seconds from the crash to the sending of the message.
+    :param told_by: the instance that observed it.
+    :param is_trial: whether the run was a trial of the quarantined call.
     """
 
     start: BackendStart
@@ -108,7 +113,10 @@
 
 
 class ReportedLift(msgspec.Struct, frozen=True, kw_only=True):
-    """Who lifted a quarantine, on its way."""
+    """A lift of a quarantine by an operator, in a message.
+
+    :param age_s: seconds from the lift to the sending of the message.
+    """
 
     operator: str
     reason: str
@@ -116,9 +124,9 @@
 
 
 class CaseReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of one call, or a part of it.
+    """The evidence on one call, or a part of it.
 
-    :param cleared: ends that don't count any more.
+    :param cleared: starts whose crashes no longer count.
     """
 
     fingerprint: str
@@ -128,15 +136,17 @@
 
 
 class QuarantineNews(msgspec.Struct, frozen=True, kw_only=True):
-    """Evidence, to be added to what the receiver has."""
+    """Evidence for the receiver to merge into its own."""
 
     cases: tuple[CaseReport, ...]
 
 
 class QuarantineSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """Checksums of all that the sender has, for comparison.
+    """Checksums of the sender's evidence, for comparison.
 
-    :param is_answer: to a summary of the receiver; it is not answered.
+    :param checksums: one per group of calls.
+    :param is_answer: whether this answers a summary of the receiver, and so
+        is not answered itself.
     """
 
     checksums: tuple[int, ...]
@@ -144,9 +154,9 @@
 
 
 class TrialAsked(msgspec.Struct, frozen=True, kw_only=True):
-    """The sender has a send of a held call; may it go through?
+    """Requests a trial of a quarantined call for the sender.
 
-    :param ticket: of the answer.
+    :param ticket: identifies the answer.
     """
 
     fingerprint: str
@@ -154,11 +164,11 @@
 
 
 class TrialAnswered(msgspec.Struct, frozen=True, kw_only=True):
-    """A home's answer to :class:`TrialAsked`."""
+    """An aggregator's answer to :class:`TrialAsked`."""
 
     ticket: str
     is_granted: bool
 
 
-#: For the codec of whoever embeds this part.
+#: Message classes to register with the codec.
 MESSAGES = (QuarantineNews, QuarantineSummary, TrialAsked, TrialAnswered)
--- a/dandeliongw/coordination/_successes.py
+++ b/dandeliongw/coordination/_successes.py
@@ -1,17 +1,18 @@
-"""Which calls of an entry ran to their end a moment ago."""
+"""The calls that recently ran successfully through this instance."""
 
 import collections
 
-#: Seconds after a run that ended well in which an end of a backend server is
-#: not held against its call. Short, as a call may be harmless until a new
-#: version of the backend server is out.
+#: Seconds after a successful run of a call in which a crash does not count
+#: against it. Short, because a call may be harmless until a new version of
+#: the backend server is deployed.
 VOUCH_S = 1.0
-#: Seconds more for which a run is remembered: the news of an end comes late.
+#: Additional seconds for which a run is retained, because reports of crashes
+#: arrive late.
 LATE_S = 2.0
 
 
 class Successes:
-    """The last run of each call that ended well, forgotten after seconds."""
+    """The time of the last successful run of each call, for a few seconds."""
 
     def __init__(self) -> None:
         self._at_by_fingerprint: collections.OrderedDict[str, float] = (
@@ -19,7 +20,7 @@
         )
 
     def record(self, now: float, fingerprint: str) -> None:
-        """Take in that a run of a call ended well."""
+        """Record a successful run of a call."""
         held = self._at_by_fingerprint
         held[fingerprint] = now
         held.move_to_end(fingerprint)
@@ -27,6 +28,9 @@
             held.popitem(last=False)
 
     def vouches(self, fingerprint: str, ended_at: float) -> bool:
-        """Whether an end at that time is not to be held against a call."""
+        """Return whether a crash at that time does not count against a call.
+
+        :param ended_at: on this instance's clock.
+        """
         succeeded_at = self._at_by_fingerprint.get(fingerprint)
         return succeeded_at is not None and ended_at <= succeeded_at + VOUCH_S
--- a/dandeliongw/coordination/_trials.py
+++ b/dandeliongw/coordination/_trials.py
@@ -1,25 +1,27 @@
-"""Which send of a held call goes through, to learn whether it is to blame.
+"""Trials of quarantined calls, to find out whether they cause crashes.
 
-Several callers may send one call. Whoever sends it together with a call that
-ends backend servers brings ends upon it, and while it is held no run of it
-can end well and clear it. So one send at a time, of all entries, is let
-through: the first of the call's homes decides which.
+Several clients may send the same call. A client that sends it together with
+a call that crashes backend servers makes crashes count against it, and while
+it is quarantined no run can succeed and clear it. Therefore one request at a
+time, over all instances, is let through as a trial. The first of the call's
+aggregators decides which.
 """
 
 from ._cases import Case
 
-#: Seconds after a call's last end. By then the backend servers that ended are
-#: back: the trial may cost one, and should not cost the last.
+#: Seconds between a call's last crash and its trial. By then the crashed
+#: backend servers are back: the trial may cost one, but not the last one.
 TRIAL_AFTER_S = 10.0
-#: Seconds after which another trial may begin. A call that is to blame ends
-#: its server sooner; a caller may take the trial and leave.
+#: Seconds after which another trial may begin. A bad call crashes its server
+#: sooner than that, and the client of a trial may disconnect.
 TRIAL_S = 5.0
 
 
 def due_at(case: Case) -> float | None:
-    """Return when a held call may be tried; ``None`` if not before its time.
+    """Return when a trial of a quarantined call is due.
 
-    The end of a server under a trial tells that the call is to blame.
+    ``None`` if the call is not quarantined, or if a trial has crashed its
+    server: this proves the call bad, and it stays in quarantine to its end.
     """
     ends = case.counted
     if case.held_until is None or any(end.is_trial for end in ends):
@@ -28,13 +30,13 @@
 
 
 class TrialGrants:
-    """The trials that one home has let through."""
+    """The trials that this instance granted as an aggregator."""
 
     def __init__(self) -> None:
         self._until_by_fingerprint: dict[str, float] = {}
 
     def grant(self, now: float, case: Case) -> bool:
-        """Return whether a send of a call may go through, and note it."""
+        """Record a trial if one is due; return whether it is granted."""
         due = due_at(case)
         if due is None or now < due:
             return False
@@ -44,7 +46,7 @@
         return True
 
     def forget_old(self, now: float) -> None:
-        """Drop the trials that are over."""
+        """Remove the trials that are over."""
         self._until_by_fingerprint = {
             fingerprint: until
             for fingerprint, until in self._until_by_fingerprint.items()
--- a/dandeliongw/coordination/quarantine.py
+++ b/dandeliongw/coordination/quarantine.py
@@ -1,19 +1,26 @@
-"""Which calls are not sent to backend servers, since they end these.
-
-An entry that sees a backend server end under a call tells the call's homes,
-three instances that its fingerprint picks. There the ends that single entries
-saw add up, and from the second one on all are told at once: most calls that
-are near an end never see another. What is lost on the way, or missed by an
-instance that starts or was cut off, is found by comparing checksums with two
-others a second, which costs nothing while there is no evidence.
-
-Three ends of different starts hold a call back, unless they came at one
-moment, or another call explains them. A run that ends well clears what is
-known by then, and what ends a moment later. Nothing is kept on disk: after a
-loss of all instances a call has to end three backend servers anew.
-
-A held call has no runs that could clear it. One send at a time is let
-through, see :mod:`._trials`.
+"""Quarantine of calls that crash the backend servers that run them.
+
+A call is identified by the fingerprint of its content: retries of a client
+and identical requests of others are requests for the same call. A crash here
+is any unannounced end of a backend server while it runs a call.
+
+The instance that forwarded the request reports the crash to the call's
+aggregators, three instances chosen by the fingerprint. They combine the
+crashes reported by single instances, and from the second crash on the call's
+record is broadcast to all instances. It is not broadcast earlier because most
+calls that run during one crash never see another. Records that are lost on
+the way, or missed by an instance that was isolated or has just started, are
+found by comparing checksums with two other instances a second, which costs
+nothing while there is no evidence.
+
+Three crashes of different server starts quarantine a call, except where
+another call explains them or ran on the same servers; see :mod:`._cases`. A
+run that succeeds clears the crashes known by then, and those within a moment
+after it. Nothing is persisted: after a loss of all instances a call has to
+crash three backend servers again.
+
+A quarantined call has no runs that could clear it. Therefore one request at a
+time is let through as a trial, see :mod:`._trials`.
 """
 
 from collections import abc
@@ -70,27 +77,28 @@
     'TrialAsked',
 ]
 
-#: Seconds between two comparisons with others.
+#: Seconds between two checksum comparisons started by one instance.
 COMPARE_S = 1.0
-#: Instances that evidence is compared with at each.
+#: Instances with which checksums are compared each time.
 COMPARED = 2
-#: Instances that add up the ends of one call: one may be lost just then, and
-#: a datagram to another one.
+#: Instances that combine the crashes of one call. With three, one instance
+#: may be down and a datagram to another one may be lost.
 HOMES = 3
-#: Ends of one call from which on all instances are told. One engine that ends
-#: leaves one end each on dozens of calls; told to 200 instances each, they
-#: would take an entry's control loop tenths of a second.
+#: Crashes under one call from which on its record is broadcast. The crash of
+#: one engine counts against each of the dozens of calls it was running;
+#: sending each of them to 200 instances would block an instance's control
+#: loop for tenths of a second.
 ENDS_TO_TELL_ALL = 2
-#: Instances that one asks which has just started.
+#: Instances from which a newly started instance requests the evidence.
 ASKED_AT_START = 3
-#: Calls in one message, which is to fit in a datagram.
+#: Maximum calls in one message, so that it fits in a datagram.
 MOST_IN_MESSAGE = 4
 
 Effects = list[typing.Any]
 
 
 class Quarantine:
-    """The coordination part.
+    """The quarantine state machine; the module describes the protocol.
 
     :param instance_id: this instance.
     """
@@ -99,14 +107,15 @@
         self.instance_id = instance_id
         self._cases = Cases()
         self._grants = TrialGrants()
-        #: Runs of this entry that ended well, to be recorded here.
+        #: Recent successful runs that this instance forwarded; its owner
+        #: records them here.
         self.successes = Successes()
         self._peers: tuple[str, ...] = ()
         self._has_asked = False
         self._compare_at = 0.0
-        #: Ends under calls of this entry.
+        #: Crashes under calls forwarded by this instance.
         self.ends_seen = 0
-        #: Calls that are held back.
+        #: Number of calls in quarantine.
         self.held = 0
 
     # Accessors.
@@ -117,30 +126,30 @@
         return not self._cases.by_fingerprint
 
     def held_s(self, now: float, fingerprint: str) -> float:
-        """Return for how long a call is held back; 0 if it may be sent."""
+        """Return the seconds left of a call's quarantine, 0 without one."""
         case = self._cases.by_fingerprint.get(fingerprint)
         if case is None or case.held_until is None:
             return 0.0
         return max(0.0, case.held_until - now)
 
     def trial_at(self, fingerprint: str) -> float | None:
-        """Return when a send of a held call may be tried; see ``due_at``."""
+        """Return when a trial of a call is due; see ``due_at``."""
         case = self._cases.by_fingerprint.get(fingerprint)
         return None if case is None else due_at(case)
 
     def ends(self, fingerprint: str) -> list[End]:
-        """Return the ends that count against a call, in order of time."""
+        """Return the crashes that count against a call, oldest first."""
         case = self._cases.by_fingerprint.get(fingerprint)
         return [] if case is None else case.counted
 
     def cases(self) -> list[Case]:
-        """Return all evidence, for operators to read."""
+        """Return all records, for display to operators."""
         return list(self._cases.by_fingerprint.values())
 
-    # The part.
+    # Interface of a coordination part.
 
     def handle(self, event: typing.Any) -> Effects:
-        """Change state by an event and return effects, to do in order."""
+        """Apply an event; return the effects to perform, in order."""
         match event:
             case parts.Ticked():
                 return self._tick(event)
@@ -156,16 +165,18 @@
                 return self._on_lift(event)
             case SetPeers():
                 return self._on_peers(event)
-        raise TypeError(f'quarantine does not know {type(event).__name__}')
+        raise TypeError(
+            f'quarantine cannot handle event {type(event).__name__}'
+        )
 
     def restore(self, record: typing.Any) -> None:
-        """Do nothing: the others tell what they have."""
+        """Do nothing: other instances send their records at a start."""
 
     def snapshot(self) -> tuple[typing.Any, ...]:
-        """Return nothing to keep."""
+        """Return no records: the quarantine is not persisted."""
         return ()
 
-    # What happens here.
+    # Events of this instance.
 
     def _on_ended(self, event: Ended) -> Effects:
         self.ends_seen += 1
@@ -181,11 +192,11 @@
         return self._add_and_tell(event.now, report)
 
     def _on_succeeded(self, event: Succeeded) -> Effects:
-        """Clear a call of what ended beside it.
+        """Clear a call of the crashes known by now.
 
-        A call that took a backend server down by what it is would do it
-        again. An end that is known by now is cleared, see :meth:`_vouch` for
-        others.
+        A call that causes crashes would have crashed this server as well.
+        For crashes that are reported later see
+        :meth:`_clear_after_success`.
         """
         case = self._cases.by_fingerprint.get(event.fingerprint)
         if case is None or not case.counted:
@@ -200,7 +211,7 @@
         lift = ReportedLift(
             operator=event.operator, reason=event.reason, age_s=0.0
         )
-        # A second lift replaces the first in what is shown here.
+        # Reset so that ``merge`` records this lift instead of an earlier one.
         case.lifted = None
         report = _clearing(case, lift=lift)
         return [known, *self._add_and_tell(event.now, report)]
@@ -218,7 +229,11 @@
         return case is not None and self._grants.grant(now, case)
 
     def _add_and_tell(self, now: float, report: CaseReport) -> Effects:
-        """Add evidence of this instance's; tell those who need it now."""
+        """Add evidence found by this instance, and send the call's record.
+
+        It goes to all instances once there are enough crashes, otherwise to
+        the call's aggregators.
+        """
         out = self._add(now, (report,))
         fingerprint = report.fingerprint
         if self._cases.count(fingerprint) >= ENDS_TO_TELL_ALL:
@@ -233,7 +248,7 @@
         return [_send(each, news) for each in to if each != self.instance_id]
 
     def _homes(self, fingerprint: str) -> list[str]:
-        """Return the instances where the ends of a call add up."""
+        """Return the instances that combine the crashes of a call."""
         return heapq.nsmallest(
             HOMES,
             (*self._peers, self.instance_id),
@@ -243,8 +258,9 @@
         )
 
     def _add(self, now: float, reports: tuple[CaseReport, ...]) -> Effects:
-        """Add evidence, and tell what follows from it."""
-        # All of them are to be added, so no short cut at the first new one.
+        """Add evidence; return the effects that follow from it."""
+        # A list, because every report has to be merged; ``any`` over a
+        # generator would stop at the first new one.
         merged = [self._cases.merge(now, report) for report in reports]
         if not any(merged):
             return []
@@ -252,10 +268,11 @@
         return [*self._review(now), *told]
 
     def _vouch(self, now: float, reports: tuple[CaseReport, ...]) -> Effects:
-        """Clear calls of ends just after a run of this entry's ended well.
+        """Clear calls of crashes just after a successful run of theirs.
 
-        Who sends a bad call beside a harmless one ends servers under both;
-        the harmless one ran well elsewhere just before.
+        A client that sends a bad call and a harmless one to the same servers
+        crashes them under both; the harmless call succeeded elsewhere just
+        before. Only runs forwarded by this instance are considered.
         """
         out: Effects = []
         for fingerprint in {report.fingerprint for report in reports}:
@@ -267,8 +284,9 @@
                 fingerprint=fingerprint, ends=(), cleared=starts, lift=None
             )
             self._cases.merge(now, report)
-            # All entries that ran the call may vouch for it at a time, so
-            # that only the homes are told, which tell all of what is new.
+            # All instances that forwarded the call may clear it at the same
+            # time. So each notifies the aggregators only, and these broadcast
+            # what is new.
             out += self._tell(now, fingerprint, self._homes(fingerprint))
         return out
 
@@ -296,7 +314,7 @@
         )
         return out
 
-    # The others.
+    # Exchange with other instances.
 
     def _on_peers(self, event: SetPeers) -> Effects:
         self._peers = tuple(
@@ -304,7 +322,7 @@
         )
         if self._has_asked or not self._peers:
             return []
-        # What was learnt before this instance started, it has to ask for.
+        # Request the evidence collected before this instance started.
         self._has_asked = True
         summary = self._summary(is_answer=False)
         return [_send(to, summary) for to in self._peers[:ASKED_AT_START]]
@@ -324,7 +342,7 @@
         return []
 
     def _on_news(self, now: float, reports: tuple[CaseReport, ...]) -> Effects:
-        """Add what another instance knows; pass on what adds up here."""
+        """Add another instance's evidence; broadcast it as an aggregator."""
         sizes = {
             report.fingerprint: self._cases.size(report.fingerprint)
             for report in reports
@@ -342,7 +360,7 @@
         return out
 
     def _compare(self, event: parts.Received) -> Effects:
-        """Tell what the other one may lack, and ask for what is lacked."""
+        """Send the records that differ, and request those of the sender."""
         theirs = event.message.checksums
         mine = self._cases.checksums()
         if theirs == mine:
@@ -404,16 +422,16 @@
 
 
 def _released(case: Case) -> Released:
-    why = 'its time is over'
+    why = 'quarantine expired'
     if not case.counted:
-        why = 'a run ended well'
+        why = 'a run succeeded'
         if case.lifted is not None:
             why = f'lifted by {case.lifted.operator}: {case.lifted.reason}'
     return Released(fingerprint=case.fingerprint, why=why)
 
 
 def _clearing(case: Case, *, lift: ReportedLift | None) -> CaseReport:
-    """Return the report that clears a call of all its ends."""
+    """Return a report that clears a call of all crashes that count."""
     return CaseReport(
         fingerprint=case.fingerprint,
         ends=(),
@@ -423,5 +441,6 @@
 
 
 def _send(to: str, message: typing.Any) -> parts.Send:
-    # What is lost is found by comparing; a connection to each would cost more.
+    # A lost datagram is made up for by the checksum comparison. A connection
+    # to each instance would cost more.
     return parts.Send(to=to, message=message, by_datagram=True)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Calls that end backend servers: evidence, its spread, who is to blame."""
+"""Calls that crash backend servers: evidence, its spread, its evaluation."""
 
 import itertools
 import random
@@ -22,7 +22,7 @@
     data_classes=quarantine.MESSAGES, wire_modules=[quarantine_pb2]
 )
 BAD = 'bad'
-#: Seconds in which a change of the members has to be known everywhere.
+#: Seconds within which a change has to reach all instances.
 SETTLE_S = 3.0
 
 
@@ -33,7 +33,7 @@
 
 
 class One(unittest.TestCase):
-    """The base: the quarantine of one instance."""
+    """Base class: the quarantine of one instance."""
 
     def setUp(self):
         self.part = quarantine.Quarantine(instance_id='gw-1')
@@ -45,7 +45,7 @@
         return self.out
 
     def end(self, backend_id, *fingerprints, incarnation=1, after_s=1.0):
-        """Let a backend server end under calls."""
+        """Report the crash of a backend server under each of some calls."""
         self.now += after_s
         for fingerprint in fingerprints:
             self.handle(
@@ -66,7 +66,7 @@
 
 
 class BlameTest(One):
-    """What it takes to hold a call back, and what it doesn't."""
+    """Which evidence quarantines a call, and which does not."""
 
     def test_three_ends_hold_a_call(self):
         self.end('a', BAD)
@@ -88,7 +88,7 @@
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_rack_that_loses_power_holds_nothing(self):
-        """Failure: calls that did nothing are refused for minutes."""
+        """Guards against refusing harmless calls for minutes."""
         calls = [f'call-{number}' for number in range(50)]
         self.end('a', *calls)
         for backend_id in ('b', 'c', 'd'):
@@ -96,14 +96,14 @@
         self.assertFalse(any(self.held_s(each) for each in calls))
 
     def test_copies_at_one_moment_are_held(self):
-        """Failure: servers that come back end at once, again and again."""
+        """Guards against servers crashing again as soon as they are back."""
         self.end('a', BAD, 'near')
         for backend_id in ('b', 'c'):
             self.end(backend_id, BAD, after_s=0.02)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_copy_that_ends_well_clears_the_others(self):
-        """A harmless call that was polled everywhere when a rack was lost."""
+        """A harmless call may run on all servers of a rack that is lost."""
         self.end('a', BAD)
         for backend_id in ('b', 'c'):
             self.end(backend_id, BAD, after_s=0.02)
@@ -111,23 +111,26 @@
         (released,) = [
             each for each in self.out if isinstance(each, quarantine.Released)
         ]
-        self.assertEqual('a run ended well', released.why)
+        self.assertEqual('a run succeeded', released.why)
         self.assertEqual(0.0, self.held_s())
 
     def test_neighbours_of_a_bad_call_go_on(self):
-        """Failure: streams that ran beside a bad call are refused, too."""
+        """Guards against refusing calls that ran beside a bad one."""
         self.end('a', BAD, 'near', 'far')
         self.end('b', BAD, 'near')
         self.end('c', BAD)
         self.assertGreater(self.held_s(), 0.0)
-        # Its first two ends are explained by the bad call.
+        # The bad call explains its first two crashes.
         self.end('d', 'near')
         self.assertEqual(0.0, self.held_s('near'))
         self.end('e', 'near')
         self.assertGreater(self.held_s('near'), 0.0)
 
     def test_a_neighbour_that_is_held_hides_no_bad_call(self):
-        """Failure: a bad call ends five servers and more."""
+        """Guards against a bad call crashing five or more servers.
+
+        A quarantined call that ran beside it explains its first crashes.
+        """
         self.end('a', BAD, 'near')
         self.end('b', BAD, 'near')
         self.end('x', 'worse', 'near')
@@ -178,7 +181,7 @@
         self.assertTrue(self.part.is_empty)
 
     def test_what_is_old_elsewhere_is_not_taken_back(self):
-        """Failure: evidence goes round for ever."""
+        """Guards against evidence that circulates for ever."""
         end = quarantine.ReportedEnd(
             start=start('a'), age_s=_cases.KEPT_S, told_by='gw-2'
         )
@@ -190,7 +193,10 @@
         self.assertTrue(self.part.is_empty)
 
     def test_too_many_calls_push_out_those_with_the_fewest_ends(self):
-        """Failure: a bad call runs again, as others were made to look bad."""
+        """Guards against losing a bad call's evidence to a flood of others.
+
+        The bad call would run again.
+        """
         for backend_id in ('a', 'b', 'c'):
             self.end(backend_id, BAD)
         self.end('x', *(f'call-{n}' for n in range(_cases.MOST_CASES + 5)))
@@ -201,21 +207,22 @@
 
 
 class AttackTest(One):
-    """Callers who bring ends upon a call that is harmless, and not theirs.
+    """Clients that make crashes count against a harmless call of others.
 
-    Calls without an account are the same whoever sends them. A caller may
-    send a harmless one to the very servers that its own calls end.
+    Without an account, identical requests are the same call whoever sends
+    them. A client may send a harmless call to the very servers that its own
+    calls crash.
     """
 
-    #: Before the bad ones in every order by name.
+    #: Sorts before the names of the bad calls.
     NEAR = 'a harmless one'
 
     def run_well(self, fingerprint, before_s=0.2):
-        """Let a run end well, that long before the next end."""
+        """Record a successful run, that long before the next crash."""
         self.part.successes.record(self.now + 1.0 - before_s, fingerprint)
 
     def ask(self, fingerprint=NEAR):
-        """Ask for a trial; return whether it may be."""
+        """Request a trial; return whether it is granted."""
         event = quarantine.AskTrial(
             now=self.now, fingerprint=fingerprint, ticket='t'
         )
@@ -224,7 +231,7 @@
         return answer.result
 
     def end_beside(self, *backend_ids):
-        """Let servers end under bad calls, another one each time."""
+        """Report crashes under the harmless and a different bad call each."""
         for number, backend_id in enumerate(backend_ids):
             self.end(backend_id, f'bad-{number}', self.NEAR)
 
@@ -250,14 +257,14 @@
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_run_that_ended_long_before_does_not_count(self):
-        """A new version of the servers may end under what ran well before."""
+        """A new server version may crash under calls that succeeded before."""
         self.run_well(BAD, before_s=1.1)
         for backend_id in 'abc':
             self.end(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_run_that_ends_well_does_not_clear_the_next_ends(self):
-        """Of a call that ends servers from then on, two more at most."""
+        """A call that turns bad then crashes at most two more servers."""
         self.run_well(BAD, before_s=1.0)
         for backend_id in 'abc':
             self.end(backend_id, BAD, after_s=0.4)
@@ -283,7 +290,7 @@
         self.assertTrue(self.ask())
 
     def test_a_trial_whose_caller_leaves_is_not_the_last(self):
-        """Failure: who takes the trial and leaves has the call held on."""
+        """Guards against a client blocking trials by disconnecting."""
         self.end_beside('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
         self.assertTrue(self.ask())
@@ -317,7 +324,7 @@
 
 
 class LiftTest(One):
-    """An operator lets a call through again."""
+    """An operator lifts the quarantine of a call."""
 
     def lift(self, fingerprint):
         return self.handle(
@@ -340,7 +347,7 @@
         self.assertEqual(0.0, self.held_s())
         (case,) = self.part.cases()
         self.assertEqual('ann', case.lifted.operator)
-        # Three more ends hold it again.
+        # Three further crashes quarantine it again.
         for backend_id in ('d', 'e', 'f'):
             self.end(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
@@ -353,7 +360,7 @@
 class Entries(timeline.Timeline):
     """Instances on links that delay and lose messages.
 
-    :param loss: part of the messages that is lost.
+    :param loss: fraction of the messages that are lost.
     """
 
     def __init__(self, *, count: int, loss: float, seed: int) -> None:
@@ -427,7 +434,7 @@
 
 
 class SpreadTest(unittest.TestCase):
-    """Failure: a call goes on ending backend servers at other entries."""
+    """Guards against a call crashing servers through other instances."""
 
     def setUp(self):
         self.entries = Entries(count=80, loss=0.1, seed=7)
@@ -445,7 +452,7 @@
 
     @params(*range(20))
     def test_ends_at_one_moment_add_up_as_soon(self, seed):
-        """Failure: entries send a call for 3 s after its third end."""
+        """Guards against forwarding a call for 3 s after its third crash."""
         entries = Entries(count=80, loss=0.1, seed=seed)
         entries.run(2.0)
         for number in range(3):
@@ -455,7 +462,7 @@
         self.assertEqual([], entries.not_holding())
 
     def test_one_entry_of_all_tries_a_held_call(self):
-        """Failure: callers who come at once end all servers once more."""
+        """Guards against simultaneous requests crashing all servers again."""
         self.end_three()
         self.entries.run(_trials.TRIAL_AFTER_S + 1.0)
         for instance_id in self.entries.ids:
@@ -477,9 +484,10 @@
         self.assertEqual(80, len(self.entries.not_holding()))
 
     def test_all_entries_may_clear_a_call_at_a_time(self):
-        """Failure: control loops stand still after an end."""
+        """Guards against blocked control loops after a crash."""
         sent = self.entries.sent
-        # The homes would clear the first end, before others hear of it.
+        # The aggregators would clear the first crash before the others
+        # receive it.
         first = self.entries.parts_by_id['gw-0']
         others = set(self.entries.ids[2:]) - set(first._homes(BAD))
         for instance_id in others:
@@ -488,8 +496,9 @@
         for number in range(2):
             self.entries.end(f'gw-{number}', f'server-{number}')
         self.entries.run(0.5)
-        # Two ends and one clearing are each told to all by an entry and the
-        # homes; each entry tells the homes once, and compares with two.
+        # Two crashes and one clearing are each broadcast by an instance and
+        # the aggregators. Each instance notifies the aggregators once, and
+        # compares checksums with two others.
         homes = quarantine.HOMES
         most_an_entry = 3 * (1 + homes) + homes + 2 * quarantine.COMPARED
         self.assertLess(self.entries.sent - sent, most_an_entry * 80)
@@ -506,13 +515,13 @@
         self.assertEqual([], self.entries.not_holding())
 
     def test_an_entry_that_starts_asks_before_it_is_told(self):
-        """Failure: an entry sends a held call in its first second."""
+        """Guards against running a quarantined call right after a start."""
         entries = Entries(count=80, loss=0.0, seed=7)
         for number in range(3):
             entries.end(f'gw-{number}', f'server-{number}')
         entries.run(5.0)
         entries.begin('gw-40')
-        # There and back, of 80 ms each at most.
+        # A request and its answer, of at most 80 ms each.
         entries.run(0.17)
         self.assertEqual([], entries.not_holding())
 
@@ -526,7 +535,7 @@
         self.assertEqual([], self.entries.not_holding())
 
     def test_one_end_is_told_to_few(self):
-        """Failure: entries stand still for tenths of a second at each end."""
+        """Guards against blocking control loops for tenths of a second."""
         sent = self.entries.sent
         self.entries.end('gw-1', 'a')
         self.assertLessEqual(self.entries.sent - sent, quarantine.HOMES)
@@ -586,7 +595,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """News may come in any order, late and twice."""
+    """Reports may arrive in any order, late and more than once."""
 
     @hypothesis.given(reports=st.lists(_REPORTS, max_size=8), data=st.data())
     def test_order_and_doubles_change_nothing(self, reports, data):
