--- a/dandeliongw/coordination/_cases.py
+++ b/dandeliongw/coordination/_cases.py
@@ -18,25 +18,25 @@
 
 #: Crashes that quarantine a call. One may be a coincidence, and some of the
 #: calls that ran beside a bad one also run beside its next request.
-ENDS_TO_HOLD = 3
+CRASHES_TO_QUARANTINE = 3
 #: Crashes that quarantine a call if another call ran on each of these backend
 #: servers as well, or if a quarantined call explains some of the crashes.
-ENDS_TO_HOLD_IF_SHARED = 4
+CRASHES_TO_QUARANTINE_IF_SHARED = 4
 #: Seconds that must then lie between the first crash and the last. A rack
 #: that loses power takes several servers down at one moment, under all calls
 #: that they were running.
-SPREAD_S = 0.3
+MIN_CRASH_SPAN_S = 0.3
 #: Seconds of quarantine after the last crash, doubled with each further crash
 #: up to ``MAX_QUARANTINE_S``. It ends so that a call that was quarantined
 #: wrongly, or has been fixed, is tried again from time to time.
-HELD_S = 600.0
-MOST_HELD_S = 3600.0
+QUARANTINE_S = 600.0
+MAX_QUARANTINE_S = 3600.0
 #: Seconds for which the evidence on a call with fewer crashes is retained.
 #: Interactive clients retry for as long as they wait, which is seconds; jobs
 #: retry every few minutes.
-KEPT_S = 600.0
+EVIDENCE_RETENTION_S = 600.0
 #: Maximum calls with evidence, about 1 KB each.
-MOST_CASES = 2_000
+MAX_CASES = 2_000
 #: Groups into which calls are divided for comparison; two instances exchange
 #: only the groups whose checksums differ.
 BUCKETS = 16
@@ -153,7 +153,7 @@
         ]
         case = self.by_fingerprint.get(report.fingerprint)
         if case is None:
-            if not ends or self._is_over(now, report, ends):
+            if not ends or self._is_expired(now, report, ends):
                 return False
             case = Case(fingerprint=report.fingerprint)
             self.by_fingerprint[report.fingerprint] = case
@@ -180,7 +180,7 @@
         sharing = self._fingerprints_by_start.setdefault(end.start, set())
         sharing.add(case.fingerprint)
 
-    def _is_over(
+    def _is_expired(
         self, now: float, report: CaseReport, ends: abc.Sequence[End]
     ) -> bool:
         """Return whether the retention time of a report is over.
@@ -191,9 +191,9 @@
         cleared = set(report.cleared)
         counted = sum(end.start not in cleared for end in ends)
         last_at = max(end.ended_at for end in ends)
-        return now >= last_at + _kept_s(counted)
+        return now >= last_at + _retention_s(counted)
 
-    def judge(self) -> dict[str, float]:
+    def evaluate(self) -> dict[str, float]:
         """Return the calls to quarantine, each with the end of its quarantine.
 
         An engine runs dozens of streams. If its crash counted against all of
@@ -207,46 +207,48 @@
         left = [
             case
             for case in self.by_fingerprint.values()
-            if len(case.ends_by_start) >= ENDS_TO_HOLD
+            if len(case.ends_by_start) >= CRASHES_TO_QUARANTINE
         ]
-        while found := self._first_to_hold(left, explained):
+        while found := self._first_to_quarantine(left, explained):
             case, ends = found
             left.remove(case)
-            until_by_fingerprint[case.fingerprint] = _until(ends)
+            until_by_fingerprint[case.fingerprint] = _quarantine_until(ends)
             explained |= {end.start for end in ends}
         return until_by_fingerprint
 
-    def _first_to_hold(
+    def _first_to_quarantine(
         self, cases: abc.Sequence[Case], explained: set[BackendStart]
     ) -> tuple[Case, list[End]] | None:
         """Return the first call to reach enough crashes, with these."""
         found = None
         for case in cases:
             ends = case.counted
-            if not self._are_enough(case, ends, explained):
+            if not self._is_sufficient(case, ends, explained):
                 continue
-            rank = ends[ENDS_TO_HOLD - 1].ended_at, case.fingerprint
+            rank = ends[CRASHES_TO_QUARANTINE - 1].ended_at, case.fingerprint
             if found is None or rank < found[0]:
                 found = rank, case, ends
         return None if found is None else found[1:]
 
-    def _are_enough(
+    def _is_sufficient(
         self, case: Case, ends: abc.Sequence[End], explained: set[BackendStart]
     ) -> bool:
         own = [end for end in ends if end.start not in explained]
-        if len(own) >= ENDS_TO_HOLD and not self._has_rival(case, own):
+        if len(own) >= CRASHES_TO_QUARANTINE and not self._is_shared(
+            case, own
+        ):
             # Also if they happened at one moment: several requests for a bad
             # call may arrive at once, and the next ones would crash the
             # servers as soon as they are back.
             return True
-        if not own or len(ends) < ENDS_TO_HOLD_IF_SHARED:
+        if not own or len(ends) < CRASHES_TO_QUARANTINE_IF_SHARED:
             return False
         # The call that explains the other crashes may itself only have run
         # beside this one. Therefore it raises the limit by one crash and
         # does not exclude this call for as long as it is quarantined.
-        return ends[-1].ended_at - ends[0].ended_at >= SPREAD_S
+        return ends[-1].ended_at - ends[0].ended_at >= MIN_CRASH_SPAN_S
 
-    def _has_rival(self, case: Case, ends: abc.Sequence[End]) -> bool:
+    def _is_shared(self, case: Case, ends: abc.Sequence[End]) -> bool:
         """Return whether another call ran on every one of these servers."""
         with_each = [
             {
@@ -258,16 +260,16 @@
         ]
         return len(set.intersection(*with_each)) > 1
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove expired evidence, and calls in excess of the maximum."""
         old = [
             case
             for case in self.by_fingerprint.values()
-            if now >= case.last_at + _kept_s(len(case.counted))
+            if now >= case.last_at + _retention_s(len(case.counted))
         ]
         for case in old:
             self._drop(case)
-        surplus = len(self.by_fingerprint) - MOST_CASES
+        surplus = len(self.by_fingerprint) - MAX_CASES
         if surplus > 0:
             # Ranked by the evidence alone, so that instances with the same
             # evidence remove the same calls.
@@ -290,10 +292,10 @@
     def checksums(self) -> tuple[int, ...]:
         """Return one checksum per group of calls."""
         if self._checksums is None:
-            self._checksums = self._sum_up()
+            self._checksums = self._compute_checksums()
         return self._checksums
 
-    def _sum_up(self) -> tuple[int, ...]:
+    def _compute_checksums(self) -> tuple[int, ...]:
         sums = [0] * BUCKETS
         for case in self.by_fingerprint.values():
             bucket = bucket_of(case.fingerprint)
@@ -307,24 +309,24 @@
     return xxhash.xxh64_intdigest(fingerprint.encode()) % BUCKETS
 
 
-def _until(ends: abc.Sequence[End]) -> float:
+def _quarantine_until(ends: abc.Sequence[End]) -> float:
     """Return when the quarantine for these crashes ends."""
-    held_s = HELD_S * 2 ** (len(ends) - ENDS_TO_HOLD)
-    return ends[-1].ended_at + min(held_s, MOST_HELD_S)
+    held_s = QUARANTINE_S * 2 ** (len(ends) - CRASHES_TO_QUARANTINE)
+    return ends[-1].ended_at + min(held_s, MAX_QUARANTINE_S)
 
 
-def _kept_s(counted: int) -> float:
+def _retention_s(counted: int) -> float:
     """Return the seconds for which evidence is retained.
 
     They count from the last crash.
 
     :param counted: number of crashes that count against the call.
     """
-    if counted < ENDS_TO_HOLD:
-        return KEPT_S
+    if counted < CRASHES_TO_QUARANTINE:
+        return EVIDENCE_RETENTION_S
     # Longer than the quarantine, so that a further crash after the release
     # quarantines the call again, and for longer.
-    return 2 * MOST_HELD_S
+    return 2 * MAX_QUARANTINE_S
 
 
 def _items(case: Case) -> abc.Iterator[str]:
--- a/dandeliongw/coordination/_successes.py
+++ b/dandeliongw/coordination/_successes.py
@@ -5,10 +5,10 @@
 #: Seconds after a successful run of a call in which a crash does not count
 #: against it. Short, because a call may be harmless until a new version of
 #: the backend server is deployed.
-VOUCH_S = 1.0
+CLEARING_S = 1.0
 #: Additional seconds for which a run is retained, because reports of crashes
 #: arrive late.
-LATE_S = 2.0
+REPORT_DELAY_S = 2.0
 
 
 class Successes:
@@ -21,16 +21,18 @@
 
     def record(self, now: float, fingerprint: str) -> None:
         """Record a successful run of a call."""
-        held = self._at_by_fingerprint
-        held[fingerprint] = now
-        held.move_to_end(fingerprint)
-        while next(iter(held.values())) < now - VOUCH_S - LATE_S:
-            held.popitem(last=False)
+        times = self._at_by_fingerprint
+        times[fingerprint] = now
+        times.move_to_end(fingerprint)
+        while next(iter(times.values())) < now - CLEARING_S - REPORT_DELAY_S:
+            times.popitem(last=False)
 
-    def vouches(self, fingerprint: str, ended_at: float) -> bool:
+    def clears_crash(self, fingerprint: str, ended_at: float) -> bool:
         """Return whether a crash at that time does not count against a call.
 
         :param ended_at: on this instance's clock.
         """
         succeeded_at = self._at_by_fingerprint.get(fingerprint)
-        return succeeded_at is not None and ended_at <= succeeded_at + VOUCH_S
+        return (
+            succeeded_at is not None and ended_at <= succeeded_at + CLEARING_S
+        )
--- a/dandeliongw/coordination/_trials.py
+++ b/dandeliongw/coordination/_trials.py
@@ -45,7 +45,7 @@
         self._until_by_fingerprint[case.fingerprint] = now + TRIAL_S
         return True
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove the trials that are over."""
         self._until_by_fingerprint = {
             fingerprint: until
--- a/dandeliongw/coordination/quarantine.py
+++ b/dandeliongw/coordination/quarantine.py
@@ -80,19 +80,19 @@
 #: Seconds between two checksum comparisons started by one instance.
 COMPARE_S = 1.0
 #: Instances with which checksums are compared each time.
-COMPARED = 2
+COMPARE_FANOUT = 2
 #: Instances that combine the crashes of one call. With three, one instance
 #: may be down and a datagram to another one may be lost.
-HOMES = 3
+AGGREGATORS = 3
 #: Crashes under one call from which on its record is broadcast. The crash of
 #: one engine counts against each of the dozens of calls it was running;
 #: sending each of them to 200 instances would block an instance's control
 #: loop for tenths of a second.
-ENDS_TO_TELL_ALL = 2
+CRASHES_TO_BROADCAST = 2
 #: Instances from which a newly started instance requests the evidence.
-ASKED_AT_START = 3
+PEERS_AT_START = 3
 #: Maximum calls in one message, so that it fits in a datagram.
-MOST_IN_MESSAGE = 4
+MAX_CALLS_PER_MESSAGE = 4
 
 Effects = list[typing.Any]
 
@@ -111,7 +111,7 @@
         #: records them here.
         self.successes = Successes()
         self._peers: tuple[str, ...] = ()
-        self._has_asked = False
+        self._has_synced = False
         self._compare_at = 0.0
         #: Crashes under calls forwarded by this instance.
         self.ends_seen = 0
@@ -160,7 +160,7 @@
             case Succeeded():
                 return self._on_succeeded(event)
             case AskTrial():
-                return self._on_ask_trial(event)
+                return self._on_trial_wanted(event)
             case Lift():
                 return self._on_lift(event)
             case SetPeers():
@@ -189,7 +189,7 @@
         report = CaseReport(
             fingerprint=event.fingerprint, ends=(end,), cleared=(), lift=None
         )
-        return self._add_and_tell(event.now, report)
+        return self._add_and_send(event.now, report)
 
     def _on_succeeded(self, event: Succeeded) -> Effects:
         """Clear a call of the crashes known by now.
@@ -201,7 +201,7 @@
         case = self._cases.by_fingerprint.get(event.fingerprint)
         if case is None or not case.counted:
             return []
-        return self._add_and_tell(event.now, _clearing(case, lift=None))
+        return self._add_and_send(event.now, _clearing(case, lift=None))
 
     def _on_lift(self, event: Lift) -> Effects:
         case = self._cases.by_fingerprint.get(event.fingerprint)
@@ -214,21 +214,21 @@
         # Reset so that ``merge`` records this lift instead of an earlier one.
         case.lifted = None
         report = _clearing(case, lift=lift)
-        return [known, *self._add_and_tell(event.now, report)]
+        return [known, *self._add_and_send(event.now, report)]
 
-    def _on_ask_trial(self, event: AskTrial) -> Effects:
-        home = self._homes(event.fingerprint)[0]
-        if home == self.instance_id:
+    def _on_trial_wanted(self, event: AskTrial) -> Effects:
+        aggregator = self._aggregators(event.fingerprint)[0]
+        if aggregator == self.instance_id:
             is_granted = self._grant(event.now, event.fingerprint)
             return [parts.Complete(ticket=event.ticket, result=is_granted)]
         asked = TrialAsked(fingerprint=event.fingerprint, ticket=event.ticket)
-        return [parts.Send(to=home, message=asked)]
+        return [parts.Send(to=aggregator, message=asked)]
 
     def _grant(self, now: float, fingerprint: str) -> bool:
         case = self._cases.by_fingerprint.get(fingerprint)
         return case is not None and self._grants.grant(now, case)
 
-    def _add_and_tell(self, now: float, report: CaseReport) -> Effects:
+    def _add_and_send(self, now: float, report: CaseReport) -> Effects:
         """Add evidence found by this instance, and send the call's record.
 
         It goes to all instances once there are enough crashes, otherwise to
@@ -236,21 +236,26 @@
         """
         out = self._add(now, (report,))
         fingerprint = report.fingerprint
-        if self._cases.count(fingerprint) >= ENDS_TO_TELL_ALL:
-            return [*out, *self._tell(now, fingerprint, self._peers)]
-        return [*out, *self._tell(now, fingerprint, self._homes(fingerprint))]
+        if self._cases.count(fingerprint) >= CRASHES_TO_BROADCAST:
+            return [*out, *self._send_record(now, fingerprint, self._peers)]
+        return [
+            *out,
+            *self._send_record(
+                now, fingerprint, self._aggregators(fingerprint)
+            ),
+        ]
 
-    def _tell(
+    def _send_record(
         self, now: float, fingerprint: str, to: abc.Iterable[str]
     ) -> Effects:
         case = self._cases.by_fingerprint[fingerprint]
         news = QuarantineNews(cases=(case.report(now),))
         return [_send(each, news) for each in to if each != self.instance_id]
 
-    def _homes(self, fingerprint: str) -> list[str]:
+    def _aggregators(self, fingerprint: str) -> list[str]:
         """Return the instances that combine the crashes of a call."""
         return heapq.nsmallest(
-            HOMES,
+            AGGREGATORS,
             (*self._peers, self.instance_id),
             key=lambda each: xxhash.xxh64_intdigest(
                 f'{fingerprint} {each}'.encode()
@@ -264,10 +269,12 @@
         merged = [self._cases.merge(now, report) for report in reports]
         if not any(merged):
             return []
-        told = self._vouch(now, reports)
-        return [*self._review(now), *told]
+        clearings = self._clear_after_success(now, reports)
+        return [*self._update_quarantine(now), *clearings]
 
-    def _vouch(self, now: float, reports: tuple[CaseReport, ...]) -> Effects:
+    def _clear_after_success(
+        self, now: float, reports: tuple[CaseReport, ...]
+    ) -> Effects:
         """Clear calls of crashes just after a successful run of theirs.
 
         A client that sends a bad call and a harmless one to the same servers
@@ -277,7 +284,7 @@
         out: Effects = []
         for fingerprint in {report.fingerprint for report in reports}:
             case = self._cases.by_fingerprint.get(fingerprint)
-            starts = () if case is None else self._vouched(case)
+            starts = () if case is None else self._cleared_starts(case)
             if not starts:
                 continue
             report = CaseReport(
@@ -287,18 +294,20 @@
             # All instances that forwarded the call may clear it at the same
             # time. So each notifies the aggregators only, and these broadcast
             # what is new.
-            out += self._tell(now, fingerprint, self._homes(fingerprint))
+            out += self._send_record(
+                now, fingerprint, self._aggregators(fingerprint)
+            )
         return out
 
-    def _vouched(self, case: Case) -> tuple[BackendStart, ...]:
+    def _cleared_starts(self, case: Case) -> tuple[BackendStart, ...]:
         return tuple(
             end.start
             for end in case.counted
-            if self.successes.vouches(case.fingerprint, end.ended_at)
+            if self.successes.clears_crash(case.fingerprint, end.ended_at)
         )
 
-    def _review(self, now: float) -> Effects:
-        until_by_fingerprint = self._cases.judge()
+    def _update_quarantine(self, now: float) -> Effects:
+        until_by_fingerprint = self._cases.evaluate()
         out: Effects = []
         for fingerprint, case in self._cases.by_fingerprint.items():
             was = case.held_until
@@ -320,12 +329,12 @@
         self._peers = tuple(
             each for each in event.instance_ids if each != self.instance_id
         )
-        if self._has_asked or not self._peers:
+        if self._has_synced or not self._peers:
             return []
         # Request the evidence collected before this instance started.
-        self._has_asked = True
+        self._has_synced = True
         summary = self._summary(is_answer=False)
-        return [_send(to, summary) for to in self._peers[:ASKED_AT_START]]
+        return [_send(to, summary) for to in self._peers[:PEERS_AT_START]]
 
     def _receive(self, event: parts.Received) -> Effects:
         match event.message:
@@ -349,14 +358,14 @@
         }
         out = self._add(now, reports)
         for fingerprint, before in sizes.items():
-            adds_up = self._cases.count(fingerprint) >= ENDS_TO_TELL_ALL
+            is_enough = self._cases.count(fingerprint) >= CRASHES_TO_BROADCAST
             is_new = self._cases.size(fingerprint) > before
             if (
-                adds_up
+                is_enough
                 and is_new
-                and self.instance_id in self._homes(fingerprint)
+                and self.instance_id in self._aggregators(fingerprint)
             ):
-                out += self._tell(now, fingerprint, self._peers)
+                out += self._send_record(now, fingerprint, self._peers)
         return out
 
     def _compare(self, event: parts.Received) -> Effects:
@@ -372,22 +381,26 @@
         }
         out = [
             _send(event.sender, each)
-            for each in self._news(event.now, differing)
+            for each in self._record_messages(event.now, differing)
         ]
         if not event.message.is_answer:
             summary = self._summary(is_answer=True)
             out.append(_send(event.sender, summary))
         return out
 
-    def _news(self, now: float, buckets: set[int]) -> list[QuarantineNews]:
+    def _record_messages(
+        self, now: float, buckets: set[int]
+    ) -> list[QuarantineNews]:
         reports = [
             case.report(now)
             for case in self._cases.by_fingerprint.values()
             if bucket_of(case.fingerprint) in buckets
         ]
         return [
-            QuarantineNews(cases=tuple(reports[at : at + MOST_IN_MESSAGE]))
-            for at in range(0, len(reports), MOST_IN_MESSAGE)
+            QuarantineNews(
+                cases=tuple(reports[at : at + MAX_CALLS_PER_MESSAGE])
+            )
+            for at in range(0, len(reports), MAX_CALLS_PER_MESSAGE)
         ]
 
     def _summary(self, *, is_answer: bool) -> QuarantineSummary:
@@ -399,15 +412,15 @@
         if self.is_empty or event.now < self._compare_at:
             return []
         self._compare_at = event.now + COMPARE_S
-        out = self._review(event.now)
-        self._cases.forget_old(event.now)
-        self._grants.forget_old(event.now)
+        out = self._update_quarantine(event.now)
+        self._cases.remove_expired(event.now)
+        self._grants.remove_expired(event.now)
         if self.is_empty or not self._peers:
             return out
-        chance = random.Random(event.entropy)
-        count = min(COMPARED, len(self._peers))
+        source = random.Random(event.entropy)
+        count = min(COMPARE_FANOUT, len(self._peers))
         summary = self._summary(is_answer=False)
-        found = chance.sample(self._peers, count)
+        found = source.sample(self._peers, count)
         return [*out, *(_send(to, summary) for to in found)]
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -32,7 +32,7 @@
     )
 
 
-class One(unittest.TestCase):
+class SingleInstance(unittest.TestCase):
     """Base class: the quarantine of one instance."""
 
     def setUp(self):
@@ -65,10 +65,10 @@
         return self.part.held_s(self.now, fingerprint)
 
 
-class BlameTest(One):
+class SingleInstanceEvidenceTest(SingleInstance):
     """Which evidence quarantines a call, and which does not."""
 
-    def test_three_ends_hold_a_call(self):
+    def test_three_crashes_quarantine_a_call(self):
         self.end('a', BAD)
         self.end('b', BAD)
         self.assertEqual(0.0, self.held_s())
@@ -76,7 +76,7 @@
         (held,) = self.out
         self.assertEqual(('a', 'b', 'c'), held.backend_ids)
         self.assertEqual(('gw-1',), held.told_by)
-        self.assertEqual(_cases.HELD_S, self.held_s())
+        self.assertEqual(_cases.QUARANTINE_S, self.held_s())
         self.assertEqual(0.0, self.held_s('other'))
 
     def test_a_start_counts_once_and_the_next_start_again(self):
@@ -87,7 +87,7 @@
         self.end('a', BAD, incarnation=3)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_rack_that_loses_power_holds_nothing(self):
+    def test_a_rack_that_loses_power_quarantines_nothing(self):
         """Guards against refusing harmless calls for minutes."""
         calls = [f'call-{number}' for number in range(50)]
         self.end('a', *calls)
@@ -95,14 +95,14 @@
             self.end(backend_id, *calls, after_s=0.05)
         self.assertFalse(any(self.held_s(each) for each in calls))
 
-    def test_copies_at_one_moment_are_held(self):
+    def test_crashes_under_one_call_at_one_moment_quarantine_it(self):
         """Guards against servers crashing again as soon as they are back."""
         self.end('a', BAD, 'near')
         for backend_id in ('b', 'c'):
             self.end(backend_id, BAD, after_s=0.02)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_copy_that_ends_well_clears_the_others(self):
+    def test_a_successful_run_clears_simultaneous_crashes(self):
         """A harmless call may run on all servers of a rack that is lost."""
         self.end('a', BAD)
         for backend_id in ('b', 'c'):
@@ -114,7 +114,7 @@
         self.assertEqual('a run succeeded', released.why)
         self.assertEqual(0.0, self.held_s())
 
-    def test_neighbours_of_a_bad_call_go_on(self):
+    def test_calls_beside_a_bad_call_are_not_quarantined(self):
         """Guards against refusing calls that ran beside a bad one."""
         self.end('a', BAD, 'near', 'far')
         self.end('b', BAD, 'near')
@@ -126,7 +126,7 @@
         self.end('e', 'near')
         self.assertGreater(self.held_s('near'), 0.0)
 
-    def test_a_neighbour_that_is_held_hides_no_bad_call(self):
+    def test_a_quarantined_call_beside_a_bad_one_does_not_hide_it(self):
         """Guards against a bad call crashing five or more servers.
 
         A quarantined call that ran beside it explains its first crashes.
@@ -139,14 +139,14 @@
         self.end('d', BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_one_that_only_ran_beside_a_held_call_is_never_held(self):
+    def test_a_call_that_only_ran_beside_a_quarantined_one_is_not(self):
         for backend_id in ('a', 'b', 'c', 'd'):
             self.end(backend_id, BAD)
         for backend_id in ('a', 'b', 'c', 'd'):
             self.end(backend_id, 'near', after_s=0.0)
         self.assertEqual(0.0, self.held_s('near'))
 
-    def test_two_that_ran_at_the_same_places_get_one_try_more(self):
+    def test_two_calls_on_the_same_servers_need_one_more_crash(self):
         for backend_id in ('a', 'b', 'c'):
             self.end(backend_id, BAD, 'near')
         self.assertEqual([0.0, 0.0], [self.held_s(), self.held_s('near')])
@@ -154,7 +154,7 @@
         self.assertGreater(self.held_s(), 0.0)
         self.assertEqual(0.0, self.held_s('near'))
 
-    def test_a_run_to_the_end_clears_what_was_known(self):
+    def test_a_successful_run_clears_earlier_crashes(self):
         self.end('a', BAD)
         self.end('b', BAD)
         self.succeed(BAD)
@@ -164,26 +164,26 @@
         self.end('e', BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_held_call_is_tried_now_and_then_each_time_later(self):
+    def test_each_further_crash_doubles_the_quarantine(self):
         for backend_id in ('a', 'b', 'c'):
             self.end(backend_id, BAD)
-        self.now += _cases.HELD_S + 1.0
+        self.now += _cases.QUARANTINE_S + 1.0
         (released,) = self.handle(parts.Ticked(now=self.now, entropy=1))
         self.assertEqual(BAD, released.fingerprint)
         self.assertEqual(0.0, self.held_s())
         self.end('d', BAD)
-        self.assertEqual(2 * _cases.HELD_S, self.held_s())
+        self.assertEqual(2 * _cases.QUARANTINE_S, self.held_s())
 
-    def test_one_end_is_forgotten_soon(self):
+    def test_a_single_crash_expires(self):
         self.end('a', BAD)
-        self.now += _cases.KEPT_S
+        self.now += _cases.EVIDENCE_RETENTION_S
         self.handle(parts.Ticked(now=self.now, entropy=1))
         self.assertTrue(self.part.is_empty)
 
-    def test_what_is_old_elsewhere_is_not_taken_back(self):
+    def test_expired_evidence_is_not_accepted_again(self):
         """Guards against evidence that circulates for ever."""
         end = quarantine.ReportedEnd(
-            start=start('a'), age_s=_cases.KEPT_S, told_by='gw-2'
+            start=start('a'), age_s=_cases.EVIDENCE_RETENTION_S, told_by='gw-2'
         )
         report = quarantine.CaseReport(
             fingerprint=BAD, ends=(end,), cleared=(), lift=None
@@ -192,21 +192,21 @@
         self.handle(parts.Received(now=self.now, sender='gw-2', message=news))
         self.assertTrue(self.part.is_empty)
 
-    def test_too_many_calls_push_out_those_with_the_fewest_ends(self):
+    def test_calls_with_the_fewest_crashes_are_evicted_first(self):
         """Guards against losing a bad call's evidence to a flood of others.
 
         The bad call would run again.
         """
         for backend_id in ('a', 'b', 'c'):
             self.end(backend_id, BAD)
-        self.end('x', *(f'call-{n}' for n in range(_cases.MOST_CASES + 5)))
+        self.end('x', *(f'call-{n}' for n in range(_cases.MAX_CASES + 5)))
         self.now += quarantine.COMPARE_S
         self.handle(parts.Ticked(now=self.now, entropy=1))
-        self.assertEqual(_cases.MOST_CASES, len(self.part.cases()))
+        self.assertEqual(_cases.MAX_CASES, len(self.part.cases()))
         self.assertGreater(self.held_s(), 0.0)
 
 
-class AttackTest(One):
+class AttackTest(SingleInstance):
     """Clients that make crashes count against a harmless call of others.
 
     Without an account, identical requests are the same call whoever sends
@@ -221,7 +221,7 @@
         """Record a successful run, that long before the next crash."""
         self.part.successes.record(self.now + 1.0 - before_s, fingerprint)
 
-    def ask(self, fingerprint=NEAR):
+    def request_trial(self, fingerprint=NEAR):
         """Request a trial; return whether it is granted."""
         event = quarantine.AskTrial(
             now=self.now, fingerprint=fingerprint, ticket='t'
@@ -230,12 +230,12 @@
         self.assertEqual('t', answer.ticket)
         return answer.result
 
-    def end_beside(self, *backend_ids):
+    def crash_beside(self, *backend_ids):
         """Report crashes under the harmless and a different bad call each."""
         for number, backend_id in enumerate(backend_ids):
             self.end(backend_id, f'bad-{number}', self.NEAR)
 
-    def test_a_call_that_runs_well_elsewhere_is_never_held(self):
+    def test_a_call_that_succeeds_elsewhere_is_never_quarantined(self):
         for backend_id in 'abcdef':
             self.run_well(self.NEAR)
             self.end(backend_id, BAD, self.NEAR)
@@ -245,10 +245,10 @@
     def test_beside_one_bad_call_after_another(self):
         for round_ in range(3):
             self.run_well(self.NEAR)
-            self.end_beside(*(f'{each}{round_}' for each in 'abc'))
+            self.crash_beside(*(f'{each}{round_}' for each in 'abc'))
             self.assertEqual(0.0, self.held_s(self.NEAR))
 
-    def test_a_wave_at_one_moment_tells_the_two_apart(self):
+    def test_simultaneous_crashes_blame_only_the_bad_call(self):
         self.run_well(self.NEAR)
         self.end('a', BAD, self.NEAR)
         for backend_id in 'bc':
@@ -256,14 +256,14 @@
         self.assertEqual(0.0, self.held_s(self.NEAR))
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_run_that_ended_long_before_does_not_count(self):
+    def test_an_earlier_successful_run_does_not_clear_crashes(self):
         """A new server version may crash under calls that succeeded before."""
         self.run_well(BAD, before_s=1.1)
         for backend_id in 'abc':
             self.end(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_run_that_ends_well_does_not_clear_the_next_ends(self):
+    def test_a_successful_run_does_not_clear_later_crashes(self):
         """A call that turns bad then crashes at most two more servers."""
         self.run_well(BAD, before_s=1.0)
         for backend_id in 'abc':
@@ -272,35 +272,37 @@
         self.end('e', BAD, after_s=0.4)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_rare_call_is_tried_once_the_servers_are_back(self):
-        self.end_beside('a', 'b', 'c')
+    def test_a_rare_call_gets_a_trial_once_the_servers_are_back(self):
+        self.crash_beside('a', 'b', 'c')
         self.assertGreater(self.held_s(self.NEAR), 0.0)
-        self.assertFalse(self.ask())
+        self.assertFalse(self.request_trial())
         self.now = self.part.trial_at(self.NEAR)
         self.assertLess(self.now, 120.0)
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
         self.succeed(self.NEAR)
         self.assertEqual(0.0, self.held_s(self.NEAR))
 
-    def test_one_send_is_tried_at_a_time(self):
-        self.end_beside('a', 'b', 'c')
+    def test_one_trial_runs_at_a_time(self):
+        self.crash_beside('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
-        self.assertEqual([True, False, False], [self.ask() for _ in range(3)])
+        self.assertEqual(
+            [True, False, False], [self.request_trial() for _ in range(3)]
+        )
         self.now += _trials.TRIAL_S
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
 
-    def test_a_trial_whose_caller_leaves_is_not_the_last(self):
+    def test_a_trial_whose_client_disconnects_is_not_the_last(self):
         """Guards against a client blocking trials by disconnecting."""
-        self.end_beside('a', 'b', 'c')
+        self.crash_beside('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
         self.now += 6.0
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
 
-    def test_a_trial_that_ends_a_server_is_the_last(self):
-        self.end_beside('a', 'b', 'c')
+    def test_a_trial_that_crashes_a_server_is_the_last(self):
+        self.crash_beside('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
         self.handle(
             quarantine.Ended(
                 now=self.now,
@@ -312,18 +314,18 @@
         )
         self.assertIsNone(self.part.trial_at(self.NEAR))
         self.now += _trials.TRIAL_S
-        self.assertFalse(self.ask())
-        self.assertGreater(self.held_s(self.NEAR), _cases.HELD_S)
+        self.assertFalse(self.request_trial())
+        self.assertGreater(self.held_s(self.NEAR), _cases.QUARANTINE_S)
 
-    def test_what_is_not_held_is_not_tried(self):
+    def test_a_call_that_is_not_quarantined_gets_no_trial(self):
         self.end('a', self.NEAR)
         self.now += 60.0
         self.assertIsNone(self.part.trial_at(self.NEAR))
-        self.assertFalse(self.ask())
-        self.assertFalse(self.ask('unknown'))
+        self.assertFalse(self.request_trial())
+        self.assertFalse(self.request_trial('unknown'))
 
 
-class LiftTest(One):
+class LiftTest(SingleInstance):
     """An operator lifts the quarantine of a call."""
 
     def lift(self, fingerprint):
@@ -352,12 +354,12 @@
             self.end(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_call_that_nobody_knows(self):
+    def test_lifting_an_unknown_call(self):
         (known,) = self.lift('unknown')
         self.assertFalse(known.result)
 
 
-class Entries(timeline.Timeline):
+class Instances(timeline.Timeline):
     """Instances on links that delay and lose messages.
 
     :param loss: fraction of the messages that are lost.
@@ -425,7 +427,7 @@
             ),
         )
 
-    def not_holding(self) -> list[str]:
+    def not_quarantining(self) -> list[str]:
         return [
             each
             for each, part in self.parts_by_id.items()
@@ -437,137 +439,141 @@
     """Guards against a call crashing servers through other instances."""
 
     def setUp(self):
-        self.entries = Entries(count=80, loss=0.1, seed=7)
-        self.entries.run(2.0)
+        self.instances = Instances(count=80, loss=0.1, seed=7)
+        self.instances.run(2.0)
 
-    def end_three(self):
+    def crash_three(self):
         for number, backend_id in enumerate(('a', 'b', 'c')):
-            self.entries.end(f'gw-{number * 9}', backend_id)
-            self.entries.run(0.4)
+            self.instances.end(f'gw-{number * 9}', backend_id)
+            self.instances.run(0.4)
 
-    def test_ends_at_three_entries_add_up_at_all(self):
-        self.end_three()
-        self.entries.run(SETTLE_S - 0.4)
-        self.assertEqual([], self.entries.not_holding())
+    def test_crashes_seen_by_three_instances_add_up_everywhere(self):
+        self.crash_three()
+        self.instances.run(SETTLE_S - 0.4)
+        self.assertEqual([], self.instances.not_quarantining())
 
     @params(*range(20))
-    def test_ends_at_one_moment_add_up_as_soon(self, seed):
+    def test_simultaneous_crashes_add_up_as_soon(self, seed):
         """Guards against forwarding a call for 3 s after its third crash."""
-        entries = Entries(count=80, loss=0.1, seed=seed)
-        entries.run(2.0)
+        instances = Instances(count=80, loss=0.1, seed=seed)
+        instances.run(2.0)
         for number in range(3):
-            entries.end(f'gw-{number * 9}', f'server-{number}')
+            instances.end(f'gw-{number * 9}', f'server-{number}')
         # Two hops of 80 ms at most, and once more for what was lost.
-        entries.run(0.5)
-        self.assertEqual([], entries.not_holding())
+        instances.run(0.5)
+        self.assertEqual([], instances.not_quarantining())
 
-    def test_one_entry_of_all_tries_a_held_call(self):
+    def test_only_one_instance_gets_a_trial(self):
         """Guards against simultaneous requests crashing all servers again."""
-        self.end_three()
-        self.entries.run(_trials.TRIAL_AFTER_S + 1.0)
-        for instance_id in self.entries.ids:
-            self.entries.handle(
+        self.crash_three()
+        self.instances.run(_trials.TRIAL_AFTER_S + 1.0)
+        for instance_id in self.instances.ids:
+            self.instances.handle(
                 instance_id,
                 quarantine.AskTrial(
-                    now=self.entries.now, fingerprint=BAD, ticket='t'
+                    now=self.instances.now, fingerprint=BAD, ticket='t'
                 ),
             )
-        self.entries.run(0.5)
-        self.assertEqual(1, len(self.entries.granted))
+        self.instances.run(0.5)
+        self.assertEqual(1, len(self.instances.granted))
 
-    def test_one_entry_clears_what_ran_well_there(self):
-        self.entries.parts_by_id['gw-33'].successes.record(
-            self.entries.now, BAD
+    def test_an_instance_clears_a_call_that_succeeded_there(self):
+        self.instances.parts_by_id['gw-33'].successes.record(
+            self.instances.now, BAD
         )
-        self.end_three()
-        self.entries.run(0.5)
-        self.assertEqual(80, len(self.entries.not_holding()))
+        self.crash_three()
+        self.instances.run(0.5)
+        self.assertEqual(80, len(self.instances.not_quarantining()))
 
-    def test_all_entries_may_clear_a_call_at_a_time(self):
+    def test_all_instances_may_clear_a_call_at_the_same_time(self):
         """Guards against blocked control loops after a crash."""
-        sent = self.entries.sent
+        sent = self.instances.sent
         # The aggregators would clear the first crash before the others
         # receive it.
-        first = self.entries.parts_by_id['gw-0']
-        others = set(self.entries.ids[2:]) - set(first._homes(BAD))
+        first = self.instances.parts_by_id['gw-0']
+        others = set(self.instances.ids[2:]) - set(first._aggregators(BAD))
         for instance_id in others:
-            part = self.entries.parts_by_id[instance_id]
-            part.successes.record(self.entries.now, BAD)
+            part = self.instances.parts_by_id[instance_id]
+            part.successes.record(self.instances.now, BAD)
         for number in range(2):
-            self.entries.end(f'gw-{number}', f'server-{number}')
-        self.entries.run(0.5)
+            self.instances.end(f'gw-{number}', f'server-{number}')
+        self.instances.run(0.5)
         # Two crashes and one clearing are each broadcast by an instance and
         # the aggregators. Each instance notifies the aggregators once, and
         # compares checksums with two others.
-        homes = quarantine.HOMES
-        most_an_entry = 3 * (1 + homes) + homes + 2 * quarantine.COMPARED
-        self.assertLess(self.entries.sent - sent, most_an_entry * 80)
+        aggregators = quarantine.AGGREGATORS
+        most_an_entry = (
+            3 * (1 + aggregators) + aggregators + 2 * quarantine.COMPARE_FANOUT
+        )
+        self.assertLess(self.instances.sent - sent, most_an_entry * 80)
 
     def test_nothing_is_sent_while_there_is_no_evidence(self):
-        sent = self.entries.sent
-        self.entries.run(10.0)
-        self.assertEqual(sent, self.entries.sent)
+        sent = self.instances.sent
+        self.instances.run(10.0)
+        self.assertEqual(sent, self.instances.sent)
 
-    def test_an_entry_that_starts_learns_it(self):
-        self.end_three()
-        self.entries.begin('gw-40')
-        self.entries.run(SETTLE_S)
-        self.assertEqual([], self.entries.not_holding())
+    def test_a_restarted_instance_receives_the_evidence(self):
+        self.crash_three()
+        self.instances.begin('gw-40')
+        self.instances.run(SETTLE_S)
+        self.assertEqual([], self.instances.not_quarantining())
 
-    def test_an_entry_that_starts_asks_before_it_is_told(self):
+    def test_a_restarted_instance_requests_the_evidence_at_once(self):
         """Guards against running a quarantined call right after a start."""
-        entries = Entries(count=80, loss=0.0, seed=7)
+        instances = Instances(count=80, loss=0.0, seed=7)
         for number in range(3):
-            entries.end(f'gw-{number}', f'server-{number}')
-        entries.run(5.0)
-        entries.begin('gw-40')
+            instances.end(f'gw-{number}', f'server-{number}')
+        instances.run(5.0)
+        instances.begin('gw-40')
         # A request and its answer, of at most 80 ms each.
-        entries.run(0.17)
-        self.assertEqual([], entries.not_holding())
-
-    def test_entries_that_were_cut_off_learn_it(self):
-        self.entries.cut = {'gw-50', 'gw-51'}
-        self.end_three()
-        self.entries.run(5.0)
-        self.assertEqual(['gw-50', 'gw-51'], self.entries.not_holding())
-        self.entries.cut = set()
-        self.entries.run(SETTLE_S)
-        self.assertEqual([], self.entries.not_holding())
-
-    def test_one_end_is_told_to_few(self):
+        instances.run(0.17)
+        self.assertEqual([], instances.not_quarantining())
+
+    def test_isolated_instances_receive_the_evidence_later(self):
+        self.instances.cut = {'gw-50', 'gw-51'}
+        self.crash_three()
+        self.instances.run(5.0)
+        self.assertEqual(['gw-50', 'gw-51'], self.instances.not_quarantining())
+        self.instances.cut = set()
+        self.instances.run(SETTLE_S)
+        self.assertEqual([], self.instances.not_quarantining())
+
+    def test_a_single_crash_is_sent_to_the_aggregators_only(self):
         """Guards against blocking control loops for tenths of a second."""
-        sent = self.entries.sent
-        self.entries.end('gw-1', 'a')
-        self.assertLessEqual(self.entries.sent - sent, quarantine.HOMES)
-
-    def test_a_second_end_is_told_to_all(self):
-        self.entries.end('gw-1', 'a')
-        self.entries.run(0.1)
-        self.entries.end('gw-2', 'b')
-        self.entries.run(0.3)
-        told = [
+        sent = self.instances.sent
+        self.instances.end('gw-1', 'a')
+        self.assertLessEqual(
+            self.instances.sent - sent, quarantine.AGGREGATORS
+        )
+
+    def test_a_second_crash_is_broadcast(self):
+        self.instances.end('gw-1', 'a')
+        self.instances.run(0.1)
+        self.instances.end('gw-2', 'b')
+        self.instances.run(0.3)
+        informed = [
             each
-            for each, part in self.entries.parts_by_id.items()
+            for each, part in self.instances.parts_by_id.items()
             if any(len(case.counted) == 2 for case in part.cases())
         ]
         # A tenth of all messages is lost.
-        self.assertGreater(len(told), 60)
-
-    def test_evidence_that_all_have_costs_little(self):
-        self.end_three()
-        self.entries.run(5.0)
-        before = self.entries.sent_bytes
-        self.entries.run(10.0)
-        sent = (self.entries.sent_bytes - before) / 10.0 / 80
+        self.assertGreater(len(informed), 60)
+
+    def test_replicated_evidence_costs_little_traffic(self):
+        self.crash_three()
+        self.instances.run(5.0)
+        before = self.instances.sent_bytes
+        self.instances.run(10.0)
+        sent = (self.instances.sent_bytes - before) / 10.0 / 80
         self.assertLess(sent, 500.0)
 
-    def test_what_is_forgotten_does_not_go_round(self):
-        entries = Entries(count=8, loss=0.1, seed=7)
-        entries.end('gw-1', 'a')
-        entries.run(_cases.KEPT_S + 5.0)
+    def test_removed_evidence_does_not_circulate(self):
+        instances = Instances(count=8, loss=0.1, seed=7)
+        instances.end('gw-1', 'a')
+        instances.run(_cases.EVIDENCE_RETENTION_S + 5.0)
         left = [
             each
-            for each, part in entries.parts_by_id.items()
+            for each, part in instances.parts_by_id.items()
             if not part.is_empty
         ]
         self.assertEqual([], left)
@@ -609,10 +615,10 @@
         for fingerprint, case in first.by_fingerprint.items():
             other = second.by_fingerprint[fingerprint]
             self.assertEqual(case.cleared, other.cleared)
-        self.assertEqual(first.judge(), second.judge())
+        self.assertEqual(first.evaluate(), second.evaluate())
 
     @hypothesis.given(reports=st.lists(_REPORTS, max_size=8))
-    def test_a_report_of_all_brings_all(self, reports):
+    def test_a_full_report_transfers_all_evidence(self, reports):
         first, second = _cases.Cases(), _cases.Cases()
         for report in reports:
             first.merge(100.0, report)
