--- a/dandeliongw/coordination/_backends.py
+++ b/dandeliongw/coordination/_backends.py
@@ -1,14 +1,14 @@
-"""What a dispatching instance holds of each backend server.
+"""The table of backend servers at a dispatching instance.
 
 For each backend server the highest announcement and the highest leave are
 kept, ordered by ``(incarnation, sequence)``. It is present while the
-announcement is the higher one, its lease runs, and no other process has
-started at its address since. All of these only grow, so any order and
-doubling of messages ends in the same state.
+announcement is the higher of the two, its lease runs, and no other process
+has started at its address since. All of these only grow, so the state
+converges whatever the order of messages and however often they arrive.
 
-A renewal moves neither: one that overtakes a leave would otherwise make the
-leave look old, and a backend server that has left would get work until its
-last renewal has run out.
+A renewal raises neither. Otherwise a renewal that overtakes a leave would
+make the leave look stale, and a backend server that has left would receive
+work until the lease from its last renewal expires.
 """
 
 import math
@@ -25,33 +25,36 @@
 from ._presence_messages import CacheHints
 
 Stamp = tuple[int, int]
-#: Before all that a backend server can say.
+#: Lower than any stamp of a message of a backend server.
 NEVER: Stamp = (-1, -1)
-#: Seconds after the end of a lease in which its address is not given to a
-#: process with a lower incarnation.
+#: Seconds after the end of a lease during which the address of a backend
+#: server is not reassigned to a process with a lower incarnation.
 URL_MEMORY_S = 60.0
 #: Seconds after the end of a lease from which a lower incarnation counts as a
-#: new start: longer than heartbeats are late by. Incarnations may come from a
-#: clock that is put back while a backend server is down.
+#: new start. This is longer than heartbeats can be delayed. Incarnations may
+#: be derived from a clock that is set back while a backend server is down.
 LOWER_START_AFTER_S = 60.0
-#: Seconds between two looks for what may be forgotten.
+#: Seconds between two removals of expired entries.
 FORGET_PERIOD_S = 30.0
 
 
 def stamp(
     said: BackendAnnouncement | BackendRenewal | BackendDeparture,
 ) -> Stamp:
-    """Return the order of what one backend server said."""
+    """Return the key that orders the messages of one backend server."""
     return said.incarnation, said.sequence
 
 
 class Backend(msgspec.Struct, kw_only=True):
     """A backend server that was announced to this instance.
 
-    :param lease_until: seconds of this instance's own clock.
-    :param load: the last report, or ``None``.
-    :param load_at: when it was received first, on this instance's clock.
-    :param cache_gaps: times that cache events were lost.
+    :param lease_until: when its lease ends, on this instance's clock.
+    :param renewed: stamp of the last message that renewed it.
+    :param load: the last load report, or ``None``.
+    :param load_at: when an instance first received that report, on this
+        instance's clock.
+    :param next_cache_event: number that the next cache event should have.
+    :param cache_gaps: number of times that cache events were lost.
     """
 
     announcement: BackendAnnouncement
@@ -65,7 +68,11 @@
 
 
 class _Holder(msgspec.Struct, kw_only=True):
-    """The process that was the last to start at an address."""
+    """The process that was the last to start at an address.
+
+    :param rank: order of its start; see :meth:`Backends._rank`.
+    :param until: until when a process with a lower rank is refused.
+    """
 
     rank: tuple[int, int]
     backend_id: str
@@ -75,10 +82,12 @@
 class Backends:
     """The table of backend servers, their leases and the leaves.
 
-    :param lease_s: seconds without renewal after which one gets no work.
-    :param memory_s: seconds that leaves and expired ones are remembered.
-    :param outlasts_silence: whether leases stand still while no backend
-        server at all is heard of.
+    :param lease_s: seconds without renewal after which a backend server
+        receives no work.
+    :param memory_s: seconds for which leaves and expired backend servers are
+        retained.
+    :param outlasts_silence: whether leases are suspended while no message
+        about any backend server arrives.
     """
 
     def __init__(
@@ -95,8 +104,8 @@
         self._arrivals_by_id: dict[str, int] = {}
         self._arrivals = 0
         self._forget_at = 0.0
-        #: No lease ends before this. A renewal only puts its own end off, so
-        #: this is looked at anew no sooner than it comes.
+        #: Lower bound of the end of all running leases. Renewals only extend
+        #: leases, so it need not be recomputed before that time.
         self._next_end = math.inf
 
     def left(self, backend_id: str) -> Stamp:
@@ -106,11 +115,11 @@
     def forget_former(
         self, now: float, announcement: BackendAnnouncement
     ) -> None:
-        """Forget a start that has long been silent, if a lower one comes.
+        """Remove a start whose lease ended long ago, for a lower incarnation.
 
-        The clock of a backend server may be put back between two starts.
-        Held against the former start, the new one would be taken for an old
-        word of it and get no work for an hour.
+        The clock of a backend server may be set back between two starts.
+        Without this, announcements of the new start would be rejected as
+        stale, and it would receive no work for an hour.
         """
         backend_id = announcement.backend_id
         since = now - LOWER_START_AFTER_S
@@ -130,7 +139,11 @@
     def announce(
         self, now: float, announcement: BackendAnnouncement, age_s: float
     ) -> list[typing.Any]:
-        """Take an announcement, unless something newer is known."""
+        """Apply an announcement, unless a newer one is known.
+
+        :param age_s: seconds since its front last received a message of the
+            backend server; its lease counts from then.
+        """
         self.forget_former(now, announcement)
         replaced = self._claim_url(now, announcement)
         held = self.by_id.get(announcement.backend_id)
@@ -144,15 +157,15 @@
         backend = self._put(now, announcement, age_s, held)
         refreshed = self._refresh(now, backend)
         if not refreshed and backend.present and _is_altered(held, backend):
-            # It goes on under its id in another role, or with other slots.
-            # Without news of that its cell would send it the wrong work.
+            # The same start changed its role or its slots. Without this
+            # effect its cell would send it the wrong work.
             refreshed = [self._changed(backend, present=True)]
         return effects + replaced + refreshed
 
     def renew(
         self, now: float, renewal: BackendRenewal
     ) -> list[typing.Any] | None:
-        """Take a renewal; ``None`` when its announcement is not known."""
+        """Apply a renewal; return ``None`` if its announcement is unknown."""
         held = self.by_id.get(renewal.backend_id)
         if held is None or held.announcement.incarnation < renewal.incarnation:
             has_left = stamp(renewal) <= self.left(renewal.backend_id)
@@ -174,7 +187,7 @@
     def leave(
         self, now: float, departure: BackendDeparture
     ) -> list[typing.Any]:
-        """Take a leave and remember it."""
+        """Apply a leave and retain it."""
         backend_id = departure.backend_id
         if stamp(departure) <= self.left(backend_id):
             return []
@@ -184,12 +197,12 @@
         return [] if held is None else self._refresh(now, held)
 
     def hear(self, now: float) -> None:
-        """Note that news of some backend server came.
+        """Record that a message about some backend server arrived.
 
-        Before this all may have been silent, for what carries their
-        heartbeats was down. Nothing is known to have ended meanwhile: the
-        leases go on from where they stood, or all that is there would look
-        gone until each has been heard of again.
+        There may have been none before it because whatever carries the
+        heartbeats was down. No backend server is known to have ended in that
+        time, so the leases resume from where they were suspended. Otherwise
+        all backend servers would be absent until the next renewal of each.
         """
         silent_s = self._silent_s(now)
         self._heard_at = now
@@ -198,13 +211,13 @@
                 backend.lease_until += silent_s
 
     def _silent_s(self, now: float) -> float:
-        """Return for how long leases have been standing still."""
+        """Return for how many seconds leases have been suspended."""
         if self._heard_at is None:
             return 0.0
         return max(0.0, now - self._heard_at - self._quiet_s)
 
     def expire(self, now: float) -> list[typing.Any]:
-        """End the leases that have run out; forget what is old enough."""
+        """End expired leases; remove entries whose retention is over."""
         effects = []
         if now >= self._next_end:
             effects = self._end_leases(now)
@@ -235,7 +248,7 @@
         self._forget_urls(now)
 
     def may_work(self, backend: Backend, now: float) -> bool:
-        """Return whether it may get work at this moment."""
+        """Return whether a backend server may receive work now."""
         announcement = backend.announcement
         return (
             stamp(announcement) > self.left(announcement.backend_id)
@@ -271,10 +284,10 @@
     def _claim_url(
         self, now: float, announcement: BackendAnnouncement
     ) -> list[typing.Any]:
-        """Give the address to the process that was the last to start there.
+        """Assign an address to the process that was the last to start there.
 
-        Another process may start under the address of one that died. An old
-        announcement of the dead one would send its requests to a process
+        A process may start at the address of one that died. Otherwise an old
+        announcement of the dead process would send its requests to a process
         that serves something else.
         """
         holder = self._holders_by_url.get(announcement.url)
@@ -290,7 +303,7 @@
         return [] if former is None else self._refresh(now, former)
 
     def _give_up_url(self, backend: Backend) -> None:
-        """Free the address of one that is forgotten, if it still has it."""
+        """Release the address of a removed backend server if it has it."""
         url = backend.announcement.url
         holder = self._holders_by_url.get(url)
         if holder is not None and holder.backend_id == (
@@ -299,11 +312,12 @@
             del self._holders_by_url[url]
 
     def _rank(self, announcement: BackendAnnouncement) -> tuple[int, int]:
-        """Return who started later, as far as that can be told.
+        """Return the key that orders the starts at an address.
 
-        Some backend servers get a new id at each start and count no
-        incarnations: of these the one that was heard of last started last.
-        A late announcement of the one before it is no news of that id.
+        Some backend servers get a new id at each start and send no
+        incarnations. Of these, the one whose id was first received last is
+        taken to have started last. A late announcement of an earlier one does
+        not change this, since its id is known already.
         """
         backend_id = announcement.backend_id
         if backend_id not in self._arrivals_by_id:
@@ -355,7 +369,10 @@
 
 
 def _hints(backend: Backend, batch: CacheEvents) -> list[CacheHints]:
-    """Return the new events; a gap makes old hints stale, it is no error."""
+    """Return the new cache events as hints.
+
+    A gap in their numbers makes earlier hints stale; it is not an error.
+    """
     expected = backend.next_cache_event
     events = batch.events[max(0, expected - batch.first) :]
     after_gap = batch.first > expected
--- a/dandeliongw/coordination/_presence_messages.py
+++ b/dandeliongw/coordination/_presence_messages.py
@@ -1,6 +1,6 @@
-"""What presence takes in, gives out and sends.
+"""Events, effects and messages of presence.
 
-All of it is re-exported by :mod:`.presence`, which tells the protocol.
+All of them are re-exported by :mod:`.presence`, which describes the protocol.
 """
 
 import enum
@@ -9,7 +9,7 @@
 
 
 class BackendRole(enum.StrEnum):
-    """What a backend server does."""
+    """The kind of work that a backend server does."""
 
     PREFILL = 'prefill'
     DECODE = 'decode'
@@ -17,7 +17,7 @@
 
 
 class CacheEventKind(enum.StrEnum):
-    """What became of a prefix in an engine's cache."""
+    """The change of a prefix in an engine's cache."""
 
     STORED = 'stored'
     EVICTED = 'evicted'
@@ -27,12 +27,13 @@
     """The answer to a backend server."""
 
     ACCEPTED = 'accepted'
-    #: This instance does not know it: it has to announce itself here.
+    #: Unknown at this instance: it has to announce itself here.
     ANNOUNCE_AGAIN = 'announce_again'
-    #: Something newer was said already, perhaps by a later process.
+    #: A newer message was received before, perhaps of a later process.
     OLD = 'old'
-    #: It said this before it left. Only what has a higher sequence or
-    #: incarnation than the leave, an announcement first, brings it back.
+    #: The message precedes the backend server's leave. It becomes present
+    #: again only by an announcement with a higher sequence or incarnation
+    #: than the leave.
     LEFT = 'left'
 
 
@@ -50,12 +51,12 @@
 
 
 class BackendAnnouncement(msgspec.Struct, frozen=True, kw_only=True):
-    """What a backend server says of itself.
+    """What a backend server publishes about itself.
 
-    :param incarnation: grows at every start of it.
-    :param sequence: grows with all that it says in one incarnation.
-    :param slots: requests that it runs at once.
-    :param checks_fence: it refuses orders with an old fencing number.
+    :param incarnation: grows at every start.
+    :param sequence: grows with every message within one incarnation.
+    :param slots: maximum number of requests that it runs concurrently.
+    :param checks_fence: whether it rejects orders with a stale fencing token.
     """
 
     backend_id: str
@@ -70,7 +71,7 @@
 
 
 class BackendLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """A load report; it lags."""
+    """A load report; it may be out of date."""
 
     running: int
     waiting: int
@@ -87,9 +88,9 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True, kw_only=True):
-    """Changes in order.
+    """Changes in an engine's prefix cache, in order.
 
-    :param first: number of the first of them; numbers grow by one.
+    :param first: number of the first event; numbers grow by one.
     """
 
     first: int
@@ -97,9 +98,10 @@
 
 
 class BackendRenewal(msgspec.Struct, frozen=True, kw_only=True):
-    """A renewal on its way.
+    """A renewal in a message between instances.
 
-    :param age_s: seconds since an instance received it, when it was sent on.
+    :param age_s: seconds from its receipt by the front until it was
+        forwarded.
     """
 
     backend_id: str
@@ -111,7 +113,7 @@
 
 
 class BackendDeparture(msgspec.Struct, frozen=True, kw_only=True):
-    """A leave on its way."""
+    """A leave in a message between instances."""
 
     backend_id: str
     incarnation: int
@@ -124,7 +126,8 @@
 class Announced(msgspec.Struct, frozen=True, kw_only=True):
     """A backend server announced itself to this instance over HTTP.
 
-    :param ticket: of the :class:`.parts.Complete` with the outcome.
+    :param ticket: of the :class:`.parts.Complete` whose result is the
+        :class:`PresenceOutcome`.
     """
 
     now: float
@@ -145,9 +148,9 @@
 
 
 class Left(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server told this instance over HTTP that it leaves.
+    """A backend server notified this instance over HTTP that it leaves.
 
-    :param incarnation: the start that leaves; ``None`` if it did not say.
+    :param incarnation: of the start that leaves; ``None`` if not given.
     """
 
     now: float
@@ -158,10 +161,10 @@
 
 
 class Forward(msgspec.Struct, frozen=True, kw_only=True):
-    """What a backend server says here goes to these instances from now on.
+    """Sets the instances to which a backend server's messages are forwarded.
 
-    To be given after each accepted announcement and whenever the instances
-    that dispatch to it change.
+    Posted after each accepted announcement and whenever the instances that
+    dispatch to the backend server change.
     """
 
     now: float
@@ -170,7 +173,7 @@
 
 
 class SetInstances(msgspec.Struct, frozen=True, kw_only=True):
-    """These instances are alive; each is told of every leave."""
+    """Sets the alive instances, to each of which every leave is sent."""
 
     now: float
     instance_ids: tuple[str, ...]
@@ -180,7 +183,7 @@
 
 
 class BackendChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server may get work from now on, or may not any more."""
+    """A backend server became present or absent, or altered while present."""
 
     backend_id: str
     incarnation: int
@@ -188,10 +191,10 @@
 
 
 class CacheHints(msgspec.Struct, frozen=True, kw_only=True):
-    """What a backend server's cache holds, as a hint.
+    """Changes in the prefix cache of a backend server, as a hint.
 
-    :param after_gap: events before these were lost, so that what was known
-        of this cache is stale.
+    :param after_gap: whether earlier events were lost, so that the known
+        contents of this cache are stale.
     """
 
     backend_id: str
@@ -204,24 +207,28 @@
 
 
 class Presented(msgspec.Struct, frozen=True, kw_only=True):
-    """An announcement, to an instance that dispatches."""
+    """An announcement, forwarded to a dispatching instance.
+
+    :param age_s: seconds since the front last received a message of the
+        backend server.
+    """
 
     announcement: BackendAnnouncement
     age_s: float
 
 
 class PresenceBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Renewals, and leaves that the receiver must know before any of them."""
+    """Renewals, and leaves that the receiver must apply before any of them."""
 
     renewals: tuple[BackendRenewal, ...]
     departures: tuple[BackendDeparture, ...]
 
 
 class PresenceUnknown(msgspec.Struct, frozen=True, kw_only=True):
-    """Renewals of these came, but never an announcement."""
+    """Reports renewals of backend servers without a known announcement."""
 
     backend_ids: tuple[str, ...]
 
 
-#: For the codec of whoever embeds this part.
+#: Message classes to register with the codec.
 MESSAGES = (Presented, PresenceBatch, PresenceUnknown)
--- a/dandeliongw/coordination/presence.py
+++ b/dandeliongw/coordination/presence.py
@@ -1,14 +1,15 @@
-"""Which backend servers may get work.
-
-A backend server announces itself to any instance, renews about once a
-second, and says when it leaves. The instance that hears it passes this on
-to those that dispatch to it. Presence at a dispatching instance is a short
-lease on that instance's own clock: without renewal it ends, so that neither
-a crash nor a partition leaves work going to a server that is gone.
-
-A leave goes at once to every instance and is repeated, also with every
-batch of renewals for a while; it is remembered longer than any old
-announcement can travel, so that none can bring the server back.
+"""Presence of backend servers: which of them may receive work.
+
+A backend server announces itself to any instance, sends it a renewal about
+once a second, and notifies it when it leaves. That instance, the backend
+server's front, forwards all of this to the instances that dispatch work to
+it. At a dispatching instance, presence is a short lease on that instance's
+own clock. Without renewals the lease expires, so that neither a crash nor a
+partition leaves work going to a server that is gone.
+
+A leave is sent to every instance at once and repeated, also with every batch
+of renewals for a while. It is retained for longer than an old announcement
+can be in transit, so that none can make the server present again.
 """
 
 from collections import abc
@@ -68,31 +69,33 @@
     'SetInstances',
 ]
 
-#: Seconds without renewal after which a backend server gets no work.
+#: Seconds without renewal after which a backend server receives no work.
 LEASE_S = 3.0
-#: Seconds that leaves are remembered. A message waits a few seconds in a
-#: queue of ours, but minutes in a connection that went silent and came back.
+#: Seconds for which leaves are retained. A message may wait a few seconds in
+#: one of our queues, but minutes in a connection that stalls and recovers.
 MEMORY_S = 3600.0
-#: Seconds that renewals wait for others to the same instance.
+#: Seconds for which renewals to the same instance are collected in a batch.
 BATCH_S = 0.2
-#: Seconds after which a silent backend server has to announce itself again.
+#: Seconds without a renewal after which the front requires a new announcement.
 FRONT_MEMORY_S = 60.0
-#: Seconds from the first word of a new start in which a leave that names none
-#: is taken for a late one of the start before. Estimate: what a backend server
-#: says may arrive some seconds late.
+#: Seconds from the first announcement of a new start in which a leave without
+#: an incarnation is attributed to the start before. Messages of a backend
+#: server may arrive some seconds late.
 LATE_LEAVE_S = 5.0
-#: Of a leave of a backend server that is not known here and names no start.
+#: Incarnation of a leave without one, by an unknown backend server.
 _ONLY_INCARNATION = 0
-#: Seconds after a leave in which every batch repeats it.
+#: Seconds after a leave during which every batch of renewals repeats it.
 REPEAT_S = 10.0
-#: Seconds after a leave at which all instances are told again.
+#: Seconds after a leave at which it is sent to all instances again.
 TELL_AGAIN_S = (1.0, 3.0)
 
 
 class _Front(msgspec.Struct, kw_only=True):
-    """A backend server that talks to this instance.
+    """A backend server whose front is this instance.
 
-    :param last: stamp of what it said last.
+    :param heard_at: when its last message was received.
+    :param last: stamp of its last message.
+    :param to: instances to which its messages are forwarded.
     """
 
     announcement: BackendAnnouncement
@@ -102,10 +105,12 @@
 
 
 class _Successor(msgspec.Struct, frozen=True, kw_only=True):
-    """A start of a backend server that came after another of the same id.
+    """A restart of a backend server under the same id.
 
+    :param incarnation: of the new start.
     :param former: incarnation of the start before.
-    :param since: when this instance first heard of the new one.
+    :param since: when this instance received the first announcement of the
+        new one.
     """
 
     incarnation: int
@@ -114,17 +119,18 @@
 
 
 class _Renewal(msgspec.Struct, kw_only=True):
-    """A renewal that waits for its batch."""
+    """A renewal to be sent with the next batch."""
 
     renewal: BackendRenewal
     received_at: float
 
 
 class _Departure(msgspec.Struct, kw_only=True):
-    """A leave that is still repeated.
+    """A leave that is still being repeated.
 
-    :param tell_at: when to tell all instances again; empty where another
-        instance heard it first.
+    :param until: when to stop including it in batches.
+    :param tell_at: when to send it to all instances again; empty if another
+        instance received it first.
     """
 
     departure: BackendDeparture
@@ -133,13 +139,14 @@
 
 
 class Presence:
-    """The coordination part, at the hearing and at the dispatching end.
+    """The presence state machine, for the front and the dispatching side.
 
     :param instance_id: this instance.
-    :param lease_s: seconds of a presence without renewal.
-    :param memory_s: seconds that leaves are remembered.
-    :param outlasts_silence: whether leases stand still while nothing is
-        heard of any backend server, as the path of all heartbeats is down.
+    :param lease_s: seconds without renewal after which presence ends.
+    :param memory_s: seconds for which leaves are retained.
+    :param outlasts_silence: whether leases are suspended while no renewals
+        arrive from any backend server, because whatever carries all
+        heartbeats is down.
     """
 
     def __init__(
@@ -169,11 +176,11 @@
 
     @property
     def backends_by_id(self) -> dict[str, Backend]:
-        """All that were announced to this instance, present or not."""
+        """All backend servers announced to this instance, present or not."""
         return self._backends.by_id
 
     def usable(self, service: str, now: float) -> list[Backend]:
-        """Return the backend servers of a service that may get work."""
+        """Return the backend servers of a service that may receive work."""
         return [
             backend
             for _, backend in sorted(self.backends_by_id.items())
@@ -182,14 +189,14 @@
         ]
 
     def has_left(self, start: BackendStart) -> bool:
-        """Return whether a start of a backend server said that it leaves."""
+        """Return whether a start of a backend server announced its leave."""
         left, _ = self._backends.left(start.backend_id)
         return left >= start.incarnation
 
-    # The part.
+    # Interface of a coordination part.
 
     def handle(self, event: typing.Any) -> list[typing.Any]:
-        """Change state by an event and return effects, to do in order."""
+        """Apply an event; return the effects to perform, in order."""
         match event:
             case parts.Ticked():
                 return self._tick(event.now)
@@ -206,16 +213,16 @@
             case SetInstances():
                 self._instance_ids = event.instance_ids
                 return []
-        raise TypeError(f'presence does not know {type(event).__name__}')
+        raise TypeError(f'presence cannot handle event {type(event).__name__}')
 
     def restore(self, record: typing.Any) -> None:
-        """Do nothing: backend servers renew within a second."""
+        """Do nothing: backend servers send renewals within a second."""
 
     def snapshot(self) -> tuple[typing.Any, ...]:
-        """Return nothing to keep."""
+        """Return no records: presence is not persisted."""
         return ()
 
-    # What backend servers say to this instance.
+    # Requests of backend servers to this instance as their front.
 
     def _on_announced(self, event: Announced) -> list[typing.Any]:
         announcement = event.announcement
@@ -267,7 +274,7 @@
         if said <= self._backends.left(backend_id):
             return PresenceOutcome.LEFT
         front = self._fronts_by_id.get(backend_id)
-        # The same again is a resend whose answer was lost.
+        # An equal stamp is a retry after the answer was lost.
         if front is not None and said < front.last:
             return PresenceOutcome.OLD
         return PresenceOutcome.ACCEPTED
@@ -289,7 +296,7 @@
     def _note_start(
         self, now: float, announcement: BackendAnnouncement
     ) -> None:
-        """Note when a backend server starts again under its id."""
+        """Record a restart of a backend server under the same id."""
         backend_id = announcement.backend_id
         former = self._newest_start(backend_id)
         if former is not None and former < announcement.incarnation:
@@ -309,11 +316,11 @@
         return max(held, default=None)
 
     def _leaver(self, event: Left) -> int:
-        """Return which start a leave is of.
+        """Return the incarnation of the start that a leave is of.
 
-        A leave that names none may be a late one of the start before. Taken
-        for the newest start's, it would shut out a backend server that has
-        just come back, for as long as it runs.
+        A leave that names no incarnation may be a late one of the start
+        before. If it were attributed to the newest start, a backend server
+        that has just restarted would receive no work for as long as it runs.
         """
         if event.incarnation is not None:
             return event.incarnation
@@ -336,7 +343,7 @@
         front.to = event.to
         return self._present(event.now, front, added)
 
-    # Passing it on.
+    # Forwarding to dispatching instances.
 
     def _present(
         self, now: float, front: _Front, to: abc.Iterable[str]
@@ -396,8 +403,8 @@
         return effects
 
     def _tell_all(self, departure: BackendDeparture) -> list[typing.Any]:
-        # Told three times, so that one may be lost: to all there are, a
-        # connection to each would be the larger cost.
+        # Sent three times, since a datagram may be lost. A connection to each
+        # of all instances would cost more.
         message = PresenceBatch(renewals=(), departures=(departure,))
         return [
             parts.Send(to=to, message=message, by_datagram=True)
@@ -405,7 +412,7 @@
             if to != self.instance_id
         ]
 
-    # What other instances pass on.
+    # Messages forwarded by other instances.
 
     def _receive(self, event: parts.Received) -> list[typing.Any]:
         now, message = event.now, event.message
@@ -419,7 +426,9 @@
                 return self._on_batch(now, event.sender, message)
             case PresenceUnknown():
                 return self._on_unknown(now, event.sender, message)
-        raise TypeError(f'presence does not know {type(message).__name__}')
+        raise TypeError(
+            f'presence cannot handle message {type(message).__name__}'
+        )
 
     def _on_batch(
         self, now: float, sender: str, message: PresenceBatch
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -1,4 +1,4 @@
-"""Which backend servers may get work: leaves, leases, old announcements."""
+"""Presence of backend servers: leaves, leases and stale announcements."""
 
 import itertools
 import typing
@@ -78,7 +78,7 @@
         self.tell(to, event)
 
     def deliver(self, *, but: str = '') -> None:
-        """Deliver all that is on the wire, and what it leads to."""
+        """Deliver all messages in transit, and those sent in response."""
         while self.wire:
             sender, to, message = self.wire.pop(0)
             if to != but:
@@ -185,7 +185,7 @@
     age_s: float = 0.0,
     first: int | None = None,
 ) -> presence.PresenceBatch:
-    """Return a batch; with ``first``, of two cache events."""
+    """Return a batch with a renewal; with ``first``, also two cache events."""
     event = presence.CacheEvent(
         kind=presence.CacheEventKind.STORED, prefix='p'
     )
@@ -218,10 +218,10 @@
 
 
 class CrossedMessagesTest(unittest.TestCase):
-    """Symptom: a backend server that left, or an earlier process, gets work.
+    """Guards against sending work to a server that left or restarted.
 
-    Sequence: what it said arrives late, doubled or in another order.
-    Cause: believing the last message to arrive.
+    Its messages arrive late, more than once or out of order, so the last one
+    to arrive need not be the newest.
     """
 
     @params(
@@ -230,9 +230,9 @@
         # A renewal that overtakes the leave does not make the leave old.
         ([], present(sequence=1), make_renewal(3), make_departure(2)),
         ([], present(sequence=1), make_departure(2), make_renewal(3)),
-        # It thought better of it, and said so later.
+        # It announced itself again after its leave.
         (['be-1/1'], present(sequence=3), make_departure(2)),
-        # A new process with the same id, and news of the old one.
+        # A new process with the same id, and late messages of the old one.
         (
             ['be-1/2'],
             present(sequence=1),
@@ -246,7 +246,7 @@
             present(sequence=1),
             present(backend_id='be-2', incarnation=2),
         ),
-        # It left, too: the address does not go back to the first.
+        # The other process left, too: the first does not regain the address.
         (
             [],
             present(sequence=1),
@@ -278,10 +278,10 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """Symptom: work goes to a server that crashed or was cut off.
+    """Guards against sending work to a server that crashed or is isolated.
 
-    Sequence: renewals end, arrive late, or arrive twice.
-    Cause: a lease counted from the wrong moment.
+    Renewals end, arrive late or arrive twice. The lease has to be counted
+    from the receipt of the renewal by the front.
     """
 
     @params(
@@ -320,10 +320,10 @@
 
 
 class CutOffTest(unittest.TestCase):
-    """Symptom: an instance sends work to a backend server that has left.
+    """Guards against sending work to a backend server that has left.
 
-    Sequence: the instance is cut off while the leave spreads.
-    Cause: a leave that is told once, over one path.
+    The dispatching instance is isolated while the leave is broadcast, so a
+    leave has to be sent more than once and over more than one path.
     """
 
     def start(self) -> Lan:
@@ -366,7 +366,7 @@
 
     @params((), (make_departure(1),))
     def test_an_announcement_that_was_lost_is_asked_for(self, *earlier):
-        """Also when it came back after a leave in the same incarnation."""
+        """Also if it follows a leave in the same incarnation."""
         lan = Lan('gw-1', 'gw-2')
         for message in earlier:
             lan.receive('gw-1', 'gw-2', message)
@@ -415,14 +415,14 @@
 
 
 class SameIdTest(unittest.TestCase):
-    """Backend servers that count no incarnations, one id for each start."""
+    """Backend servers without incarnations, with a new id at each start."""
 
     def setUp(self):
         self.part = presence.Presence(instance_id='gw-1')
         self.now = 0.0
 
     def hear(self, **changes):
-        """Take an announcement; return ids and presence that changed."""
+        """Receive an announcement; return (id, presence) of each change."""
         said = msgspec.structs.replace(
             make_announcement(incarnation=0), **changes
         )
@@ -433,10 +433,10 @@
         return [(each.backend_id, each.present) for each in out]
 
     def test_another_role_under_the_same_id_is_news(self):
-        """Symptom: an engine that was ordered to decode never gets work.
+        """Guards against an engine receiving no work after a change of role.
 
-        Sequence: it takes the new role on and says so in its heartbeat.
-        Cause: only coming and going would be told to its cell.
+        It takes on the role it was ordered to and announces it. Its cell has
+        to be notified of this, and not of presence and absence only.
         """
         self.assertEqual(self.hear(), [('be-1', True)])
         self.assertEqual(self.hear(sequence=2), [])
@@ -445,11 +445,11 @@
         self.assertEqual(changed, [('be-1', True)])
 
     def test_an_address_belongs_to_the_id_that_came_last(self):
-        """Symptom: a service's calls reach another service's backend server.
+        """Guards against sending requests to a server of another service.
 
-        Sequence: one dies, another starts at its address; an announcement
-        of the first one arrives late.
-        Cause: without incarnations the last message would win.
+        One server dies and another starts at its address; an announcement of
+        the first arrives late. Without incarnations the last message must not
+        take precedence.
         """
         self.hear(backend_id='be-2')
         self.assertEqual(
@@ -459,7 +459,7 @@
 
 
 class SameIdAgainTest(unittest.TestCase):
-    """A backend server starts again under its id, and counts from 1 anew."""
+    """A backend server restarts with its id; its sequence starts at 1 again."""
 
     FIRST_BORN = 1_790_000_000_000
     THEN_BORN = FIRST_BORN + 30_000
@@ -484,11 +484,10 @@
 
     @params(None, FIRST_BORN)
     def test_one_that_left_comes_back(self, leaver):
-        """Symptom: a backend server that came back never gets work.
+        """Guards against a restarted backend server never receiving work.
 
-        Sequence: it leaves, and starts again under its id a moment later.
-        Cause: the leave, which no heartbeat of its may follow, would hold
-        for the id and not for the start.
+        It leaves and restarts with the same id a moment later. The leave is
+        final for that start, but must not apply to the id.
         """
         self.announce(self.FIRST_BORN, sequence=40)
         self.leave(leaver)
@@ -497,11 +496,10 @@
         self.assertTrue(self.is_usable())
 
     def test_late_words_of_the_start_before_change_nothing(self):
-        """Symptom: one that has just come back is taken for gone.
+        """Guards against marking a restarted backend server absent.
 
-        Sequence: it crashes and starts again; a heartbeat and the leave of
-        the start before arrive after its first heartbeat.
-        Cause: by their counts they would be the newer ones.
+        It crashes and restarts; a heartbeat and the leave of the start before
+        arrive after its first heartbeat. Their sequence numbers are higher.
         """
         self.announce(self.FIRST_BORN, sequence=40)
         self.announce(self.THEN_BORN)
@@ -528,11 +526,10 @@
         self.assertFalse(self.is_usable())
 
     def test_a_clock_that_was_put_back_shuts_nobody_out_for_good(self):
-        """Symptom: a backend server that came back gets no work for an hour.
+        """Guards against a backend server receiving no work for an hour.
 
-        Sequence: its clock is put back while it is down; its new start looks
-        older than the one before.
-        Cause: the lower start would be taken for an old word of the other.
+        Its clock is set back while it is down, so its new start has a lower
+        incarnation. Its messages must not be rejected as stale for good.
         """
         self.announce(self.THEN_BORN, sequence=40)
         self.leave(self.THEN_BORN)
@@ -544,11 +541,11 @@
 
 
 class SilenceTest(unittest.TestCase):
-    """Symptom: everything is refused though all backend servers serve.
+    """Guards against refusing all requests while all backend servers work.
 
-    Sequence: all instances that take heartbeats are down for 14 s; they come
-    back, and heartbeats one after the other.
-    Cause: a lease ends without a renewal, whoever failed to pass it on.
+    All instances that receive heartbeats are down for 14 s; once they are
+    back, heartbeats arrive one after the other. Missing renewals during such
+    an outage must not end leases.
     """
 
     LEASE_S = 4.0
@@ -599,10 +596,10 @@
 
 
 class CacheHintTest(unittest.TestCase):
-    """Symptom: requests follow a prefix that was evicted long ago.
+    """Guards against routing requests by a prefix that was evicted long ago.
 
-    Sequence: the renewal that told of the eviction was lost.
-    Cause: cache events taken without looking at their numbers.
+    The renewal with the eviction was lost. The gap has to be detected by the
+    numbers of the cache events.
     """
 
     @params(
@@ -627,7 +624,7 @@
 
 
 class AnyOrder(stateful.RuleBasedStateMachine):
-    """Whatever is said arrives in any order, late and doubled."""
+    """Messages arrive in any order, late and more than once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -638,7 +635,7 @@
     @stateful.rule(at=STAMPS, number=st.integers(1, 2))
     def announce(self, at, number):
         incarnation, sequence = at
-        # What one process says of itself under one stamp does not vary.
+        # Messages of one process with the same stamp are equal.
         self.said.append(
             present(
                 backend_id=f'be-{number}',
