--- a/dandeliongw/coordination/_backends.py
+++ b/dandeliongw/coordination/_backends.py
@@ -29,7 +29,7 @@
 NEVER: Stamp = (-1, -1)
 #: Seconds after the end of a lease during which the address of a backend
 #: server is not reassigned to a process with a lower incarnation.
-URL_MEMORY_S = 60.0
+URL_RETENTION_S = 60.0
 #: Seconds after the end of a lease from which a lower incarnation counts as a
 #: new start. This is longer than heartbeats can be delayed. Incarnations may
 #: be derived from a clock that is set back while a backend server is down.
@@ -39,10 +39,10 @@
 
 
 def stamp(
-    said: BackendAnnouncement | BackendRenewal | BackendDeparture,
+    message: BackendAnnouncement | BackendRenewal | BackendDeparture,
 ) -> Stamp:
     """Return the key that orders the messages of one backend server."""
-    return said.incarnation, said.sequence
+    return message.incarnation, message.sequence
 
 
 class Backend(msgspec.Struct, kw_only=True):
@@ -67,7 +67,7 @@
     cache_gaps: int = 0
 
 
-class _Holder(msgspec.Struct, kw_only=True):
+class _UrlHolder(msgspec.Struct, kw_only=True):
     """The process that was the last to start at an address.
 
     :param rank: order of its start; see :meth:`Backends._rank`.
@@ -93,16 +93,16 @@
     def __init__(
         self, *, lease_s: float, memory_s: float, outlasts_silence: bool
     ) -> None:
-        self._quiet_s = lease_s / 2 if outlasts_silence else math.inf
-        self._heard_at: float | None = None
+        self._suspend_after_s = lease_s / 2 if outlasts_silence else math.inf
+        self._received_at: float | None = None
         self._lease_s = lease_s
         self._memory_s = memory_s
         self.by_id: dict[str, Backend] = {}
         self._left_by_id: dict[str, Stamp] = {}
         self._forget_left_by_id: dict[str, float] = {}
-        self._holders_by_url: dict[str, _Holder] = {}
-        self._arrivals_by_id: dict[str, int] = {}
-        self._arrivals = 0
+        self._holders_by_url: dict[str, _UrlHolder] = {}
+        self._first_seen_by_id: dict[str, int] = {}
+        self._ids_seen = 0
         self._forget_at = 0.0
         #: Lower bound of the end of all running leases. Renewals only extend
         #: leases, so it need not be recomputed before that time.
@@ -112,7 +112,7 @@
         """Return the highest leave of a backend server."""
         return self._left_by_id.get(backend_id, NEVER)
 
-    def forget_former(
+    def remove_former(
         self, now: float, announcement: BackendAnnouncement
     ) -> None:
         """Remove a start whose lease ended long ago, for a lower incarnation.
@@ -134,7 +134,7 @@
             return
         if held.announcement.incarnation > announcement.incarnation:
             del self.by_id[backend_id]
-            self._give_up_url(held)
+            self._release_url(held)
 
     def announce(
         self, now: float, announcement: BackendAnnouncement, age_s: float
@@ -144,15 +144,19 @@
         :param age_s: seconds since its front last received a message of the
             backend server; its lease counts from then.
         """
-        self.forget_former(now, announcement)
-        replaced = self._claim_url(now, announcement)
+        self.remove_former(now, announcement)
+        replaced = self._assign_url(now, announcement)
         held = self.by_id.get(announcement.backend_id)
         if held is not None and stamp(announcement) <= stamp(
             held.announcement
         ):
             return replaced
         effects = []
-        if held is not None and held.present and _is_other(held, announcement):
+        if (
+            held is not None
+            and held.present
+            and _is_new_start(held, announcement)
+        ):
             effects.append(self._changed(held, present=False))
         backend = self._put(now, announcement, age_s, held)
         refreshed = self._refresh(now, backend)
@@ -175,7 +179,7 @@
         held.renewed = stamp(renewal)
         received_at = now - renewal.age_s
         held.lease_until = max(held.lease_until, received_at + self._lease_s)
-        self._keep_url(held)
+        self._extend_url(held)
         if renewal.load is not None:
             held.load = renewal.load
             held.load_at = received_at
@@ -196,7 +200,7 @@
         held = self.by_id.get(backend_id)
         return [] if held is None else self._refresh(now, held)
 
-    def hear(self, now: float) -> None:
+    def on_message(self, now: float) -> None:
         """Record that a message about some backend server arrived.
 
         There may have been none before it because whatever carries the
@@ -204,17 +208,17 @@
         time, so the leases resume from where they were suspended. Otherwise
         all backend servers would be absent until the next renewal of each.
         """
-        silent_s = self._silent_s(now)
-        self._heard_at = now
-        if silent_s > 0.0:
+        suspended_s = self._suspended_s(now)
+        self._received_at = now
+        if suspended_s > 0.0:
             for backend in self.by_id.values():
-                backend.lease_until += silent_s
+                backend.lease_until += suspended_s
 
-    def _silent_s(self, now: float) -> float:
+    def _suspended_s(self, now: float) -> float:
         """Return for how many seconds leases have been suspended."""
-        if self._heard_at is None:
+        if self._received_at is None:
             return 0.0
-        return max(0.0, now - self._heard_at - self._quiet_s)
+        return max(0.0, now - self._received_at - self._suspend_after_s)
 
     def expire(self, now: float) -> list[typing.Any]:
         """End expired leases; remove entries whose retention is over."""
@@ -247,12 +251,12 @@
                 del self._left_by_id[backend_id]
         self._forget_urls(now)
 
-    def may_work(self, backend: Backend, now: float) -> bool:
+    def may_receive_work(self, backend: Backend, now: float) -> bool:
         """Return whether a backend server may receive work now."""
         announcement = backend.announcement
         return (
             stamp(announcement) > self.left(announcement.backend_id)
-            and now - self._silent_s(now) < backend.lease_until
+            and now - self._suspended_s(now) < backend.lease_until
             and self._holders_by_url[announcement.url].rank
             == self._rank(announcement)
         )
@@ -269,7 +273,7 @@
             lease_until=now - age_s + self._lease_s,
             renewed=stamp(announcement),
         )
-        if held is not None and not _is_other(held, announcement):
+        if held is not None and not _is_new_start(held, announcement):
             backend.present = held.present
             backend.renewed = max(held.renewed, backend.renewed)
             backend.lease_until = max(held.lease_until, backend.lease_until)
@@ -281,7 +285,7 @@
         self.by_id[announcement.backend_id] = backend
         return backend
 
-    def _claim_url(
+    def _assign_url(
         self, now: float, announcement: BackendAnnouncement
     ) -> list[typing.Any]:
         """Assign an address to the process that was the last to start there.
@@ -294,15 +298,15 @@
         is_held = holder is not None and now < holder.until
         if is_held and holder.rank >= self._rank(announcement):
             return []
-        self._holders_by_url[announcement.url] = _Holder(
+        self._holders_by_url[announcement.url] = _UrlHolder(
             rank=self._rank(announcement),
             backend_id=announcement.backend_id,
-            until=now + self._lease_s + URL_MEMORY_S,
+            until=now + self._lease_s + URL_RETENTION_S,
         )
         former = self.by_id.get(holder.backend_id) if holder else None
         return [] if former is None else self._refresh(now, former)
 
-    def _give_up_url(self, backend: Backend) -> None:
+    def _release_url(self, backend: Backend) -> None:
         """Release the address of a removed backend server if it has it."""
         url = backend.announcement.url
         holder = self._holders_by_url.get(url)
@@ -320,19 +324,19 @@
         not change this, since its id is known already.
         """
         backend_id = announcement.backend_id
-        if backend_id not in self._arrivals_by_id:
-            self._arrivals += 1
-            self._arrivals_by_id[backend_id] = self._arrivals
-        return announcement.incarnation, self._arrivals_by_id[backend_id]
+        if backend_id not in self._first_seen_by_id:
+            self._ids_seen += 1
+            self._first_seen_by_id[backend_id] = self._ids_seen
+        return announcement.incarnation, self._first_seen_by_id[backend_id]
 
-    def _keep_url(self, backend: Backend) -> None:
+    def _extend_url(self, backend: Backend) -> None:
         announcement = backend.announcement
         holder = self._holders_by_url[announcement.url]
         if holder.rank == self._rank(announcement):
-            holder.until = backend.lease_until + URL_MEMORY_S
+            holder.until = backend.lease_until + URL_RETENTION_S
 
     def _refresh(self, now: float, backend: Backend) -> list[typing.Any]:
-        present = self.may_work(backend, now)
+        present = self.may_receive_work(backend, now)
         if present == backend.present:
             return []
         return [self._changed(backend, present=present)]
@@ -353,11 +357,11 @@
             if now >= self._holders_by_url[url].until:
                 del self._holders_by_url[url]
         known = self.by_id.keys() | self._left_by_id.keys()
-        for backend_id in self._arrivals_by_id.keys() - known:
-            del self._arrivals_by_id[backend_id]
+        for backend_id in self._first_seen_by_id.keys() - known:
+            del self._first_seen_by_id[backend_id]
 
 
-def _is_other(held: Backend, announcement: BackendAnnouncement) -> bool:
+def _is_new_start(held: Backend, announcement: BackendAnnouncement) -> bool:
     return held.announcement.incarnation != announcement.incarnation
 
 
--- a/dandeliongw/coordination/presence.py
+++ b/dandeliongw/coordination/presence.py
@@ -77,7 +77,7 @@
 #: Seconds for which renewals to the same instance are collected in a batch.
 BATCH_S = 0.2
 #: Seconds without a renewal after which the front requires a new announcement.
-FRONT_MEMORY_S = 60.0
+FRONT_TIMEOUT_S = 60.0
 #: Seconds from the first announcement of a new start in which a leave without
 #: an incarnation is attributed to the start before. Messages of a backend
 #: server may arrive some seconds late.
@@ -85,21 +85,21 @@
 #: Incarnation of a leave without one, by an unknown backend server.
 _ONLY_INCARNATION = 0
 #: Seconds after a leave during which every batch of renewals repeats it.
-REPEAT_S = 10.0
+LEAVE_REPEAT_S = 10.0
 #: Seconds after a leave at which it is sent to all instances again.
-TELL_AGAIN_S = (1.0, 3.0)
+LEAVE_RESEND_S = (1.0, 3.0)
 
 
 class _Front(msgspec.Struct, kw_only=True):
     """A backend server whose front is this instance.
 
-    :param heard_at: when its last message was received.
+    :param received_at: when its last message was received.
     :param last: stamp of its last message.
     :param to: instances to which its messages are forwarded.
     """
 
     announcement: BackendAnnouncement
-    heard_at: float
+    received_at: float
     last: tuple[int, int]
     to: tuple[str, ...] = ()
 
@@ -135,7 +135,7 @@
 
     departure: BackendDeparture
     until: float
-    tell_at: tuple[float, ...]
+    next_sends: tuple[float, ...]
 
 
 class Presence:
@@ -167,7 +167,7 @@
         )
         self._fronts_by_id: dict[str, _Front] = {}
         self._instance_ids: tuple[str, ...] = (instance_id,)
-        self._waiting_by_dispatcher: dict[str, list[_Renewal]] = {}
+        self._renewals_by_dispatcher: dict[str, list[_Renewal]] = {}
         self._batch_at = 0.0
         self._departures_by_id: dict[str, _Departure] = {}
         self._successors_by_id: dict[str, _Successor] = {}
@@ -185,7 +185,7 @@
             backend
             for _, backend in sorted(self.backends_by_id.items())
             if backend.announcement.service == service
-            and self._backends.may_work(backend, now)
+            and self._backends.may_receive_work(backend, now)
         ]
 
     def has_left(self, start: BackendStart) -> bool:
@@ -226,63 +226,65 @@
 
     def _on_announced(self, event: Announced) -> list[typing.Any]:
         announcement = event.announcement
-        self._backends.forget_former(event.now, announcement)
-        outcome = self._judge(announcement.backend_id, stamp(announcement))
+        self._backends.remove_former(event.now, announcement)
+        outcome = self._message_outcome(
+            announcement.backend_id, stamp(announcement)
+        )
         front = self._fronts_by_id.get(announcement.backend_id)
         is_repeated = front is not None and front.last == stamp(announcement)
         if outcome is not PresenceOutcome.ACCEPTED or is_repeated:
             return [_complete(event.ticket, outcome)]
-        self._note_start(event.now, announcement)
+        self._record_restart(event.now, announcement)
         self._fronts_by_id[announcement.backend_id] = _Front(
             announcement=announcement,
-            heard_at=event.now,
+            received_at=event.now,
             last=stamp(announcement),
             to=front.to if front is not None else (),
         )
         effects: list[typing.Any] = [_complete(event.ticket, outcome)]
         front = self._fronts_by_id[announcement.backend_id]
-        return effects + self._present(event.now, front, front.to)
+        return effects + self._send_announcement(event.now, front, front.to)
 
     def _on_renewed(self, event: Renewed) -> list[typing.Any]:
         front = self._fronts_by_id.get(event.backend_id)
-        said = (event.incarnation, event.sequence)
-        outcome = self._judge_renewal(event, front)
+        message_stamp = (event.incarnation, event.sequence)
+        outcome = self._renewal_outcome(event, front)
         is_accepted = outcome is PresenceOutcome.ACCEPTED
-        if is_accepted and front is not None and front.last < said:
-            front.last = said
-            front.heard_at = event.now
+        if is_accepted and front is not None and front.last < message_stamp:
+            front.last = message_stamp
+            front.received_at = event.now
             self._queue(event, front)
         return [_complete(event.ticket, outcome)]
 
-    def _judge_renewal(
+    def _renewal_outcome(
         self, event: Renewed, front: _Front | None
     ) -> PresenceOutcome:
         if front is None:
-            said = (event.incarnation, event.sequence)
-            if said <= self._backends.left(event.backend_id):
+            message_stamp = (event.incarnation, event.sequence)
+            if message_stamp <= self._backends.left(event.backend_id):
                 return PresenceOutcome.LEFT
             return PresenceOutcome.ANNOUNCE_AGAIN
         if event.incarnation > front.announcement.incarnation:
             return PresenceOutcome.ANNOUNCE_AGAIN
-        return self._judge(
+        return self._message_outcome(
             event.backend_id, (event.incarnation, event.sequence)
         )
 
-    def _judge(
-        self, backend_id: str, said: tuple[int, int]
+    def _message_outcome(
+        self, backend_id: str, message_stamp: tuple[int, int]
     ) -> PresenceOutcome:
-        if said <= self._backends.left(backend_id):
+        if message_stamp <= self._backends.left(backend_id):
             return PresenceOutcome.LEFT
         front = self._fronts_by_id.get(backend_id)
         # An equal stamp is a retry after the answer was lost.
-        if front is not None and said < front.last:
+        if front is not None and message_stamp < front.last:
             return PresenceOutcome.OLD
         return PresenceOutcome.ACCEPTED
 
     def _on_left(self, event: Left) -> list[typing.Any]:
         departure = BackendDeparture(
             backend_id=event.backend_id,
-            incarnation=self._leaver(event),
+            incarnation=self._leaving_incarnation(event),
             sequence=event.sequence,
         )
         effects: list[typing.Any] = [
@@ -290,10 +292,10 @@
         ]
         if stamp(departure) <= self._backends.left(event.backend_id):
             return effects
-        effects += self._depart(event.now, departure, TELL_AGAIN_S)
-        return effects + self._tell_all(departure)
+        effects += self._record_departure(event.now, departure, LEAVE_RESEND_S)
+        return effects + self._broadcast(departure)
 
-    def _note_start(
+    def _record_restart(
         self, now: float, announcement: BackendAnnouncement
     ) -> None:
         """Record a restart of a backend server under the same id."""
@@ -315,7 +317,7 @@
         ]
         return max(held, default=None)
 
-    def _leaver(self, event: Left) -> int:
+    def _leaving_incarnation(self, event: Left) -> int:
         """Return the incarnation of the start that a leave is of.
 
         A leave that names no incarnation may be a late one of the start
@@ -341,15 +343,15 @@
             return []
         added = tuple(to for to in event.to if to not in front.to)
         front.to = event.to
-        return self._present(event.now, front, added)
+        return self._send_announcement(event.now, front, added)
 
     # Forwarding to dispatching instances.
 
-    def _present(
+    def _send_announcement(
         self, now: float, front: _Front, to: abc.Iterable[str]
     ) -> list[typing.Any]:
         message = Presented(
-            announcement=front.announcement, age_s=now - front.heard_at
+            announcement=front.announcement, age_s=now - front.received_at
         )
         return [parts.Send(to=each, message=message) for each in to]
 
@@ -363,17 +365,17 @@
             age_s=0.0,
         )
         for to in front.to:
-            waiting = self._waiting_by_dispatcher.setdefault(to, [])
+            waiting = self._renewals_by_dispatcher.setdefault(to, [])
             waiting.append(_Renewal(renewal=renewal, received_at=event.now))
 
     def _tick(self, now: float) -> list[typing.Any]:
         effects = self._backends.expire(now)
-        effects += self._repeat_departures(now)
+        effects += self._resend_departures(now)
         if now >= self._batch_at:
             self._batch_at = now + BATCH_S
             effects += self._send_batches(now)
         for backend_id, front in list(self._fronts_by_id.items()):
-            if now >= front.heard_at + FRONT_MEMORY_S:
+            if now >= front.received_at + FRONT_TIMEOUT_S:
                 del self._fronts_by_id[backend_id]
                 self._successors_by_id.pop(backend_id, None)
         return effects
@@ -383,26 +385,26 @@
             item.departure for item in self._departures_by_id.values()
         )
         effects = []
-        for to, waiting in self._waiting_by_dispatcher.items():
+        for to, waiting in self._renewals_by_dispatcher.items():
             message = PresenceBatch(
-                renewals=tuple(_aged(item, now) for item in waiting),
+                renewals=tuple(_with_age(item, now) for item in waiting),
                 departures=departures,
             )
             effects.append(parts.Send(to=to, message=message))
-        self._waiting_by_dispatcher = {}
+        self._renewals_by_dispatcher = {}
         return effects
 
-    def _repeat_departures(self, now: float) -> list[typing.Any]:
+    def _resend_departures(self, now: float) -> list[typing.Any]:
         effects: list[typing.Any] = []
         for backend_id, item in list(self._departures_by_id.items()):
-            if item.tell_at and now >= item.tell_at[0]:
-                item.tell_at = item.tell_at[1:]
-                effects += self._tell_all(item.departure)
+            if item.next_sends and now >= item.next_sends[0]:
+                item.next_sends = item.next_sends[1:]
+                effects += self._broadcast(item.departure)
             if now >= item.until:
                 del self._departures_by_id[backend_id]
         return effects
 
-    def _tell_all(self, departure: BackendDeparture) -> list[typing.Any]:
+    def _broadcast(self, departure: BackendDeparture) -> list[typing.Any]:
         # Sent three times, since a datagram may be lost. A connection to each
         # of all instances would cost more.
         message = PresenceBatch(renewals=(), departures=(departure,))
@@ -418,14 +420,14 @@
         now, message = event.now, event.message
         match message:
             case Presented():
-                self._backends.hear(now)
+                self._backends.on_message(now)
                 return self._backends.announce(
                     now, message.announcement, message.age_s
                 )
             case PresenceBatch():
                 return self._on_batch(now, event.sender, message)
             case PresenceUnknown():
-                return self._on_unknown(now, event.sender, message)
+                return self._on_presence_unknown(now, event.sender, message)
         raise TypeError(
             f'presence cannot handle message {type(message).__name__}'
         )
@@ -436,9 +438,9 @@
         effects: list[typing.Any] = []
         for departure in message.departures:
             if stamp(departure) > self._backends.left(departure.backend_id):
-                effects += self._depart(now, departure, ())
+                effects += self._record_departure(now, departure, ())
         if message.renewals:
-            self._backends.hear(now)
+            self._backends.on_message(now)
         unknown = []
         for renewal in message.renewals:
             renewed = self._backends.renew(now, renewal)
@@ -450,27 +452,27 @@
             effects.append(parts.Send(to=sender, message=answer))
         return effects
 
-    def _on_unknown(
+    def _on_presence_unknown(
         self, now: float, sender: str, message: PresenceUnknown
     ) -> list[typing.Any]:
         effects: list[typing.Any] = []
         for backend_id in message.backend_ids:
             front = self._fronts_by_id.get(backend_id)
             if front is not None and sender in front.to:
-                effects += self._present(now, front, (sender,))
+                effects += self._send_announcement(now, front, (sender,))
         return effects
 
-    def _depart(
+    def _record_departure(
         self,
         now: float,
         departure: BackendDeparture,
-        tell_after_s: tuple[float, ...],
+        resend_after_s: tuple[float, ...],
     ) -> list[typing.Any]:
         backend_id = departure.backend_id
         self._departures_by_id[backend_id] = _Departure(
             departure=departure,
-            until=now + REPEAT_S,
-            tell_at=tuple(now + after_s for after_s in tell_after_s),
+            until=now + LEAVE_REPEAT_S,
+            next_sends=tuple(now + after_s for after_s in resend_after_s),
         )
         front = self._fronts_by_id.get(backend_id)
         if front is not None and stamp(front.announcement) <= stamp(departure):
@@ -482,5 +484,5 @@
     return parts.Complete(ticket=ticket, result=outcome)
 
 
-def _aged(item: _Renewal, now: float) -> BackendRenewal:
+def _with_age(item: _Renewal, now: float) -> BackendRenewal:
     return msgspec.structs.replace(item.renewal, age_s=now - item.received_at)
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -56,11 +56,11 @@
         self.hints: list[presence.CacheHints] = []
         self.outcomes: list[presence.PresenceOutcome] = []
         for each in ids:
-            self.tell(
+            self.handle(
                 each, presence.SetInstances(now=self.now, instance_ids=ids)
             )
 
-    def tell(self, to: str, event: typing.Any) -> None:
+    def handle(self, to: str, event: typing.Any) -> None:
         for effect in self.parts[to].handle(event):
             match effect:
                 case parts.Send():
@@ -75,7 +75,7 @@
     def receive(self, sender: str, to: str, message: typing.Any) -> None:
         decoded = CODEC.decode(*CODEC.encode(message))
         event = parts.Received(now=self.now, sender=sender, message=decoded)
-        self.tell(to, event)
+        self.handle(to, event)
 
     def deliver(self, *, but: str = '') -> None:
         """Deliver all messages in transit, and those sent in response."""
@@ -89,18 +89,18 @@
         while self.now < end - 1e-9:
             self.now += 0.1
             for each in self.parts:
-                self.tell(each, parts.Ticked(now=self.now, entropy=0))
+                self.handle(each, parts.Ticked(now=self.now, entropy=0))
             self.deliver(but=but)
 
     def announce(self, at: str, *, to: tuple[str, ...], **fields) -> None:
         announcement = make_announcement(**fields)
-        self.tell(
+        self.handle(
             at,
             presence.Announced(
                 now=self.now, announcement=announcement, ticket='t'
             ),
         )
-        self.tell(
+        self.handle(
             at,
             presence.Forward(
                 now=self.now, backend_id=announcement.backend_id, to=to
@@ -115,7 +115,7 @@
         incarnation: int = 1,
         cache_events: presence.CacheEvents | None = None,
     ) -> None:
-        self.tell(
+        self.handle(
             at,
             presence.Renewed(
                 now=self.now,
@@ -129,7 +129,7 @@
         )
 
     def leave(self, at: str, sequence: int, *, incarnation: int = 1) -> None:
-        self.tell(
+        self.handle(
             at,
             presence.Left(
                 now=self.now,
@@ -167,10 +167,10 @@
         self.assertEqual([True, False], [c.present for _, c in lan.changes])
         self.assertEqual({presence.PresenceOutcome.ACCEPTED}, {*lan.outcomes})
 
-    def test_a_new_dispatcher_is_told_at_once(self):
+    def test_a_new_dispatcher_is_notified_at_once(self):
         lan = Lan('gw-1', 'gw-2', 'gw-3')
         lan.announce('gw-1', to=('gw-2',))
-        lan.tell(
+        lan.handle(
             'gw-1',
             presence.Forward(now=lan.now, backend_id='be-1', to=('gw-3',)),
         )
@@ -217,7 +217,7 @@
     return presence.Presented(announcement=announcement, age_s=age_s)
 
 
-class CrossedMessagesTest(unittest.TestCase):
+class MessageOrderTest(unittest.TestCase):
     """Guards against sending work to a server that left or restarted.
 
     Its messages arrive late, more than once or out of order, so the last one
@@ -254,7 +254,7 @@
             make_departure(2, incarnation=2, backend_id='be-2'),
         ),
     )
-    def test_any_order_ends_the_same(self, expected, *messages):
+    def test_any_order_leads_to_the_same_state(self, expected, *messages):
         for order in itertools.permutations(messages):
             for doubled in messages:
                 lan = Lan('gw-1')
@@ -262,14 +262,14 @@
                     lan.receive('gw-2', 'gw-1', message)
                 self.assertEqual(expected, lan.usable('gw-1'), order)
 
-    def test_an_old_announcement_after_a_leave_revives_nobody(self):
+    def test_a_stale_announcement_does_not_undo_a_leave(self):
         lan = Lan('gw-1')
         lan.receive('gw-2', 'gw-1', make_departure(5))
         lan.pass_time(presence.MEMORY_S / 100)
         lan.receive('gw-2', 'gw-1', present(sequence=4))
         self.assertEqual([], lan.usable('gw-1'))
 
-    def test_a_restart_shows_as_gone_and_there(self):
+    def test_a_restart_appears_as_absence_and_presence(self):
         lan = Lan('gw-1')
         lan.receive('gw-2', 'gw-1', present(incarnation=1))
         lan.receive('gw-2', 'gw-1', present(incarnation=2))
@@ -319,7 +319,7 @@
         self.assertEqual([True, False, True], changes)
 
 
-class CutOffTest(unittest.TestCase):
+class IsolatedInstanceTest(unittest.TestCase):
     """Guards against sending work to a backend server that has left.
 
     The dispatching instance is isolated while the leave is broadcast, so a
@@ -334,22 +334,22 @@
         lan.deliver(but='gw-2')
         return lan
 
-    def test_its_lease_ends(self):
+    def test_the_lease_expires(self):
         lan = self.start()
         self.assertEqual(['be-1/1'], lan.usable('gw-2'))
         lan.pass_time(presence.LEASE_S + 0.1, but='gw-2')
         self.assertEqual([], lan.usable('gw-2'))
 
-    def test_the_leave_is_told_again(self):
+    def test_the_leave_is_sent_again(self):
         lan = self.start()
-        lan.pass_time(presence.TELL_AGAIN_S[0] + 0.2)
+        lan.pass_time(presence.LEAVE_RESEND_S[0] + 0.2)
         self.assertEqual([], lan.usable('gw-2'))
 
-    def test_any_other_instance_tells_it_with_its_renewals(self):
+    def test_other_instances_repeat_the_leave_with_renewals(self):
         lan = self.start()
         lan.announce('gw-3', to=('gw-2',), backend_id='be-2', url='http://2')
         lan.wire.clear()
-        lan.tell(
+        lan.handle(
             'gw-3',
             presence.Renewed(
                 now=lan.now,
@@ -365,7 +365,7 @@
         self.assertEqual(['be-2/1'], lan.usable('gw-2'))
 
     @params((), (make_departure(1),))
-    def test_an_announcement_that_was_lost_is_asked_for(self, *earlier):
+    def test_a_lost_announcement_is_requested(self, *earlier):
         """Also if it follows a leave in the same incarnation."""
         lan = Lan('gw-1', 'gw-2')
         for message in earlier:
@@ -378,7 +378,7 @@
 
 
 class OutcomeTest(unittest.TestCase):
-    def test_what_a_backend_server_is_told(self):
+    def test_outcomes_returned_to_a_backend_server(self):
         lan = Lan('gw-1')
         lan.renew('gw-1', 1)
         lan.announce('gw-1', to=(), sequence=2)
@@ -393,7 +393,7 @@
         lan.announce('gw-1', to=(), sequence=6)
         lan.pass_time(2 * presence.LEASE_S)
         lan.renew('gw-1', 7)
-        lan.pass_time(presence.FRONT_MEMORY_S + 0.1)
+        lan.pass_time(presence.FRONT_TIMEOUT_S + 0.1)
         lan.renew('gw-1', 8)
         outcome = presence.PresenceOutcome
         expected = [
@@ -414,133 +414,133 @@
         self.assertEqual(expected, lan.outcomes)
 
 
-class SameIdTest(unittest.TestCase):
+class NoIncarnationTest(unittest.TestCase):
     """Backend servers without incarnations, with a new id at each start."""
 
     def setUp(self):
         self.part = presence.Presence(instance_id='gw-1')
         self.now = 0.0
 
-    def hear(self, **changes):
+    def receive(self, **changes):
         """Receive an announcement; return (id, presence) of each change."""
-        said = msgspec.structs.replace(
+        announcement = msgspec.structs.replace(
             make_announcement(incarnation=0), **changes
         )
-        message = presence.Presented(announcement=said, age_s=0.0)
+        message = presence.Presented(announcement=announcement, age_s=0.0)
         out = self.part.handle(
             parts.Received(now=self.now, sender='gw-2', message=message)
         )
         return [(each.backend_id, each.present) for each in out]
 
-    def test_another_role_under_the_same_id_is_news(self):
+    def test_a_change_of_role_is_reported(self):
         """Guards against an engine receiving no work after a change of role.
 
         It takes on the role it was ordered to and announces it. Its cell has
         to be notified of this, and not of presence and absence only.
         """
-        self.assertEqual(self.hear(), [('be-1', True)])
-        self.assertEqual(self.hear(sequence=2), [])
+        self.assertEqual(self.receive(), [('be-1', True)])
+        self.assertEqual(self.receive(sequence=2), [])
         prefill = presence.BackendRole.PREFILL
-        changed = self.hear(sequence=3, role=prefill)
+        changed = self.receive(sequence=3, role=prefill)
         self.assertEqual(changed, [('be-1', True)])
 
-    def test_an_address_belongs_to_the_id_that_came_last(self):
+    def test_an_address_belongs_to_the_id_first_seen_last(self):
         """Guards against sending requests to a server of another service.
 
         One server dies and another starts at its address; an announcement of
         the first arrives late. Without incarnations the last message must not
         take precedence.
         """
-        self.hear(backend_id='be-2')
+        self.receive(backend_id='be-2')
         self.assertEqual(
-            self.hear(backend_id='be-1'), [('be-2', False), ('be-1', True)]
+            self.receive(backend_id='be-1'), [('be-2', False), ('be-1', True)]
         )
-        self.assertEqual(self.hear(backend_id='be-2', sequence=9), [])
+        self.assertEqual(self.receive(backend_id='be-2', sequence=9), [])
 
 
-class SameIdAgainTest(unittest.TestCase):
-    """A backend server restarts with its id; its sequence starts at 1 again."""
+class RestartTest(unittest.TestCase):
+    """A backend server restarts with its id; its sequence restarts at 1."""
 
-    FIRST_BORN = 1_790_000_000_000
-    THEN_BORN = FIRST_BORN + 30_000
+    FIRST_START = 1_790_000_000_000
+    SECOND_START = FIRST_START + 30_000
     FINAL = 2**62
 
     def setUp(self):
         self.lan = Lan('gw-1', 'gw-2')
 
-    def announce(self, born, sequence=1):
+    def announce(self, incarnation, sequence=1):
         self.lan.announce(
-            'gw-1', to=('gw-2',), incarnation=born, sequence=sequence
+            'gw-1', to=('gw-2',), incarnation=incarnation, sequence=sequence
         )
         self.lan.deliver()
 
-    def leave(self, born):
-        self.lan.leave('gw-1', self.FINAL, incarnation=born)
+    def leave(self, incarnation):
+        self.lan.leave('gw-1', self.FINAL, incarnation=incarnation)
         self.lan.deliver()
 
     def is_usable(self):
         part = self.lan.parts['gw-2']
         return bool(part.usable('dieline-llm', self.lan.now))
 
-    @params(None, FIRST_BORN)
-    def test_one_that_left_comes_back(self, leaver):
+    @params(None, FIRST_START)
+    def test_a_server_that_left_restarts(self, leaving):
         """Guards against a restarted backend server never receiving work.
 
         It leaves and restarts with the same id a moment later. The leave is
         final for that start, but must not apply to the id.
         """
-        self.announce(self.FIRST_BORN, sequence=40)
-        self.leave(leaver)
+        self.announce(self.FIRST_START, sequence=40)
+        self.leave(leaving)
         self.assertFalse(self.is_usable())
-        self.announce(self.THEN_BORN)
+        self.announce(self.SECOND_START)
         self.assertTrue(self.is_usable())
 
-    def test_late_words_of_the_start_before_change_nothing(self):
+    def test_late_messages_of_the_previous_start_change_nothing(self):
         """Guards against marking a restarted backend server absent.
 
         It crashes and restarts; a heartbeat and the leave of the start before
         arrive after its first heartbeat. Their sequence numbers are higher.
         """
-        self.announce(self.FIRST_BORN, sequence=40)
-        self.announce(self.THEN_BORN)
-        self.announce(self.FIRST_BORN, sequence=41)
-        self.leave(self.FIRST_BORN)
+        self.announce(self.FIRST_START, sequence=40)
+        self.announce(self.SECOND_START)
+        self.announce(self.FIRST_START, sequence=41)
+        self.leave(self.FIRST_START)
         self.assertTrue(self.is_usable())
         held = self.lan.parts['gw-2'].backends_by_id['be-1']
-        self.assertEqual(self.THEN_BORN, held.announcement.incarnation)
+        self.assertEqual(self.SECOND_START, held.announcement.incarnation)
 
-    def test_a_late_leave_that_names_no_start_is_of_the_one_before(self):
-        self.announce(self.FIRST_BORN, sequence=40)
-        self.announce(self.THEN_BORN)
+    def test_an_early_leave_without_incarnation_is_of_the_previous_start(self):
+        self.announce(self.FIRST_START, sequence=40)
+        self.announce(self.SECOND_START)
         self.lan.now += presence.LATE_LEAVE_S - 0.5
-        self.announce(self.THEN_BORN, sequence=4)
+        self.announce(self.SECOND_START, sequence=4)
         self.leave(None)
         self.assertTrue(self.is_usable())
 
-    def test_a_leave_that_names_no_start_is_of_the_newest_later_on(self):
-        self.announce(self.FIRST_BORN, sequence=40)
-        self.announce(self.THEN_BORN)
+    def test_a_later_leave_without_incarnation_is_of_the_newest_start(self):
+        self.announce(self.FIRST_START, sequence=40)
+        self.announce(self.SECOND_START)
         self.lan.now += presence.LATE_LEAVE_S + 0.5
-        self.announce(self.THEN_BORN, sequence=9)
+        self.announce(self.SECOND_START, sequence=9)
         self.leave(None)
         self.assertFalse(self.is_usable())
 
-    def test_a_clock_that_was_put_back_shuts_nobody_out_for_good(self):
+    def test_a_clock_set_back_does_not_exclude_a_server_for_good(self):
         """Guards against a backend server receiving no work for an hour.
 
         Its clock is set back while it is down, so its new start has a lower
         incarnation. Its messages must not be rejected as stale for good.
         """
-        self.announce(self.THEN_BORN, sequence=40)
-        self.leave(self.THEN_BORN)
-        self.announce(self.FIRST_BORN)
+        self.announce(self.SECOND_START, sequence=40)
+        self.leave(self.SECOND_START)
+        self.announce(self.FIRST_START)
         self.assertFalse(self.is_usable())
         self.lan.pass_time(70.0)
-        self.announce(self.FIRST_BORN, sequence=50)
+        self.announce(self.FIRST_START, sequence=50)
         self.assertTrue(self.is_usable())
 
 
-class SilenceTest(unittest.TestCase):
+class HeartbeatOutageTest(unittest.TestCase):
     """Guards against refusing all requests while all backend servers work.
 
     All instances that receive heartbeats are down for 14 s; once they are
@@ -556,15 +556,15 @@
             instance_id='gw-1', lease_s=self.LEASE_S, outlasts_silence=True
         )
         for name in ('be-1', 'be-2'):
-            self.hear(name, sequence=1)
+            self.receive(name, sequence=1)
 
-    def hear(self, backend_id, sequence):
-        said = make_announcement(
+    def receive(self, backend_id, sequence):
+        announcement = make_announcement(
             backend_id=backend_id,
             sequence=sequence,
             url=f'http://{backend_id}',
         )
-        message = presence.Presented(announcement=said, age_s=0.0)
+        message = presence.Presented(announcement=announcement, age_s=0.0)
         self.part.handle(
             parts.Received(now=self.now, sender='gw-2', message=message)
         )
@@ -577,21 +577,21 @@
             for each in self.part.usable('dieline-llm', self.now)
         ]
 
-    def test_all_stay_while_nothing_is_heard_of_any(self):
+    def test_all_stay_present_while_no_message_arrives(self):
         for _ in range(7):
             self.assertEqual(self.usable(2.0), ['be-1', 'be-2'])
 
-    def test_and_go_on_from_there_once_one_is_heard(self):
+    def test_leases_resume_with_the_first_message(self):
         self.usable(14.0)
-        self.hear('be-1', sequence=2)
+        self.receive('be-1', sequence=2)
         self.assertEqual(self.usable(1.0), ['be-1', 'be-2'])
-        self.hear('be-1', sequence=3)
+        self.receive('be-1', sequence=3)
         self.assertEqual(self.usable(self.LEASE_S), ['be-1'])
 
-    def test_one_that_dies_alone_is_gone_as_before(self):
+    def test_a_single_dead_server_still_becomes_absent(self):
         for sequence in range(2, 6):
             self.now += 1.0
-            self.hear('be-1', sequence)
+            self.receive('be-1', sequence)
         self.assertEqual(self.usable(0.1), ['be-1'])
 
 
@@ -610,7 +610,7 @@
         ((0, 0), [(2, False)]),
         ((7,), [(2, True)]),
     )
-    def test_gaps_show(self, firsts, expected):
+    def test_gaps_are_reported(self, firsts, expected):
         lan = Lan('gw-1')
         lan.receive('gw-2', 'gw-1', present())
         for sequence, first in enumerate(firsts, start=2):
@@ -629,14 +629,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.lan = Lan('gw-1', 'gw-2')
-        self.said: list[typing.Any] = []
-        self.heard: dict[str, list[typing.Any]] = {'gw-1': [], 'gw-2': []}
+        self.sent: list[typing.Any] = []
+        self.received: dict[str, list[typing.Any]] = {'gw-1': [], 'gw-2': []}
 
     @stateful.rule(at=STAMPS, number=st.integers(1, 2))
     def announce(self, at, number):
         incarnation, sequence = at
         # Messages of one process with the same stamp are equal.
-        self.said.append(
+        self.sent.append(
             present(
                 backend_id=f'be-{number}',
                 incarnation=2 * incarnation + number,
@@ -647,7 +647,7 @@
     @stateful.rule(at=STAMPS, number=st.integers(1, 2))
     def leave(self, at, number):
         incarnation, sequence = at
-        self.said.append(
+        self.sent.append(
             make_departure(
                 sequence,
                 incarnation=2 * incarnation + number,
@@ -659,41 +659,41 @@
     def renew(self, at):
         incarnation, sequence = at
         renewal = make_renewal(sequence, incarnation=2 * incarnation + 1)
-        self.said.append(renewal)
+        self.sent.append(renewal)
 
-    @stateful.precondition(lambda self: self.said)
+    @stateful.precondition(lambda self: self.sent)
     @stateful.rule(data=st.data(), to=st.sampled_from(['gw-1', 'gw-2']))
     def deliver(self, data, to):
-        self.hear(to, data.draw(st.sampled_from(self.said)))
+        self.receive(to, data.draw(st.sampled_from(self.sent)))
 
     @stateful.invariant()
-    def nobody_who_left_gets_work(self):
-        for to, heard in self.heard.items():
+    def no_server_that_left_receives_work(self):
+        for to, received in self.received.items():
             for usable in self.lan.usable(to):
                 backend_id = usable.split('/')[0]
                 backend = self.lan.parts[to].backends_by_id[backend_id]
                 announced = backend.announcement
                 stamp = (announced.incarnation, announced.sequence)
-                assert stamp > last_leave(heard, backend_id), usable
+                assert stamp > last_leave(received, backend_id), usable
 
     def teardown(self):
-        for message in self.said:
-            self.hear('gw-1', message)
-        for message in reversed(self.said):
-            self.hear('gw-2', message)
-        self.nobody_who_left_gets_work()
+        for message in self.sent:
+            self.receive('gw-1', message)
+        for message in reversed(self.sent):
+            self.receive('gw-2', message)
+        self.no_server_that_left_receives_work()
         one, two = self.lan.usable('gw-1'), self.lan.usable('gw-2')
         assert one == two, (one, two)
 
-    def hear(self, to, message):
-        self.heard[to].append(message)
+    def receive(self, to, message):
+        self.received[to].append(message)
         self.lan.receive('gw-3', to, message)
 
 
-def last_leave(heard: list[typing.Any], backend_id: str) -> tuple[int, int]:
+def last_leave(received: list[typing.Any], backend_id: str) -> tuple[int, int]:
     departures = [
         departure
-        for message in heard
+        for message in received
         if isinstance(message, presence.PresenceBatch)
         for departure in message.departures
         if departure.backend_id == backend_id
@@ -703,7 +703,7 @@
 
 
 class AnyOrderTest(unittest.TestCase):
-    def test_any_order_converges_and_revives_nobody(self):
+    def test_any_order_converges_and_undoes_no_leave(self):
         stateful.run_state_machine_as_test(
             AnyOrder,
             settings=hypothesis.settings(
