--- a/dandeliongw/coordination/_backends.py
+++ b/dandeliongw/coordination/_backends.py
@@ -67,7 +67,7 @@
     cache_gaps: int = 0
 
 
-class _UrlHolder(msgspec.Struct, kw_only=True):
+class _Holder(msgspec.Struct, kw_only=True):
     """The process that was the last to start at an address.
 
     :param rank: order of its start; see :meth:`Backends._rank`.
@@ -100,7 +100,7 @@
         self.by_id: dict[str, Backend] = {}
         self._left_by_id: dict[str, Stamp] = {}
         self._forget_left_by_id: dict[str, float] = {}
-        self._holders_by_url: dict[str, _UrlHolder] = {}
+        self._holders_by_url: dict[str, _Holder] = {}
         self._first_seen_by_id: dict[str, int] = {}
         self._ids_seen = 0
         self._forget_at = 0.0
@@ -298,7 +298,7 @@
         is_held = holder is not None and now < holder.until
         if is_held and holder.rank >= self._rank(announcement):
             return []
-        self._holders_by_url[announcement.url] = _UrlHolder(
+        self._holders_by_url[announcement.url] = _Holder(
             rank=self._rank(announcement),
             backend_id=announcement.backend_id,
             until=now + self._lease_s + URL_RETENTION_S,
--- a/tests/network.py
+++ b/tests/network.py
@@ -1,7 +1,7 @@
-"""A few instances' reducers on a virtual clock, for tests of failures.
+"""The reducers of a few instances on a virtual clock, for failure tests.
 
-Messages arrive at once and syncs succeed at once, unless a test says
-otherwise: an instance can be cut off, frozen or crashed.
+Messages are delivered and syncs succeed immediately, unless a test isolates,
+freezes or crashes an instance.
 """
 
 import collections
@@ -18,16 +18,17 @@
 from tools import local
 
 TICK_S = 0.1
-#: More messages at one moment than this answer each other in a circle.
+#: Maximum deliveries at one moment; more indicate an endless loop of replies.
 MOST_DELIVERIES = 5000
 
 
 class Network:
-    """Instances named ``gw-1`` and on, all of them voters.
+    """Instances named ``gw-1``, ``gw-2`` and so on.
 
-    :param voters: the first so many form the register; all by default.
+    :param voters: number of instances, counted from the first, that are
+        voters of the register; all by default.
     :param most_voters: as in the settings.
-    :param timeouts: overrides of the settings' time-outs.
+    :param timeouts: overrides of the timeouts in the settings.
     """
 
     def __init__(
@@ -41,13 +42,15 @@
         self._voters = count if voters is None else voters
         self._most_voters = most_voters
         self.now = 1000.0
+        #: Isolated instances: all messages from and to them are lost.
         self.cut: set[str] = set()
+        #: Instances that handle no events, until they are started again.
         self.frozen: set[str] = set()
-        #: Tells which messages are lost, by sender, receiver and message.
+        #: Whether a message is lost, by sender, receiver and message.
         self.loses: typing.Callable = lambda sender, to, message: False
         self.reducers_by_id: dict[str, reducer.Reducer] = {}
         self.journals_by_id: dict[str, list] = collections.defaultdict(list)
-        #: Effects that left each reducer and that the network didn't take.
+        #: Effects of each reducer that the network does not perform itself.
         self.effects_by_id: dict[str, list] = collections.defaultdict(list)
         self._codec = wire.make_codec()
         self._timeouts = timeouts
@@ -58,7 +61,7 @@
             self.start(instance_id, disk_id=f'disk-{instance_id}')
 
     def start(self, instance_id: str, disk_id: str) -> None:
-        """Start an instance; its journal is restored if it has that disk."""
+        """Start an instance, restoring the journal of a disk."""
         self._starts += 1
         made = reducer.Reducer(
             settings=self._settings(instance_id),
@@ -101,7 +104,10 @@
         return settings.parse_settings(json.dumps(body).encode())
 
     def post(self, instance_id: str, event: typing.Any) -> list:
-        """Give an event to an instance; deliver all that comes of it."""
+        """Post an event to an instance; return the effects it led to there.
+
+        All messages that result from it are delivered first.
+        """
         before = len(self.effects_by_id[instance_id])
         self._handle(instance_id, event)
         self._deliver()
@@ -119,7 +125,10 @@
             self._deliver()
 
     def run_until(self, check: typing.Callable, limit_s: float) -> float:
-        """Let time pass until ``check()``; return how much it took."""
+        """Let time pass until ``check()``; return the seconds it took.
+
+        :raises AssertionError: if that is not within ``limit_s``.
+        """
         began = self.now
         while not check():
             if self.now - began >= limit_s:
@@ -148,7 +157,7 @@
             delivered.append((source, item))
             if len(delivered) > MOST_DELIVERIES:
                 last = '\n'.join(map(str, delivered[-6:]))
-                raise AssertionError(f'messages without end:\n{last}')
+                raise AssertionError(f'endless loop of messages:\n{last}')
             if isinstance(item, parts.Persisted):
                 self._handle(source, item)
                 continue
@@ -156,14 +165,15 @@
                 continue
             if self.loses(source, item.to, item.message):
                 continue
-            # Through bytes, so that what can't travel fails here.
+            # Encoded and decoded, so that a message that cannot be encoded
+            # fails here.
             message = self._codec.decode(*self._codec.encode(item.message))
             received = parts.Received(
                 now=self.now, sender=source, message=message
             )
             self._handle(item.to, received)
 
-    # What tests often need
+    # Helpers for common steps of tests
 
     def apply(self, instance_id: str, described: dict, change_id: str) -> None:
         """Apply a document and wait until it is in force everywhere."""
@@ -226,7 +236,7 @@
         )
 
     def owner_of(self, cell: str) -> str | None:
-        """Return who holds a cell's lease at this moment."""
+        """Return the instance that holds a cell's lease now, if any."""
         holders = [
             instance_id
             for instance_id, each in self.reducers_by_id.items()
--- a/tests/timeline.py
+++ b/tests/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time, for networks of tests whose messages take some of it."""
+"""A virtual clock, for simulated networks with message delays."""
 
 from collections import abc
 import heapq
@@ -7,7 +7,7 @@
 
 
 class Timeline:
-    """Calls that come due one after the other."""
+    """Function calls that are made in the order of their due times."""
 
     def __init__(self) -> None:
         self.now = 0.0
