--- a/dandeliongw/coordination/_cases.py
+++ b/dandeliongw/coordination/_cases.py
@@ -31,9 +31,10 @@
 #: wrongly, or has been fixed, is tried again from time to time.
 QUARANTINE_S = 600.0
 MAX_QUARANTINE_S = 3600.0
-#: Seconds for which the evidence on a call with fewer crashes is retained.
-#: Interactive clients retry for as long as they wait, which is seconds; jobs
-#: retry every few minutes.
+#: Seconds for which evidence is retained after the last crash, on a call with
+#: fewer than ``CRASHES_TO_QUARANTINE`` crashes that count. Interactive
+#: clients retry for as long as they wait, which is seconds; jobs retry every
+#: few minutes.
 EVIDENCE_RETENTION_S = 600.0
 #: Maximum calls with evidence, about 1 KB each.
 MAX_CASES = 2_000
--- a/dandeliongw/coordination/_comparison.py
+++ b/dandeliongw/coordination/_comparison.py
@@ -75,8 +75,8 @@
         self, now: float, sender: str, message: ViewPart
     ) -> list[typing.Any]:
         """Apply newer updates, and answer if the sender requests it."""
-        # Built before any update is applied: the answer must tell the sender
-        # if it was suspected or dead here.
+        # Built before any update is applied: the answer must report to the
+        # sender that it was suspected or dead here.
         answer: list[typing.Any] = []
         if message.buckets:
             answer = self._parts_to(
@@ -140,14 +140,14 @@
         ]
         with_info = full or len(members) <= PART_ITEMS
         updates = [_update_of(member, with_info) for member in members]
-        doubt = self._view.state_to_refute(other)
+        to_refute = self._view.state_to_refute(other)
         effects = []
         for start in range(0, max(1, len(updates)), PART_ITEMS):
             is_last = start + PART_ITEMS >= len(updates)
             message = ViewPart(
                 news=tuple(updates[start : start + PART_ITEMS]),
                 buckets=wanted if is_last else (),
-                doubt=doubt,
+                doubt=to_refute,
                 full=self._view.is_info_missing,
             )
             effects.append(parts.Send(to=other, message=message))
--- a/dandeliongw/coordination/_membership_view.py
+++ b/dandeliongw/coordination/_membership_view.py
@@ -108,11 +108,11 @@
             # and must not spread verdicts made during it.
             return ()
         count = len(self.roster.present_ids)
-        news = self.gossip_queue.take(self.roster.members_by_id, count)
-        doubt = self.state_to_refute(other)
-        if doubt is not None:
-            news.insert(0, doubt)
-        return tuple(news)
+        updates = self.gossip_queue.take(self.roster.members_by_id, count)
+        to_refute = self.state_to_refute(other)
+        if to_refute is not None:
+            updates.insert(0, to_refute)
+        return tuple(updates)
 
     # Timers.
 
@@ -191,7 +191,7 @@
     def apply_updates(
         self,
         now: float,
-        news: tuple[MemberNews, ...],
+        updates: tuple[MemberNews, ...],
         *,
         spread: bool = True,
     ) -> list[typing.Any]:
@@ -200,7 +200,7 @@
         :param spread: whether to gossip those that changed the view.
         """
         effects: list[typing.Any] = []
-        for item in news:
+        for item in updates:
             if item.instance_id == self.own.instance_id:
                 effects += self._apply_own_update(now, item)
             else:
--- a/dandeliongw/coordination/_probing.py
+++ b/dandeliongw/coordination/_probing.py
@@ -100,20 +100,20 @@
         source.shuffle(self._round)
         return self._round.pop() if self._round else None
 
-    def watched(self, own_id: str, living: abc.Iterable[str]) -> list[str]:
+    def watched(self, own_id: str, alive_ids: abc.Iterable[str]) -> list[str]:
         """Return the members that this instance probes in every period.
 
         All instances are placed on a hash ring by their ids, and each
-        watches those that follow it. So every member is watched as long as
-        any other is alive, and neighbours on the ring are rarely in the same
-        data centre.
+        watches the ``WATCHED_MEMBERS`` that follow it. So every member is
+        watched as long as any other is alive, and neighbours on the ring are
+        rarely in the same data centre.
 
-        :param living: ids of alive members; may include this instance.
+        :param alive_ids: ids of alive members; may include this instance.
         """
         own_place = _ring_place(own_id)
         return heapq.nsmallest(
             WATCHED_MEMBERS,
-            (each for each in living if each != own_id),
+            (each for each in alive_ids if each != own_id),
             key=lambda each: (
                 (_ring_place(each) - own_place) % _RING_SIZE,
                 each,
--- a/dandeliongw/coordination/membership.py
+++ b/dandeliongw/coordination/membership.py
@@ -74,7 +74,7 @@
     'ViewPart',
 ]
 
-#: Seconds between two probes of an instance.
+#: Seconds between two probes sent by one instance.
 PERIOD_S = 1.0
 #: Periods within which all live instances suspect a lost instance: one until
 #: the member assigned to it probes it, one for the verdict, and the time in
@@ -108,8 +108,9 @@
 #: would open 53 connections each in the first second.
 DISCOVERY_FANOUT = 3
 #: Seconds for which dead and left members are retained. This is longer than
-#: partitions between regions last: an instance that was partitioned still has
-#: a member that left meanwhile as alive, and gossips that once reconnected.
+#: partitions between regions last: an instance that was partitioned that long
+#: still has a member alive that left meanwhile, and gossips this once it
+#: reconnects.
 MEMORY_S = 24 * 3600.0
 
 
--- a/dandeliongw/coordination/presence.py
+++ b/dandeliongw/coordination/presence.py
@@ -129,7 +129,7 @@
     """A leave that is still being repeated.
 
     :param until: when to stop including it in batches.
-    :param tell_at: when to send it to all instances again; empty if another
+    :param next_sends: when to send it to all instances again; empty if another
         instance received it first.
     """
 
--- a/dandeliongw/coordination/quarantine.py
+++ b/dandeliongw/coordination/quarantine.py
@@ -13,11 +13,12 @@
 found by comparing checksums with two other instances a second, which costs
 nothing while there is no evidence.
 
-Three crashes of different server starts quarantine a call, except where
-another call explains them or ran on the same servers; see :mod:`._cases`. A
-run that succeeds clears the crashes known by then, and those within a moment
-after it. Nothing is persisted: after a loss of all instances a call has to
-crash three backend servers again.
+Three crashes of different server starts quarantine a call. If a quarantined
+call explains some of them, or another call ran on the same servers, it takes
+four that did not all happen at one moment; see :mod:`._cases`. A run that
+succeeds clears the crashes known by then, and those within a moment after it.
+Nothing is persisted: after a loss of all instances a call has to crash three
+backend servers again.
 
 A quarantined call has no runs that could clear it. Therefore one request at a
 time is let through as a trial, see :mod:`._trials`.
@@ -221,8 +222,10 @@
         if aggregator == self.instance_id:
             is_granted = self._grant(event.now, event.fingerprint)
             return [parts.Complete(ticket=event.ticket, result=is_granted)]
-        asked = TrialAsked(fingerprint=event.fingerprint, ticket=event.ticket)
-        return [parts.Send(to=aggregator, message=asked)]
+        request = TrialAsked(
+            fingerprint=event.fingerprint, ticket=event.ticket
+        )
+        return [parts.Send(to=aggregator, message=request)]
 
     def _grant(self, now: float, fingerprint: str) -> bool:
         case = self._cases.by_fingerprint.get(fingerprint)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -135,19 +135,19 @@
         )
 
     def _deliver(self) -> None:
-        kept = []
+        undelivered = []
         while self._inbox and self._inbox[0][0] <= self.now:
             item = heapq.heappop(self._inbox)
             at, _, sender, to, encoded = item
             if to in self.frozen:
-                kept.append(item)
+                undelivered.append(item)
                 continue
             message = CODEC.decode(*encoded)
             self.handle(
                 to,
                 parts.Received(now=self.now, sender=sender, message=message),
             )
-        for item in kept:
+        for item in undelivered:
             heapq.heappush(self._inbox, item)
 
 
@@ -742,8 +742,8 @@
             one.probe()  # The retry of the same probe.
             await one.until(lambda: one.acks() == 2)
             one.tick(0.8)  # Past the verdict.
-            doubted = [m for m in one.changes if m.state.name != 'ALIVE']
-            self.assertEqual([], doubted)
+            suspected = [m for m in one.changes if m.state.name != 'ALIVE']
+            self.assertEqual([], suspected)
             self.assertEqual([1, 1], [one.reconnects, two.reconnects])
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -44,7 +44,7 @@
         self.out = self.part.handle(event)
         return self.out
 
-    def end(self, backend_id, *fingerprints, incarnation=1, after_s=1.0):
+    def crash(self, backend_id, *fingerprints, incarnation=1, after_s=1.0):
         """Report the crash of a backend server under each of some calls."""
         self.now += after_s
         for fingerprint in fingerprints:
@@ -69,10 +69,10 @@
     """Which evidence quarantines a call, and which does not."""
 
     def test_three_crashes_quarantine_a_call(self):
-        self.end('a', BAD)
-        self.end('b', BAD)
+        self.crash('a', BAD)
+        self.crash('b', BAD)
         self.assertEqual(0.0, self.held_s())
-        self.end('c', BAD)
+        self.crash('c', BAD)
         (held,) = self.out
         self.assertEqual(('a', 'b', 'c'), held.backend_ids)
         self.assertEqual(('gw-1',), held.told_by)
@@ -80,33 +80,33 @@
         self.assertEqual(0.0, self.held_s('other'))
 
     def test_a_start_counts_once_and_the_next_start_again(self):
-        self.end('a', BAD, BAD)
-        self.end('a', BAD)
+        self.crash('a', BAD, BAD)
+        self.crash('a', BAD)
         self.assertEqual(0.0, self.held_s())
-        self.end('a', BAD, incarnation=2)
-        self.end('a', BAD, incarnation=3)
+        self.crash('a', BAD, incarnation=2)
+        self.crash('a', BAD, incarnation=3)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_rack_that_loses_power_quarantines_nothing(self):
         """Guards against refusing harmless calls for minutes."""
         calls = [f'call-{number}' for number in range(50)]
-        self.end('a', *calls)
+        self.crash('a', *calls)
         for backend_id in ('b', 'c', 'd'):
-            self.end(backend_id, *calls, after_s=0.05)
+            self.crash(backend_id, *calls, after_s=0.05)
         self.assertFalse(any(self.held_s(each) for each in calls))
 
     def test_crashes_under_one_call_at_one_moment_quarantine_it(self):
         """Guards against servers crashing again as soon as they are back."""
-        self.end('a', BAD, 'near')
+        self.crash('a', BAD, 'near')
         for backend_id in ('b', 'c'):
-            self.end(backend_id, BAD, after_s=0.02)
+            self.crash(backend_id, BAD, after_s=0.02)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_successful_run_clears_simultaneous_crashes(self):
         """A harmless call may run on all servers of a rack that is lost."""
-        self.end('a', BAD)
+        self.crash('a', BAD)
         for backend_id in ('b', 'c'):
-            self.end(backend_id, BAD, after_s=0.02)
+            self.crash(backend_id, BAD, after_s=0.02)
         self.succeed(BAD)
         (released,) = [
             each for each in self.out if isinstance(each, quarantine.Released)
@@ -116,14 +116,14 @@
 
     def test_calls_beside_a_bad_call_are_not_quarantined(self):
         """Guards against refusing calls that ran beside a bad one."""
-        self.end('a', BAD, 'near', 'far')
-        self.end('b', BAD, 'near')
-        self.end('c', BAD)
+        self.crash('a', BAD, 'near', 'far')
+        self.crash('b', BAD, 'near')
+        self.crash('c', BAD)
         self.assertGreater(self.held_s(), 0.0)
         # The bad call explains its first two crashes.
-        self.end('d', 'near')
+        self.crash('d', 'near')
         self.assertEqual(0.0, self.held_s('near'))
-        self.end('e', 'near')
+        self.crash('e', 'near')
         self.assertGreater(self.held_s('near'), 0.0)
 
     def test_a_quarantined_call_beside_a_bad_one_does_not_hide_it(self):
@@ -131,51 +131,51 @@
 
         A quarantined call that ran beside it explains its first crashes.
         """
-        self.end('a', BAD, 'near')
-        self.end('b', BAD, 'near')
-        self.end('x', 'worse', 'near')
+        self.crash('a', BAD, 'near')
+        self.crash('b', BAD, 'near')
+        self.crash('x', 'worse', 'near')
         self.assertGreater(self.held_s('near'), 0.0)
-        self.end('c', BAD)
-        self.end('d', BAD)
+        self.crash('c', BAD)
+        self.crash('d', BAD)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_call_that_only_ran_beside_a_quarantined_one_is_not(self):
         for backend_id in ('a', 'b', 'c', 'd'):
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         for backend_id in ('a', 'b', 'c', 'd'):
-            self.end(backend_id, 'near', after_s=0.0)
+            self.crash(backend_id, 'near', after_s=0.0)
         self.assertEqual(0.0, self.held_s('near'))
 
     def test_two_calls_on_the_same_servers_need_one_more_crash(self):
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD, 'near')
+            self.crash(backend_id, BAD, 'near')
         self.assertEqual([0.0, 0.0], [self.held_s(), self.held_s('near')])
-        self.end('d', BAD)
+        self.crash('d', BAD)
         self.assertGreater(self.held_s(), 0.0)
         self.assertEqual(0.0, self.held_s('near'))
 
     def test_a_successful_run_clears_earlier_crashes(self):
-        self.end('a', BAD)
-        self.end('b', BAD)
+        self.crash('a', BAD)
+        self.crash('b', BAD)
         self.succeed(BAD)
-        self.end('c', BAD)
+        self.crash('c', BAD)
         self.assertEqual(0.0, self.held_s())
-        self.end('d', BAD)
-        self.end('e', BAD)
+        self.crash('d', BAD)
+        self.crash('e', BAD)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_each_further_crash_doubles_the_quarantine(self):
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         self.now += _cases.QUARANTINE_S + 1.0
         (released,) = self.handle(parts.Ticked(now=self.now, entropy=1))
         self.assertEqual(BAD, released.fingerprint)
         self.assertEqual(0.0, self.held_s())
-        self.end('d', BAD)
+        self.crash('d', BAD)
         self.assertEqual(2 * _cases.QUARANTINE_S, self.held_s())
 
     def test_a_single_crash_expires(self):
-        self.end('a', BAD)
+        self.crash('a', BAD)
         self.now += _cases.EVIDENCE_RETENTION_S
         self.handle(parts.Ticked(now=self.now, entropy=1))
         self.assertTrue(self.part.is_empty)
@@ -198,8 +198,8 @@
         The bad call would run again.
         """
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD)
-        self.end('x', *(f'call-{n}' for n in range(_cases.MAX_CASES + 5)))
+            self.crash(backend_id, BAD)
+        self.crash('x', *(f'call-{n}' for n in range(_cases.MAX_CASES + 5)))
         self.now += quarantine.COMPARE_S
         self.handle(parts.Ticked(now=self.now, entropy=1))
         self.assertEqual(_cases.MAX_CASES, len(self.part.cases()))
@@ -217,7 +217,7 @@
     #: Sorts before the names of the bad calls.
     NEAR = 'a harmless one'
 
-    def run_well(self, fingerprint, before_s=0.2):
+    def record_success(self, fingerprint, before_s=0.2):
         """Record a successful run, that long before the next crash."""
         self.part.successes.record(self.now + 1.0 - before_s, fingerprint)
 
@@ -230,50 +230,50 @@
         self.assertEqual('t', answer.ticket)
         return answer.result
 
-    def crash_beside(self, *backend_ids):
+    def crash_under_both(self, *backend_ids):
         """Report crashes under the harmless and a different bad call each."""
         for number, backend_id in enumerate(backend_ids):
-            self.end(backend_id, f'bad-{number}', self.NEAR)
+            self.crash(backend_id, f'bad-{number}', self.NEAR)
 
     def test_a_call_that_succeeds_elsewhere_is_never_quarantined(self):
         for backend_id in 'abcdef':
-            self.run_well(self.NEAR)
-            self.end(backend_id, BAD, self.NEAR)
+            self.record_success(self.NEAR)
+            self.crash(backend_id, BAD, self.NEAR)
             self.assertEqual(0.0, self.held_s(self.NEAR))
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_beside_one_bad_call_after_another(self):
+    def test_different_bad_calls_do_not_quarantine_a_harmless_one(self):
         for round_ in range(3):
-            self.run_well(self.NEAR)
-            self.crash_beside(*(f'{each}{round_}' for each in 'abc'))
+            self.record_success(self.NEAR)
+            self.crash_under_both(*(f'{each}{round_}' for each in 'abc'))
             self.assertEqual(0.0, self.held_s(self.NEAR))
 
     def test_simultaneous_crashes_blame_only_the_bad_call(self):
-        self.run_well(self.NEAR)
-        self.end('a', BAD, self.NEAR)
+        self.record_success(self.NEAR)
+        self.crash('a', BAD, self.NEAR)
         for backend_id in 'bc':
-            self.end(backend_id, BAD, self.NEAR, after_s=0.02)
+            self.crash(backend_id, BAD, self.NEAR, after_s=0.02)
         self.assertEqual(0.0, self.held_s(self.NEAR))
         self.assertGreater(self.held_s(), 0.0)
 
     def test_an_earlier_successful_run_does_not_clear_crashes(self):
         """A new server version may crash under calls that succeeded before."""
-        self.run_well(BAD, before_s=1.1)
+        self.record_success(BAD, before_s=1.1)
         for backend_id in 'abc':
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_successful_run_does_not_clear_later_crashes(self):
-        """A call that turns bad then crashes at most two more servers."""
-        self.run_well(BAD, before_s=1.0)
+        """A call that turns bad later crashes at most two more servers."""
+        self.record_success(BAD, before_s=1.0)
         for backend_id in 'abc':
-            self.end(backend_id, BAD, after_s=0.4)
-        self.end('d', BAD, after_s=0.4)
-        self.end('e', BAD, after_s=0.4)
+            self.crash(backend_id, BAD, after_s=0.4)
+        self.crash('d', BAD, after_s=0.4)
+        self.crash('e', BAD, after_s=0.4)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_a_rare_call_gets_a_trial_once_the_servers_are_back(self):
-        self.crash_beside('a', 'b', 'c')
+        self.crash_under_both('a', 'b', 'c')
         self.assertGreater(self.held_s(self.NEAR), 0.0)
         self.assertFalse(self.request_trial())
         self.now = self.part.trial_at(self.NEAR)
@@ -283,7 +283,7 @@
         self.assertEqual(0.0, self.held_s(self.NEAR))
 
     def test_one_trial_runs_at_a_time(self):
-        self.crash_beside('a', 'b', 'c')
+        self.crash_under_both('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
         self.assertEqual(
             [True, False, False], [self.request_trial() for _ in range(3)]
@@ -293,14 +293,14 @@
 
     def test_a_trial_whose_client_disconnects_is_not_the_last(self):
         """Guards against a client blocking trials by disconnecting."""
-        self.crash_beside('a', 'b', 'c')
+        self.crash_under_both('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
         self.assertTrue(self.request_trial())
         self.now += 6.0
         self.assertTrue(self.request_trial())
 
     def test_a_trial_that_crashes_a_server_is_the_last(self):
-        self.crash_beside('a', 'b', 'c')
+        self.crash_under_both('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
         self.assertTrue(self.request_trial())
         self.handle(
@@ -318,7 +318,7 @@
         self.assertGreater(self.held_s(self.NEAR), _cases.QUARANTINE_S)
 
     def test_a_call_that_is_not_quarantined_gets_no_trial(self):
-        self.end('a', self.NEAR)
+        self.crash('a', self.NEAR)
         self.now += 60.0
         self.assertIsNone(self.part.trial_at(self.NEAR))
         self.assertFalse(self.request_trial())
@@ -341,7 +341,7 @@
 
     def test_it_is_released_with_a_name_and_a_reason(self):
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         known, released = self.lift(BAD)
         self.assertTrue(known.result)
         self.assertEqual(BAD, released.fingerprint)
@@ -351,7 +351,7 @@
         self.assertEqual('ann', case.lifted.operator)
         # Three further crashes quarantine it again.
         for backend_id in ('d', 'e', 'f'):
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
 
     def test_lifting_an_unknown_call(self):
@@ -416,7 +416,7 @@
         self.handle(instance_id, parts.Ticked(now=self.now, entropy=entropy))
         self._later(0.2, self._tick, instance_id)
 
-    def end(self, instance_id: str, backend_id: str) -> None:
+    def crash(self, instance_id: str, backend_id: str) -> None:
         self.handle(
             instance_id,
             quarantine.Ended(
@@ -444,7 +444,7 @@
 
     def crash_three(self):
         for number, backend_id in enumerate(('a', 'b', 'c')):
-            self.instances.end(f'gw-{number * 9}', backend_id)
+            self.instances.crash(f'gw-{number * 9}', backend_id)
             self.instances.run(0.4)
 
     def test_crashes_seen_by_three_instances_add_up_everywhere(self):
@@ -458,7 +458,7 @@
         instances = Instances(count=80, loss=0.1, seed=seed)
         instances.run(2.0)
         for number in range(3):
-            instances.end(f'gw-{number * 9}', f'server-{number}')
+            instances.crash(f'gw-{number * 9}', f'server-{number}')
         # Two hops of 80 ms at most, and once more for what was lost.
         instances.run(0.5)
         self.assertEqual([], instances.not_quarantining())
@@ -496,7 +496,7 @@
             part = self.instances.parts_by_id[instance_id]
             part.successes.record(self.instances.now, BAD)
         for number in range(2):
-            self.instances.end(f'gw-{number}', f'server-{number}')
+            self.instances.crash(f'gw-{number}', f'server-{number}')
         self.instances.run(0.5)
         # Two crashes and one clearing are each broadcast by an instance and
         # the aggregators. Each instance notifies the aggregators once, and
@@ -522,7 +522,7 @@
         """Guards against running a quarantined call right after a start."""
         instances = Instances(count=80, loss=0.0, seed=7)
         for number in range(3):
-            instances.end(f'gw-{number}', f'server-{number}')
+            instances.crash(f'gw-{number}', f'server-{number}')
         instances.run(5.0)
         instances.begin('gw-40')
         # A request and its answer, of at most 80 ms each.
@@ -541,15 +541,15 @@
     def test_a_single_crash_is_sent_to_the_aggregators_only(self):
         """Guards against blocking control loops for tenths of a second."""
         sent = self.instances.sent
-        self.instances.end('gw-1', 'a')
+        self.instances.crash('gw-1', 'a')
         self.assertLessEqual(
             self.instances.sent - sent, quarantine.AGGREGATORS
         )
 
     def test_a_second_crash_is_broadcast(self):
-        self.instances.end('gw-1', 'a')
+        self.instances.crash('gw-1', 'a')
         self.instances.run(0.1)
-        self.instances.end('gw-2', 'b')
+        self.instances.crash('gw-2', 'b')
         self.instances.run(0.3)
         informed = [
             each
@@ -569,7 +569,7 @@
 
     def test_removed_evidence_does_not_circulate(self):
         instances = Instances(count=8, loss=0.1, seed=7)
-        instances.end('gw-1', 'a')
+        instances.crash('gw-1', 'a')
         instances.run(_cases.EVIDENCE_RETENTION_S + 5.0)
         left = [
             each
