--- a/dandeliongw/coordination/_backends.py
+++ b/dandeliongw/coordination/_backends.py
@@ -86,8 +86,8 @@
         receives no work.
     :param memory_s: seconds for which leaves and expired backend servers are
         retained.
-    :param outlasts_silence: whether leases are suspended while no message
-        about any backend server arrives.
+    :param outlasts_silence: whether leases are suspended while no
+        announcement or renewal of any backend server arrives.
     """
 
     def __init__(
@@ -115,7 +115,9 @@
     def remove_former(
         self, now: float, announcement: BackendAnnouncement
     ) -> None:
-        """Remove a start whose lease ended long ago, for a lower incarnation.
+        """Remove a start, or its leave, that a new lower start must replace.
+
+        It must have ended at least ``LOWER_START_AFTER_S`` ago.
 
         The clock of a backend server may be set back between two starts.
         Without this, announcements of the new start would be rejected as
@@ -201,7 +203,7 @@
         return [] if held is None else self._refresh(now, held)
 
     def on_message(self, now: float) -> None:
-        """Record that a message about some backend server arrived.
+        """Record that an announcement or a renewal arrived.
 
         There may have been none before it because whatever carries the
         heartbeats was down. No backend server is known to have ended in that
@@ -290,9 +292,9 @@
     ) -> list[typing.Any]:
         """Assign an address to the process that was the last to start there.
 
-        A process may start at the address of one that died. Otherwise an old
-        announcement of the dead process would send its requests to a process
-        that serves something else.
+        A process may start at the address of one that died. Without this, an
+        old announcement of the dead process would send its requests to a
+        process that serves something else.
         """
         holder = self._holders_by_url.get(announcement.url)
         is_held = holder is not None and now < holder.until
