--- a/dandeliongw/coordination/_backends.py
+++ b/dandeliongw/coordination/_backends.py
@@ -1,14 +1,14 @@
-"""What a dispatching instance holds of each backend server.
+"""The table of backend servers at a dispatching instance.
 
 For each backend server the highest announcement and the highest leave are
 kept, ordered by ``(incarnation, sequence)``. It is present while the
-announcement is the higher one, its lease runs, and no other process has
-started at its address since. All of these only grow, so any order and
-doubling of messages ends in the same state.
+announcement is the higher of the two, its lease runs, and no other process
+has started at its address since. All of these only grow, so the state
+converges whatever the order of messages and however often they arrive.
 
-A renewal moves neither: one that overtakes a leave would otherwise make the
-leave look old, and a backend server that has left would get work until its
-last renewal has run out.
+A renewal raises neither. Otherwise a renewal that overtakes a leave would
+make the leave look stale, and a backend server that has left would receive
+work until the lease from its last renewal expires.
 """
 
 import math
@@ -25,33 +25,36 @@
 from ._presence_messages import CacheHints
 
 Stamp = tuple[int, int]
-#: Before all that a backend server can say.
+#: Lower than any stamp of a message of a backend server.
 NEVER: Stamp = (-1, -1)
-#: Seconds after the end of a lease in which its address is not given to a
-#: process with a lower incarnation.
-URL_MEMORY_S = 60.0
+#: Seconds after the end of a lease during which the address of a backend
+#: server is not reassigned to a process with a lower incarnation.
+URL_RETENTION_S = 60.0
 #: Seconds after the end of a lease from which a lower incarnation counts as a
-#: new start: longer than heartbeats are late by. Incarnations may come from a
-#: clock that is put back while a backend server is down.
+#: new start. This is longer than heartbeats can be delayed. Incarnations may
+#: be derived from a clock that is set back while a backend server is down.
 LOWER_START_AFTER_S = 60.0
-#: Seconds between two looks for what may be forgotten.
+#: Seconds between two removals of expired entries.
 FORGET_PERIOD_S = 30.0
 
 
 def stamp(
-    said: BackendAnnouncement | BackendRenewal | BackendDeparture,
+    message: BackendAnnouncement | BackendRenewal | BackendDeparture,
 ) -> Stamp:
-    """Return the order of what one backend server said."""
-    return said.incarnation, said.sequence
+    """Return the key that orders the messages of one backend server."""
+    return message.incarnation, message.sequence
 
 
 class Backend(msgspec.Struct, kw_only=True):
     """A backend server that was announced to this instance.
 
-    :param lease_until: seconds of this instance's own clock.
-    :param load: the last report, or ``None``.
-    :param load_at: when it was received first, on this instance's clock.
-    :param cache_gaps: times that cache events were lost.
+    :param lease_until: when its lease ends, on this instance's clock.
+    :param renewed: stamp of the last message that renewed it.
+    :param load: the last load report, or ``None``.
+    :param load_at: when an instance first received that report, on this
+        instance's clock.
+    :param next_cache_event: number that the next cache event should have.
+    :param cache_gaps: number of times that cache events were lost.
     """
 
     announcement: BackendAnnouncement
@@ -65,7 +68,11 @@
 
 
 class _Holder(msgspec.Struct, kw_only=True):
-    """The process that was the last to start at an address."""
+    """The process that was the last to start at an address.
+
+    :param rank: order of its start; see :meth:`Backends._rank`.
+    :param until: until when a process with a lower rank is refused.
+    """
 
     rank: tuple[int, int]
     backend_id: str
@@ -75,42 +82,46 @@
 class Backends:
     """The table of backend servers, their leases and the leaves.
 
-    :param lease_s: seconds without renewal after which one gets no work.
-    :param memory_s: seconds that leaves and expired ones are remembered.
-    :param outlasts_silence: whether leases stand still while no backend
-        server at all is heard of.
+    :param lease_s: seconds without renewal after which a backend server
+        receives no work.
+    :param memory_s: seconds for which leaves and expired backend servers are
+        retained.
+    :param outlasts_silence: whether leases are suspended while no
+        announcement or renewal of any backend server arrives.
     """
 
     def __init__(
         self, *, lease_s: float, memory_s: float, outlasts_silence: bool
     ) -> None:
-        self._quiet_s = lease_s / 2 if outlasts_silence else math.inf
-        self._heard_at: float | None = None
+        self._suspend_after_s = lease_s / 2 if outlasts_silence else math.inf
+        self._received_at: float | None = None
         self._lease_s = lease_s
         self._memory_s = memory_s
         self.by_id: dict[str, Backend] = {}
         self._left_by_id: dict[str, Stamp] = {}
         self._forget_left_by_id: dict[str, float] = {}
         self._holders_by_url: dict[str, _Holder] = {}
-        self._arrivals_by_id: dict[str, int] = {}
-        self._arrivals = 0
+        self._first_seen_by_id: dict[str, int] = {}
+        self._ids_seen = 0
         self._forget_at = 0.0
-        #: No lease ends before this. A renewal only puts its own end off, so
-        #: this is looked at anew no sooner than it comes.
+        #: Lower bound of the end of all running leases. Renewals only extend
+        #: leases, so it need not be recomputed before that time.
         self._next_end = math.inf
 
     def left(self, backend_id: str) -> Stamp:
         """Return the highest leave of a backend server."""
         return self._left_by_id.get(backend_id, NEVER)
 
-    def forget_former(
+    def remove_former(
         self, now: float, announcement: BackendAnnouncement
     ) -> None:
-        """Forget a start that has long been silent, if a lower one comes.
+        """Remove a start, or its leave, that a new lower start must replace.
 
-        The clock of a backend server may be put back between two starts.
-        Held against the former start, the new one would be taken for an old
-        word of it and get no work for an hour.
+        It must have ended at least ``LOWER_START_AFTER_S`` ago.
+
+        The clock of a backend server may be set back between two starts.
+        Without this, announcements of the new start would be rejected as
+        stale, and it would receive no work for an hour.
         """
         backend_id = announcement.backend_id
         since = now - LOWER_START_AFTER_S
@@ -125,34 +136,42 @@
             return
         if held.announcement.incarnation > announcement.incarnation:
             del self.by_id[backend_id]
-            self._give_up_url(held)
+            self._release_url(held)
 
     def announce(
         self, now: float, announcement: BackendAnnouncement, age_s: float
     ) -> list[typing.Any]:
-        """Take an announcement, unless something newer is known."""
-        self.forget_former(now, announcement)
-        replaced = self._claim_url(now, announcement)
+        """Apply an announcement, unless a newer one is known.
+
+        :param age_s: seconds since its front last received a message of the
+            backend server; its lease counts from then.
+        """
+        self.remove_former(now, announcement)
+        replaced = self._assign_url(now, announcement)
         held = self.by_id.get(announcement.backend_id)
         if held is not None and stamp(announcement) <= stamp(
             held.announcement
         ):
             return replaced
         effects = []
-        if held is not None and held.present and _is_other(held, announcement):
+        if (
+            held is not None
+            and held.present
+            and _is_new_start(held, announcement)
+        ):
             effects.append(self._changed(held, present=False))
         backend = self._put(now, announcement, age_s, held)
         refreshed = self._refresh(now, backend)
         if not refreshed and backend.present and _is_altered(held, backend):
-            # It goes on under its id in another role, or with other slots.
-            # Without news of that its cell would send it the wrong work.
+            # The same start changed its role or its slots. Without this
+            # effect its cell would send it the wrong work.
             refreshed = [self._changed(backend, present=True)]
         return effects + replaced + refreshed
 
     def renew(
         self, now: float, renewal: BackendRenewal
     ) -> list[typing.Any] | None:
-        """Take a renewal; ``None`` when its announcement is not known."""
+        """Apply a renewal; return ``None`` if its announcement is unknown."""
         held = self.by_id.get(renewal.backend_id)
         if held is None or held.announcement.incarnation < renewal.incarnation:
             has_left = stamp(renewal) <= self.left(renewal.backend_id)
@@ -162,7 +181,7 @@
         held.renewed = stamp(renewal)
         received_at = now - renewal.age_s
         held.lease_until = max(held.lease_until, received_at + self._lease_s)
-        self._keep_url(held)
+        self._extend_url(held)
         if renewal.load is not None:
             held.load = renewal.load
             held.load_at = received_at
@@ -174,7 +193,7 @@
     def leave(
         self, now: float, departure: BackendDeparture
     ) -> list[typing.Any]:
-        """Take a leave and remember it."""
+        """Apply a leave and retain it."""
         backend_id = departure.backend_id
         if stamp(departure) <= self.left(backend_id):
             return []
@@ -183,28 +202,28 @@
         held = self.by_id.get(backend_id)
         return [] if held is None else self._refresh(now, held)
 
-    def hear(self, now: float) -> None:
-        """Note that news of some backend server came.
+    def on_message(self, now: float) -> None:
+        """Record that an announcement or a renewal arrived.
 
-        Before this all may have been silent, for what carries their
-        heartbeats was down. Nothing is known to have ended meanwhile: the
-        leases go on from where they stood, or all that is there would look
-        gone until each has been heard of again.
+        There may have been none before it because whatever carries the
+        heartbeats was down. No backend server is known to have ended in that
+        time, so the leases resume from where they were suspended. Otherwise
+        all backend servers would be absent until the next renewal of each.
         """
-        silent_s = self._silent_s(now)
-        self._heard_at = now
-        if silent_s > 0.0:
+        suspended_s = self._suspended_s(now)
+        self._received_at = now
+        if suspended_s > 0.0:
             for backend in self.by_id.values():
-                backend.lease_until += silent_s
+                backend.lease_until += suspended_s
 
-    def _silent_s(self, now: float) -> float:
-        """Return for how long leases have been standing still."""
-        if self._heard_at is None:
+    def _suspended_s(self, now: float) -> float:
+        """Return for how many seconds leases have been suspended."""
+        if self._received_at is None:
             return 0.0
-        return max(0.0, now - self._heard_at - self._quiet_s)
+        return max(0.0, now - self._received_at - self._suspend_after_s)
 
     def expire(self, now: float) -> list[typing.Any]:
-        """End the leases that have run out; forget what is old enough."""
+        """End expired leases; remove entries whose retention is over."""
         effects = []
         if now >= self._next_end:
             effects = self._end_leases(now)
@@ -234,12 +253,12 @@
                 del self._left_by_id[backend_id]
         self._forget_urls(now)
 
-    def may_work(self, backend: Backend, now: float) -> bool:
-        """Return whether it may get work at this moment."""
+    def may_receive_work(self, backend: Backend, now: float) -> bool:
+        """Return whether a backend server may receive work now."""
         announcement = backend.announcement
         return (
             stamp(announcement) > self.left(announcement.backend_id)
-            and now - self._silent_s(now) < backend.lease_until
+            and now - self._suspended_s(now) < backend.lease_until
             and self._holders_by_url[announcement.url].rank
             == self._rank(announcement)
         )
@@ -256,7 +275,7 @@
             lease_until=now - age_s + self._lease_s,
             renewed=stamp(announcement),
         )
-        if held is not None and not _is_other(held, announcement):
+        if held is not None and not _is_new_start(held, announcement):
             backend.present = held.present
             backend.renewed = max(held.renewed, backend.renewed)
             backend.lease_until = max(held.lease_until, backend.lease_until)
@@ -268,14 +287,14 @@
         self.by_id[announcement.backend_id] = backend
         return backend
 
-    def _claim_url(
+    def _assign_url(
         self, now: float, announcement: BackendAnnouncement
     ) -> list[typing.Any]:
-        """Give the address to the process that was the last to start there.
+        """Assign an address to the process that was the last to start there.
 
-        Another process may start under the address of one that died. An old
-        announcement of the dead one would send its requests to a process
-        that serves something else.
+        A process may start at the address of one that died. Without this, an
+        old announcement of the dead process would send its requests to a
+        process that serves something else.
         """
         holder = self._holders_by_url.get(announcement.url)
         is_held = holder is not None and now < holder.until
@@ -284,13 +303,13 @@
         self._holders_by_url[announcement.url] = _Holder(
             rank=self._rank(announcement),
             backend_id=announcement.backend_id,
-            until=now + self._lease_s + URL_MEMORY_S,
+            until=now + self._lease_s + URL_RETENTION_S,
         )
         former = self.by_id.get(holder.backend_id) if holder else None
         return [] if former is None else self._refresh(now, former)
 
-    def _give_up_url(self, backend: Backend) -> None:
-        """Free the address of one that is forgotten, if it still has it."""
+    def _release_url(self, backend: Backend) -> None:
+        """Release the address of a removed backend server if it has it."""
         url = backend.announcement.url
         holder = self._holders_by_url.get(url)
         if holder is not None and holder.backend_id == (
@@ -299,26 +318,27 @@
             del self._holders_by_url[url]
 
     def _rank(self, announcement: BackendAnnouncement) -> tuple[int, int]:
-        """Return who started later, as far as that can be told.
+        """Return the key that orders the starts at an address.
 
-        Some backend servers get a new id at each start and count no
-        incarnations: of these the one that was heard of last started last.
-        A late announcement of the one before it is no news of that id.
+        Some backend servers get a new id at each start and send no
+        incarnations. Of these, the one whose id was first received last is
+        taken to have started last. A late announcement of an earlier one does
+        not change this, since its id is known already.
         """
         backend_id = announcement.backend_id
-        if backend_id not in self._arrivals_by_id:
-            self._arrivals += 1
-            self._arrivals_by_id[backend_id] = self._arrivals
-        return announcement.incarnation, self._arrivals_by_id[backend_id]
+        if backend_id not in self._first_seen_by_id:
+            self._ids_seen += 1
+            self._first_seen_by_id[backend_id] = self._ids_seen
+        return announcement.incarnation, self._first_seen_by_id[backend_id]
 
-    def _keep_url(self, backend: Backend) -> None:
+    def _extend_url(self, backend: Backend) -> None:
         announcement = backend.announcement
         holder = self._holders_by_url[announcement.url]
         if holder.rank == self._rank(announcement):
-            holder.until = backend.lease_until + URL_MEMORY_S
+            holder.until = backend.lease_until + URL_RETENTION_S
 
     def _refresh(self, now: float, backend: Backend) -> list[typing.Any]:
-        present = self.may_work(backend, now)
+        present = self.may_receive_work(backend, now)
         if present == backend.present:
             return []
         return [self._changed(backend, present=present)]
@@ -339,11 +359,11 @@
             if now >= self._holders_by_url[url].until:
                 del self._holders_by_url[url]
         known = self.by_id.keys() | self._left_by_id.keys()
-        for backend_id in self._arrivals_by_id.keys() - known:
-            del self._arrivals_by_id[backend_id]
+        for backend_id in self._first_seen_by_id.keys() - known:
+            del self._first_seen_by_id[backend_id]
 
 
-def _is_other(held: Backend, announcement: BackendAnnouncement) -> bool:
+def _is_new_start(held: Backend, announcement: BackendAnnouncement) -> bool:
     return held.announcement.incarnation != announcement.incarnation
 
 
@@ -355,7 +375,10 @@
 
 
 def _hints(backend: Backend, batch: CacheEvents) -> list[CacheHints]:
-    """Return the new events; a gap makes old hints stale, it is no error."""
+    """Return the new cache events as hints.
+
+    A gap in their numbers makes earlier hints stale; it is not an error.
+    """
     expected = backend.next_cache_event
     events = batch.events[max(0, expected - batch.first) :]
     after_gap = batch.first > expected
--- a/dandeliongw/coordination/_cases.py
+++ b/dandeliongw/coordination/_cases.py
@@ -1,8 +1,9 @@
-"""Which calls ended backend servers, and what follows from it.
+"""The evidence on calls that crash backend servers, and its evaluation.
 
 The evidence on a call is a set of pairs (call, start of a backend server),
-and a set of those that don't count any more. Both only grow, so that any
-order and doubling of news ends in the same state at every instance.
+and a set of starts that no longer count against it. Both only grow, so
+instances converge to the same state whatever the order of reports, and
+however often they arrive.
 """
 
 from collections import abc
@@ -15,35 +16,39 @@
 from ._quarantine_messages import ReportedEnd
 from ._quarantine_messages import ReportedLift
 
-#: Ends that tell that a call is to blame. One may be chance, and of the calls
-#: that ran beside a bad one some run beside its next send, too.
-ENDS_TO_HOLD = 3
-#: ... where another call ran on each of these backend servers as well, or one
-#: that is held explains some of them.
-ENDS_TO_HOLD_IF_SHARED = 4
-#: ... and so many seconds between the first end and the last. A rack that
-#: loses power ends several servers at one moment, under all that they ran.
-SPREAD_S = 0.3
-#: Seconds after its last end for which a call is held, doubled with each end
-#: more: one that was held wrongly, or was mended, gets a try now and then.
-HELD_S = 600.0
-MOST_HELD_S = 3600.0
-#: Seconds for which evidence is kept on a call that isn't held. Callers come
-#: again for as long as they wait, which is seconds; jobs, every few minutes.
-KEPT_S = 600.0
-#: Calls of which evidence is kept, about 1 KB each.
-MOST_CASES = 2_000
-#: Parts in which two instances compare what they have: what is told again is
-#: the part that differs.
+#: Crashes that quarantine a call. One may be a coincidence, and some of the
+#: calls that ran beside a bad one also run beside its next request.
+CRASHES_TO_QUARANTINE = 3
+#: Crashes that quarantine a call if another call ran on each of these backend
+#: servers as well, or if a quarantined call explains some of the crashes.
+CRASHES_TO_QUARANTINE_IF_SHARED = 4
+#: Seconds that must then lie between the first crash and the last. A rack
+#: that loses power takes several servers down at one moment, under all calls
+#: that they were running.
+MIN_CRASH_SPAN_S = 0.3
+#: Seconds of quarantine after the last crash, doubled with each further crash
+#: up to ``MAX_QUARANTINE_S``. It ends so that a call that was quarantined
+#: wrongly, or has been fixed, is tried again from time to time.
+QUARANTINE_S = 600.0
+MAX_QUARANTINE_S = 3600.0
+#: Seconds for which evidence is retained after the last crash, on a call with
+#: fewer than ``CRASHES_TO_QUARANTINE`` crashes that count. Interactive
+#: clients retry for as long as they wait, which is seconds; jobs retry every
+#: few minutes.
+EVIDENCE_RETENTION_S = 600.0
+#: Maximum calls with evidence, about 1 KB each.
+MAX_CASES = 2_000
+#: Groups into which calls are divided for comparison; two instances exchange
+#: only the groups whose checksums differ.
 BUCKETS = 16
 
 
 class End(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server ended under a call.
+    """A crash of a backend server while it ran a call.
 
-    :param ended_at: on this instance's clock.
-    :param told_by: the entry that saw it.
-    :param is_trial: whether the call was held, and tried just there.
+    :param ended_at: when, on this instance's clock.
+    :param told_by: the instance that observed it.
+    :param is_trial: whether the run was a trial of the quarantined call.
     """
 
     start: BackendStart
@@ -53,7 +58,7 @@
 
 
 class Lifted(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator released a call."""
+    """An operator lifted the quarantine of a call."""
 
     operator: str
     reason: str
@@ -63,7 +68,8 @@
 class Case(msgspec.Struct, kw_only=True):
     """The evidence on one call.
 
-    :param held_until: while it is held, when that ends; else ``None``.
+    :param cleared: starts whose crashes no longer count against the call.
+    :param held_until: when its quarantine ends; ``None`` if there is none.
     """
 
     fingerprint: str
@@ -76,7 +82,7 @@
 
     @property
     def counted(self) -> list[End]:
-        """The ends that count, in the order of time."""
+        """The crashes that count, oldest first."""
         found = [
             end
             for start, end in self.ends_by_start.items()
@@ -86,11 +92,11 @@
 
     @property
     def last_at(self) -> float:
-        """When the last backend server ended, counted or not."""
+        """When the last crash happened, whether or not it still counts."""
         return max(end.ended_at for end in self.ends_by_start.values())
 
     def report(self, now: float) -> CaseReport:
-        """Return all of it for another instance."""
+        """Return all evidence on the call, for another instance."""
         lift = self.lifted
         return CaseReport(
             fingerprint=self.fingerprint,
@@ -115,21 +121,21 @@
 
 
 class Cases:
-    """All evidence that an instance has."""
+    """All evidence of an instance."""
 
     def __init__(self) -> None:
         self.by_fingerprint: dict[str, Case] = {}
         self._fingerprints_by_start: dict[BackendStart, set[str]] = {}
-        #: Of all evidence; ``None`` after a change.
+        #: Cached result of ``checksums``; ``None`` after a change.
         self._checksums: tuple[int, ...] | None = None
 
     def count(self, fingerprint: str) -> int:
-        """Return how many servers ended under a call, counted or not."""
+        """Return the crashes under a call, whether or not they still count."""
         case = self.by_fingerprint.get(fingerprint)
         return 0 if case is None else len(case.ends_by_start)
 
     def size(self, fingerprint: str) -> int:
-        """Return how much is known of a call; it only grows."""
+        """Return the number of items of evidence on a call; it only grows."""
         case = self.by_fingerprint.get(fingerprint)
         if case is None:
             return 0
@@ -148,14 +154,14 @@
         ]
         case = self.by_fingerprint.get(report.fingerprint)
         if case is None:
-            if not ends or self._is_over(now, report, ends):
+            if not ends or self._is_expired(now, report, ends):
                 return False
             case = Case(fingerprint=report.fingerprint)
             self.by_fingerprint[report.fingerprint] = case
         known = self.size(report.fingerprint)
         for end in ends:
             self._add(case, end)
-        # A clearing may overtake the end that it is about.
+        # A clearing may arrive before the crash that it is about.
         case.cleared.update(report.cleared)
         if report.lift is not None and case.lifted is None:
             case.lifted = Lifted(
@@ -175,71 +181,76 @@
         sharing = self._fingerprints_by_start.setdefault(end.start, set())
         sharing.add(case.fingerprint)
 
-    def _is_over(
+    def _is_expired(
         self, now: float, report: CaseReport, ends: abc.Sequence[End]
     ) -> bool:
-        """Whether a report is of what would be forgotten at once.
+        """Return whether the retention time of a report is over.
 
-        Instances forget at slightly different times. Taken back from a
-        slower one, evidence would go round and never end.
+        Instances remove evidence at slightly different times. If they took
+        it back from a slower one, it would circulate for ever.
         """
         cleared = set(report.cleared)
         counted = sum(end.start not in cleared for end in ends)
         last_at = max(end.ended_at for end in ends)
-        return now >= last_at + _kept_s(counted)
+        return now >= last_at + _retention_s(counted)
 
-    def judge(self) -> dict[str, float]:
-        """Return the calls that are to be held, and until when.
+    def evaluate(self) -> dict[str, float]:
+        """Return the calls to quarantine, each with the end of its quarantine.
 
-        An engine carries dozens of streams. Held against all of them alike,
-        a few sends of one bad call would get its neighbours refused. So the
-        first call that is held explains its ends, and the others are judged
-        by what is left, see :meth:`_are_enough`.
+        An engine runs dozens of streams. If its crash counted against all of
+        them alike, a few requests for one bad call would get the calls that
+        ran beside it refused. So the first call that is quarantined explains
+        its crashes, and the others are judged by the remaining ones, see
+        :meth:`_is_sufficient`.
         """
         until_by_fingerprint: dict[str, float] = {}
         explained: set[BackendStart] = set()
         left = [
             case
             for case in self.by_fingerprint.values()
-            if len(case.ends_by_start) >= ENDS_TO_HOLD
+            if len(case.ends_by_start) >= CRASHES_TO_QUARANTINE
         ]
-        while found := self._first_to_hold(left, explained):
+        while found := self._first_to_quarantine(left, explained):
             case, ends = found
             left.remove(case)
-            until_by_fingerprint[case.fingerprint] = _until(ends)
+            until_by_fingerprint[case.fingerprint] = _quarantine_until(ends)
             explained |= {end.start for end in ends}
         return until_by_fingerprint
 
-    def _first_to_hold(
+    def _first_to_quarantine(
         self, cases: abc.Sequence[Case], explained: set[BackendStart]
     ) -> tuple[Case, list[End]] | None:
-        """Return the call that was the first to end enough servers."""
+        """Return the first call to reach enough crashes, with these."""
         found = None
         for case in cases:
             ends = case.counted
-            if not self._are_enough(case, ends, explained):
+            if not self._is_sufficient(case, ends, explained):
                 continue
-            rank = ends[ENDS_TO_HOLD - 1].ended_at, case.fingerprint
+            rank = ends[CRASHES_TO_QUARANTINE - 1].ended_at, case.fingerprint
             if found is None or rank < found[0]:
                 found = rank, case, ends
         return None if found is None else found[1:]
 
-    def _are_enough(
+    def _is_sufficient(
         self, case: Case, ends: abc.Sequence[End], explained: set[BackendStart]
     ) -> bool:
         own = [end for end in ends if end.start not in explained]
-        if len(own) >= ENDS_TO_HOLD and not self._has_rival(case, own):
-            # Also at one moment: copies of a bad call may come at once, and
-            # the next ones would end the servers as they come back.
+        if len(own) >= CRASHES_TO_QUARANTINE and not self._is_shared(
+            case, own
+        ):
+            # Also if they happened at one moment: several requests for a bad
+            # call may arrive at once, and the next ones would crash the
+            # servers as soon as they are back.
             return True
-        if not own or len(ends) < ENDS_TO_HOLD_IF_SHARED:
+        if not own or len(ends) < CRASHES_TO_QUARANTINE_IF_SHARED:
             return False
-        # What explains the others may itself be a neighbour of this one: it
-        # puts off the hold by one end, and not for as long as it explains.
-        return ends[-1].ended_at - ends[0].ended_at >= SPREAD_S
+        # The call that explains the other crashes may itself only have run
+        # beside this one. Therefore it raises the limit by one crash and
+        # does not exclude this call for as long as it is quarantined.
+        return ends[-1].ended_at - ends[0].ended_at >= MIN_CRASH_SPAN_S
 
-    def _has_rival(self, case: Case, ends: abc.Sequence[End]) -> bool:
-        """Whether another call ran wherever this one did."""
+    def _is_shared(self, case: Case, ends: abc.Sequence[End]) -> bool:
+        """Return whether another call ran on every one of these servers."""
         with_each = [
             {
                 fingerprint
@@ -250,18 +261,19 @@
         ]
         return len(set.intersection(*with_each)) > 1
 
-    def forget_old(self, now: float) -> None:
-        """Drop what is old, or too much."""
+    def remove_expired(self, now: float) -> None:
+        """Remove expired evidence, and calls in excess of the maximum."""
         old = [
             case
             for case in self.by_fingerprint.values()
-            if now >= case.last_at + _kept_s(len(case.counted))
+            if now >= case.last_at + _retention_s(len(case.counted))
         ]
         for case in old:
             self._drop(case)
-        surplus = len(self.by_fingerprint) - MOST_CASES
+        surplus = len(self.by_fingerprint) - MAX_CASES
         if surplus > 0:
-            # By the set alone: two that have the same drop the same.
+            # Ranked by the evidence alone, so that instances with the same
+            # evidence remove the same calls.
             ranked = sorted(
                 self.by_fingerprint.values(),
                 key=lambda case: (len(case.counted), case.fingerprint),
@@ -279,12 +291,12 @@
                 del self._fingerprints_by_start[start]
 
     def checksums(self) -> tuple[int, ...]:
-        """Return a checksum of each part of the evidence."""
+        """Return one checksum per group of calls."""
         if self._checksums is None:
-            self._checksums = self._sum_up()
+            self._checksums = self._compute_checksums()
         return self._checksums
 
-    def _sum_up(self) -> tuple[int, ...]:
+    def _compute_checksums(self) -> tuple[int, ...]:
         sums = [0] * BUCKETS
         for case in self.by_fingerprint.values():
             bucket = bucket_of(case.fingerprint)
@@ -294,22 +306,28 @@
 
 
 def bucket_of(fingerprint: str) -> int:
-    """Return the part that a call belongs to."""
+    """Return the group to which a call belongs."""
     return xxhash.xxh64_intdigest(fingerprint.encode()) % BUCKETS
 
 
-def _until(ends: abc.Sequence[End]) -> float:
-    """Return when a call may be tried again after these ends."""
-    held_s = HELD_S * 2 ** (len(ends) - ENDS_TO_HOLD)
-    return ends[-1].ended_at + min(held_s, MOST_HELD_S)
+def _quarantine_until(ends: abc.Sequence[End]) -> float:
+    """Return when the quarantine for these crashes ends."""
+    held_s = QUARANTINE_S * 2 ** (len(ends) - CRASHES_TO_QUARANTINE)
+    return ends[-1].ended_at + min(held_s, MAX_QUARANTINE_S)
 
 
-def _kept_s(counted: int) -> float:
-    """Return how long evidence is kept after the last end."""
-    if counted < ENDS_TO_HOLD:
-        return KEPT_S
-    # One end more after the call was released holds it again, for longer.
-    return 2 * MOST_HELD_S
+def _retention_s(counted: int) -> float:
+    """Return the seconds for which evidence is retained.
+
+    They count from the last crash.
+
+    :param counted: number of crashes that count against the call.
+    """
+    if counted < CRASHES_TO_QUARANTINE:
+        return EVIDENCE_RETENTION_S
+    # Longer than the quarantine, so that a further crash after the release
+    # quarantines the call again, and for longer.
+    return 2 * MAX_QUARANTINE_S
 
 
 def _items(case: Case) -> abc.Iterator[str]:
--- a/dandeliongw/coordination/presence.py
+++ b/dandeliongw/coordination/presence.py
@@ -1,14 +1,15 @@
-"""Which backend servers may get work.
-
-A backend server announces itself to any instance, renews about once a
-second, and says when it leaves. The instance that hears it passes this on
-to those that dispatch to it. Presence at a dispatching instance is a short
-lease on that instance's own clock: without renewal it ends, so that neither
-a crash nor a partition leaves work going to a server that is gone.
-
-A leave goes at once to every instance and is repeated, also with every
-batch of renewals for a while; it is remembered longer than any old
-announcement can travel, so that none can bring the server back.
+"""Presence of backend servers: which of them may receive work.
+
+A backend server announces itself to any instance, sends it a renewal about
+once a second, and notifies it when it leaves. That instance, the backend
+server's front, forwards all of this to the instances that dispatch work to
+it. At a dispatching instance, presence is a short lease on that instance's
+own clock. Without renewals the lease expires, so that neither a crash nor a
+partition leaves work going to a server that is gone.
+
+A leave is sent to every instance at once and repeated, also with every batch
+of renewals for a while. It is retained for longer than an old announcement
+can be in transit, so that none can make the server present again.
 """
 
 from collections import abc
@@ -68,44 +69,48 @@
     'SetInstances',
 ]
 
-#: Seconds without renewal after which a backend server gets no work.
+#: Seconds without renewal after which a backend server receives no work.
 LEASE_S = 3.0
-#: Seconds that leaves are remembered. A message waits a few seconds in a
-#: queue of ours, but minutes in a connection that went silent and came back.
+#: Seconds for which leaves are retained. A message may wait a few seconds in
+#: one of our queues, but minutes in a connection that stalls and recovers.
 MEMORY_S = 3600.0
-#: Seconds that renewals wait for others to the same instance.
+#: Seconds for which renewals to the same instance are collected in a batch.
 BATCH_S = 0.2
-#: Seconds after which a silent backend server has to announce itself again.
-FRONT_MEMORY_S = 60.0
-#: Seconds from the first word of a new start in which a leave that names none
-#: is taken for a late one of the start before. Estimate: what a backend server
-#: says may arrive some seconds late.
+#: Seconds without a renewal after which the front requires a new announcement.
+FRONT_TIMEOUT_S = 60.0
+#: Seconds from the first announcement of a new start in which a leave without
+#: an incarnation is attributed to the start before. Messages of a backend
+#: server may arrive some seconds late.
 LATE_LEAVE_S = 5.0
-#: Of a leave of a backend server that is not known here and names no start.
+#: Incarnation of a leave without one, by an unknown backend server.
 _ONLY_INCARNATION = 0
-#: Seconds after a leave in which every batch repeats it.
-REPEAT_S = 10.0
-#: Seconds after a leave at which all instances are told again.
-TELL_AGAIN_S = (1.0, 3.0)
+#: Seconds after a leave during which every batch of renewals repeats it.
+LEAVE_REPEAT_S = 10.0
+#: Seconds after a leave at which it is sent to all instances again.
+LEAVE_RESEND_S = (1.0, 3.0)
 
 
 class _Front(msgspec.Struct, kw_only=True):
-    """A backend server that talks to this instance.
+    """A backend server whose front is this instance.
 
-    :param last: stamp of what it said last.
+    :param received_at: when its last message was received.
+    :param last: stamp of its last message.
+    :param to: instances to which its messages are forwarded.
     """
 
     announcement: BackendAnnouncement
-    heard_at: float
+    received_at: float
     last: tuple[int, int]
     to: tuple[str, ...] = ()
 
 
 class _Successor(msgspec.Struct, frozen=True, kw_only=True):
-    """A start of a backend server that came after another of the same id.
+    """A restart of a backend server under the same id.
 
+    :param incarnation: of the new start.
     :param former: incarnation of the start before.
-    :param since: when this instance first heard of the new one.
+    :param since: when this instance received the first announcement of the
+        new one.
     """
 
     incarnation: int
@@ -114,32 +119,34 @@
 
 
 class _Renewal(msgspec.Struct, kw_only=True):
-    """A renewal that waits for its batch."""
+    """A renewal to be sent with the next batch."""
 
     renewal: BackendRenewal
     received_at: float
 
 
 class _Departure(msgspec.Struct, kw_only=True):
-    """A leave that is still repeated.
+    """A leave that is still being repeated.
 
-    :param tell_at: when to tell all instances again; empty where another
-        instance heard it first.
+    :param until: when to stop including it in batches.
+    :param next_sends: when to send it to all instances again; empty if another
+        instance received it first.
     """
 
     departure: BackendDeparture
     until: float
-    tell_at: tuple[float, ...]
+    next_sends: tuple[float, ...]
 
 
 class Presence:
-    """The coordination part, at the hearing and at the dispatching end.
+    """The presence state machine, for the front and the dispatching side.
 
     :param instance_id: this instance.
-    :param lease_s: seconds of a presence without renewal.
-    :param memory_s: seconds that leaves are remembered.
-    :param outlasts_silence: whether leases stand still while nothing is
-        heard of any backend server, as the path of all heartbeats is down.
+    :param lease_s: seconds without renewal after which presence ends.
+    :param memory_s: seconds for which leaves are retained.
+    :param outlasts_silence: whether leases are suspended while no renewals
+        arrive from any backend server, because whatever carries all
+        heartbeats is down.
     """
 
     def __init__(
@@ -160,7 +167,7 @@
         )
         self._fronts_by_id: dict[str, _Front] = {}
         self._instance_ids: tuple[str, ...] = (instance_id,)
-        self._waiting_by_dispatcher: dict[str, list[_Renewal]] = {}
+        self._renewals_by_dispatcher: dict[str, list[_Renewal]] = {}
         self._batch_at = 0.0
         self._departures_by_id: dict[str, _Departure] = {}
         self._successors_by_id: dict[str, _Successor] = {}
@@ -169,27 +176,27 @@
 
     @property
     def backends_by_id(self) -> dict[str, Backend]:
-        """All that were announced to this instance, present or not."""
+        """All backend servers announced to this instance, present or not."""
         return self._backends.by_id
 
     def usable(self, service: str, now: float) -> list[Backend]:
-        """Return the backend servers of a service that may get work."""
+        """Return the backend servers of a service that may receive work."""
         return [
             backend
             for _, backend in sorted(self.backends_by_id.items())
             if backend.announcement.service == service
-            and self._backends.may_work(backend, now)
+            and self._backends.may_receive_work(backend, now)
         ]
 
     def has_left(self, start: BackendStart) -> bool:
-        """Return whether a start of a backend server said that it leaves."""
+        """Return whether a start of a backend server announced its leave."""
         left, _ = self._backends.left(start.backend_id)
         return left >= start.incarnation
 
-    # The part.
+    # Interface of a coordination part.
 
     def handle(self, event: typing.Any) -> list[typing.Any]:
-        """Change state by an event and return effects, to do in order."""
+        """Apply an event; return the effects to perform, in order."""
         match event:
             case parts.Ticked():
                 return self._tick(event.now)
@@ -206,76 +213,78 @@
             case SetInstances():
                 self._instance_ids = event.instance_ids
                 return []
-        raise TypeError(f'presence does not know {type(event).__name__}')
+        raise TypeError(f'presence cannot handle event {type(event).__name__}')
 
     def restore(self, record: typing.Any) -> None:
-        """Do nothing: backend servers renew within a second."""
+        """Do nothing: backend servers send renewals within a second."""
 
     def snapshot(self) -> tuple[typing.Any, ...]:
-        """Return nothing to keep."""
+        """Return no records: presence is not persisted."""
         return ()
 
-    # What backend servers say to this instance.
+    # Requests of backend servers to this instance as their front.
 
     def _on_announced(self, event: Announced) -> list[typing.Any]:
         announcement = event.announcement
-        self._backends.forget_former(event.now, announcement)
-        outcome = self._judge(announcement.backend_id, stamp(announcement))
+        self._backends.remove_former(event.now, announcement)
+        outcome = self._message_outcome(
+            announcement.backend_id, stamp(announcement)
+        )
         front = self._fronts_by_id.get(announcement.backend_id)
         is_repeated = front is not None and front.last == stamp(announcement)
         if outcome is not PresenceOutcome.ACCEPTED or is_repeated:
             return [_complete(event.ticket, outcome)]
-        self._note_start(event.now, announcement)
+        self._record_restart(event.now, announcement)
         self._fronts_by_id[announcement.backend_id] = _Front(
             announcement=announcement,
-            heard_at=event.now,
+            received_at=event.now,
             last=stamp(announcement),
             to=front.to if front is not None else (),
         )
         effects: list[typing.Any] = [_complete(event.ticket, outcome)]
         front = self._fronts_by_id[announcement.backend_id]
-        return effects + self._present(event.now, front, front.to)
+        return effects + self._send_announcement(event.now, front, front.to)
 
     def _on_renewed(self, event: Renewed) -> list[typing.Any]:
         front = self._fronts_by_id.get(event.backend_id)
-        said = (event.incarnation, event.sequence)
-        outcome = self._judge_renewal(event, front)
+        message_stamp = (event.incarnation, event.sequence)
+        outcome = self._renewal_outcome(event, front)
         is_accepted = outcome is PresenceOutcome.ACCEPTED
-        if is_accepted and front is not None and front.last < said:
-            front.last = said
-            front.heard_at = event.now
+        if is_accepted and front is not None and front.last < message_stamp:
+            front.last = message_stamp
+            front.received_at = event.now
             self._queue(event, front)
         return [_complete(event.ticket, outcome)]
 
-    def _judge_renewal(
+    def _renewal_outcome(
         self, event: Renewed, front: _Front | None
     ) -> PresenceOutcome:
         if front is None:
-            said = (event.incarnation, event.sequence)
-            if said <= self._backends.left(event.backend_id):
+            message_stamp = (event.incarnation, event.sequence)
+            if message_stamp <= self._backends.left(event.backend_id):
                 return PresenceOutcome.LEFT
             return PresenceOutcome.ANNOUNCE_AGAIN
         if event.incarnation > front.announcement.incarnation:
             return PresenceOutcome.ANNOUNCE_AGAIN
-        return self._judge(
+        return self._message_outcome(
             event.backend_id, (event.incarnation, event.sequence)
         )
 
-    def _judge(
-        self, backend_id: str, said: tuple[int, int]
+    def _message_outcome(
+        self, backend_id: str, message_stamp: tuple[int, int]
     ) -> PresenceOutcome:
-        if said <= self._backends.left(backend_id):
+        if message_stamp <= self._backends.left(backend_id):
             return PresenceOutcome.LEFT
         front = self._fronts_by_id.get(backend_id)
-        # The same again is a resend whose answer was lost.
-        if front is not None and said < front.last:
+        # An equal stamp is a retry after the answer was lost.
+        if front is not None and message_stamp < front.last:
             return PresenceOutcome.OLD
         return PresenceOutcome.ACCEPTED
 
     def _on_left(self, event: Left) -> list[typing.Any]:
         departure = BackendDeparture(
             backend_id=event.backend_id,
-            incarnation=self._leaver(event),
+            incarnation=self._leaving_incarnation(event),
             sequence=event.sequence,
         )
         effects: list[typing.Any] = [
@@ -283,13 +292,13 @@
         ]
         if stamp(departure) <= self._backends.left(event.backend_id):
             return effects
-        effects += self._depart(event.now, departure, TELL_AGAIN_S)
-        return effects + self._tell_all(departure)
+        effects += self._record_departure(event.now, departure, LEAVE_RESEND_S)
+        return effects + self._broadcast(departure)
 
-    def _note_start(
+    def _record_restart(
         self, now: float, announcement: BackendAnnouncement
     ) -> None:
-        """Note when a backend server starts again under its id."""
+        """Record a restart of a backend server under the same id."""
         backend_id = announcement.backend_id
         former = self._newest_start(backend_id)
         if former is not None and former < announcement.incarnation:
@@ -308,12 +317,12 @@
         ]
         return max(held, default=None)
 
-    def _leaver(self, event: Left) -> int:
-        """Return which start a leave is of.
+    def _leaving_incarnation(self, event: Left) -> int:
+        """Return the incarnation of the start that a leave is of.
 
-        A leave that names none may be a late one of the start before. Taken
-        for the newest start's, it would shut out a backend server that has
-        just come back, for as long as it runs.
+        A leave that names no incarnation may be a late one of the start
+        before. If it were attributed to the newest start, a backend server
+        that has just restarted would receive no work for as long as it runs.
         """
         if event.incarnation is not None:
             return event.incarnation
@@ -334,15 +343,15 @@
             return []
         added = tuple(to for to in event.to if to not in front.to)
         front.to = event.to
-        return self._present(event.now, front, added)
+        return self._send_announcement(event.now, front, added)
 
-    # Passing it on.
+    # Forwarding to dispatching instances.
 
-    def _present(
+    def _send_announcement(
         self, now: float, front: _Front, to: abc.Iterable[str]
     ) -> list[typing.Any]:
         message = Presented(
-            announcement=front.announcement, age_s=now - front.heard_at
+            announcement=front.announcement, age_s=now - front.received_at
         )
         return [parts.Send(to=each, message=message) for each in to]
 
@@ -356,17 +365,17 @@
             age_s=0.0,
         )
         for to in front.to:
-            waiting = self._waiting_by_dispatcher.setdefault(to, [])
+            waiting = self._renewals_by_dispatcher.setdefault(to, [])
             waiting.append(_Renewal(renewal=renewal, received_at=event.now))
 
     def _tick(self, now: float) -> list[typing.Any]:
         effects = self._backends.expire(now)
-        effects += self._repeat_departures(now)
+        effects += self._resend_departures(now)
         if now >= self._batch_at:
             self._batch_at = now + BATCH_S
             effects += self._send_batches(now)
         for backend_id, front in list(self._fronts_by_id.items()):
-            if now >= front.heard_at + FRONT_MEMORY_S:
+            if now >= front.received_at + FRONT_TIMEOUT_S:
                 del self._fronts_by_id[backend_id]
                 self._successors_by_id.pop(backend_id, None)
         return effects
@@ -376,28 +385,28 @@
             item.departure for item in self._departures_by_id.values()
         )
         effects = []
-        for to, waiting in self._waiting_by_dispatcher.items():
+        for to, waiting in self._renewals_by_dispatcher.items():
             message = PresenceBatch(
-                renewals=tuple(_aged(item, now) for item in waiting),
+                renewals=tuple(_with_age(item, now) for item in waiting),
                 departures=departures,
             )
             effects.append(parts.Send(to=to, message=message))
-        self._waiting_by_dispatcher = {}
+        self._renewals_by_dispatcher = {}
         return effects
 
-    def _repeat_departures(self, now: float) -> list[typing.Any]:
+    def _resend_departures(self, now: float) -> list[typing.Any]:
         effects: list[typing.Any] = []
         for backend_id, item in list(self._departures_by_id.items()):
-            if item.tell_at and now >= item.tell_at[0]:
-                item.tell_at = item.tell_at[1:]
-                effects += self._tell_all(item.departure)
+            if item.next_sends and now >= item.next_sends[0]:
+                item.next_sends = item.next_sends[1:]
+                effects += self._broadcast(item.departure)
             if now >= item.until:
                 del self._departures_by_id[backend_id]
         return effects
 
-    def _tell_all(self, departure: BackendDeparture) -> list[typing.Any]:
-        # Told three times, so that one may be lost: to all there are, a
-        # connection to each would be the larger cost.
+    def _broadcast(self, departure: BackendDeparture) -> list[typing.Any]:
+        # Sent three times, since a datagram may be lost. A connection to each
+        # of all instances would cost more.
         message = PresenceBatch(renewals=(), departures=(departure,))
         return [
             parts.Send(to=to, message=message, by_datagram=True)
@@ -405,21 +414,23 @@
             if to != self.instance_id
         ]
 
-    # What other instances pass on.
+    # Messages forwarded by other instances.
 
     def _receive(self, event: parts.Received) -> list[typing.Any]:
         now, message = event.now, event.message
         match message:
             case Presented():
-                self._backends.hear(now)
+                self._backends.on_message(now)
                 return self._backends.announce(
                     now, message.announcement, message.age_s
                 )
             case PresenceBatch():
                 return self._on_batch(now, event.sender, message)
             case PresenceUnknown():
-                return self._on_unknown(now, event.sender, message)
-        raise TypeError(f'presence does not know {type(message).__name__}')
+                return self._on_presence_unknown(now, event.sender, message)
+        raise TypeError(
+            f'presence cannot handle message {type(message).__name__}'
+        )
 
     def _on_batch(
         self, now: float, sender: str, message: PresenceBatch
@@ -427,9 +438,9 @@
         effects: list[typing.Any] = []
         for departure in message.departures:
             if stamp(departure) > self._backends.left(departure.backend_id):
-                effects += self._depart(now, departure, ())
+                effects += self._record_departure(now, departure, ())
         if message.renewals:
-            self._backends.hear(now)
+            self._backends.on_message(now)
         unknown = []
         for renewal in message.renewals:
             renewed = self._backends.renew(now, renewal)
@@ -441,27 +452,27 @@
             effects.append(parts.Send(to=sender, message=answer))
         return effects
 
-    def _on_unknown(
+    def _on_presence_unknown(
         self, now: float, sender: str, message: PresenceUnknown
     ) -> list[typing.Any]:
         effects: list[typing.Any] = []
         for backend_id in message.backend_ids:
             front = self._fronts_by_id.get(backend_id)
             if front is not None and sender in front.to:
-                effects += self._present(now, front, (sender,))
+                effects += self._send_announcement(now, front, (sender,))
         return effects
 
-    def _depart(
+    def _record_departure(
         self,
         now: float,
         departure: BackendDeparture,
-        tell_after_s: tuple[float, ...],
+        resend_after_s: tuple[float, ...],
     ) -> list[typing.Any]:
         backend_id = departure.backend_id
         self._departures_by_id[backend_id] = _Departure(
             departure=departure,
-            until=now + REPEAT_S,
-            tell_at=tuple(now + after_s for after_s in tell_after_s),
+            until=now + LEAVE_REPEAT_S,
+            next_sends=tuple(now + after_s for after_s in resend_after_s),
         )
         front = self._fronts_by_id.get(backend_id)
         if front is not None and stamp(front.announcement) <= stamp(departure):
@@ -473,5 +484,5 @@
     return parts.Complete(ticket=ticket, result=outcome)
 
 
-def _aged(item: _Renewal, now: float) -> BackendRenewal:
+def _with_age(item: _Renewal, now: float) -> BackendRenewal:
     return msgspec.structs.replace(item.renewal, age_s=now - item.received_at)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is alive: the failures that may not make, or hide, a verdict."""
+"""Membership: failures that must not cause, or hide, a verdict."""
 
 import asyncio
 import collections
@@ -23,7 +23,7 @@
 from tests import relay
 
 TICK_S = 0.1
-#: Seconds after which a condition that must come true counts as failed.
+#: Seconds after which an awaited condition counts as failed.
 LIMIT_S = 30.0
 DELAY_S = 0.001
 
@@ -44,7 +44,7 @@
 
 
 class Lan:
-    """Members on a virtual clock; ``lost`` decides what gets through."""
+    """Members on a virtual clock; ``lost`` decides which messages are lost."""
 
     def __init__(self, *, count: int, seed: int = 7) -> None:
         self.now = 0.0
@@ -75,28 +75,31 @@
             },
         )
 
-    def tell(self, instance_id: str, event: typing.Any) -> None:
+    def handle(self, instance_id: str, event: typing.Any) -> None:
         self._perform(instance_id, self.members[instance_id].handle(event))
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
-            # Ticks go first: a process that wakes may look at its clock
-            # before it reads what came meanwhile.
+            # Ticks first: a process that resumes may read its clock before
+            # it receives the messages that arrived in the meantime.
             for instance_id in self.ids:
                 if instance_id not in self.frozen:
                     entropy = self._random.getrandbits(64)
                     ticked = parts.Ticked(now=self.now, entropy=entropy)
-                    self.tell(instance_id, ticked)
+                    self.handle(instance_id, ticked)
             self._deliver()
 
     def gossip(self, to: str, news: membership.MemberNews) -> None:
         message = membership.Gossip(news=(news,))
         event = parts.Received(now=self.now, sender='gw-1', message=message)
-        self.tell(to, event)
+        self.handle(to, event)
 
     def states(self, of: str, *, but: abc.Collection[str] = ()) -> set[str]:
-        """Return what all others believe of one member."""
+        """Return the states that all other members have for one member.
+
+        :param but: observers to leave out.
+        """
         return {
             self.state(observer, of)
             for observer in self.ids
@@ -107,8 +110,8 @@
         member = self.members[observer].members_by_id.get(of)
         return member.state.name if member else 'UNKNOWN'
 
-    def beliefs_since(self, seconds: float) -> set[tuple[str, str, str]]:
-        """Return (observer, member, state) of each change of belief."""
+    def changes_since(self, seconds: float) -> set[tuple[str, str, str]]:
+        """Return (observer, member, state) of each change since a time."""
         return {
             (observer, effect.member.instance_id, effect.member.state.name)
             for at, observer, effect in self.log
@@ -132,19 +135,19 @@
         )
 
     def _deliver(self) -> None:
-        kept = []
+        undelivered = []
         while self._inbox and self._inbox[0][0] <= self.now:
             item = heapq.heappop(self._inbox)
             at, _, sender, to, encoded = item
             if to in self.frozen:
-                kept.append(item)
+                undelivered.append(item)
                 continue
             message = CODEC.decode(*encoded)
-            self.tell(
+            self.handle(
                 to,
                 parts.Received(now=self.now, sender=sender, message=message),
             )
-        for item in kept:
+        for item in undelivered:
             heapq.heappush(self._inbox, item)
 
 
@@ -155,16 +158,16 @@
 
 
 class FaultFreeTest(unittest.TestCase):
-    def test_all_learn_all_from_three_seeds(self):
+    def test_all_members_are_discovered_from_three_seeds(self):
         lan = joined()
         for member in lan.members.values():
             self.assertEqual(lan.ids, member.alive_ids())
             self.assertEqual(make_info(8), member.members_by_id['gw-8'].info)
 
-    def test_nobody_is_doubted_in_a_quiet_minute(self):
+    def test_no_member_is_suspected_in_a_fault_free_minute(self):
         lan = joined()
         lan.run(60)
-        self.assertEqual(set(), lan.beliefs_since(5))
+        self.assertEqual(set(), lan.changes_since(5))
         self.assertEqual(
             [],
             [e for _, _, e in lan.log if isinstance(e, membership.Reconnect)],
@@ -173,19 +176,19 @@
     def test_entries_are_those_that_serve_and_do_not_drain(self):
         lan = joined()
         for instance_id in lan.ids[:4]:
-            lan.tell(
+            lan.handle(
                 instance_id, membership.SetServing(now=lan.now, serving=True)
             )
         lan.run(5)
-        lan.tell('gw-0', membership.SetDraining(now=lan.now, draining=True))
+        lan.handle('gw-0', membership.SetDraining(now=lan.now, draining=True))
         lan.run(1)
         entries = lan.members['gw-8'].entries(lan.now)
         self.assertEqual(lan.ids[1:4], [e.instance_id for e in entries])
         self.assertEqual('http://10.0.0.1:8080', entries[0].callers_address)
 
-    def test_a_leave_is_known_at_once(self):
+    def test_a_leave_reaches_all_members_at_once(self):
         lan = joined()
-        lan.tell('gw-4', membership.Leave(now=lan.now))
+        lan.handle('gw-4', membership.Leave(now=lan.now))
         lan.frozen.add('gw-4')
         lan.run(2 * TICK_S)
         self.assertEqual({'LEFT'}, lan.states('gw-4'))
@@ -194,7 +197,7 @@
 def make_news(
     state: str, incarnation: int, revision: int
 ) -> membership.MemberNews:
-    """Return news of gw-2."""
+    """Return an update of the state of gw-2."""
     return membership.MemberNews(
         instance_id='gw-2',
         incarnation=incarnation,
@@ -211,29 +214,30 @@
 
 
 def cut_off(*ids: str) -> Lost:
-    """Between these and all others nothing gets through."""
+    """Lose all messages between these instances and all others."""
     return lambda sender, to, message: (sender in ids) != (to in ids)
 
 
 class JoinTest(unittest.TestCase):
-    """Symptom: 200 instances that start together know each other after 27 s.
+    """Guards against slow discovery when many instances start together.
 
-    Sequence: each asks the seeds, which know few as yet, and then one other
-    in five seconds; meanwhile it does not send callers and work to the rest.
-    Cause: the pause between comparisons is that of a calm system.
+    Each compares views with the seeds, which have few members yet, and then
+    with one member in five seconds. With only this steady-state interval,
+    200 instances took 27 s to discover each other, and until then sent no
+    clients or work to undiscovered ones.
     """
 
-    def test_all_know_all_soon_after_they_start_together(self):
+    def test_members_that_start_together_discover_each_other_soon(self):
         lan = Lan(count=60)
         lan.run(6)
         for member in lan.members.values():
             self.assertEqual(sorted(lan.ids), member.alive_ids())
 
-    def test_few_of_those_found_are_contacted_at_once(self):
-        """Symptom: 78 that start open 53 connections each in a second.
+    def test_few_discovered_instances_are_contacted_at_once(self):
+        """Guards against a burst of connections when many instances start.
 
-        Sequence: a seed names all that it knows.
-        Cause: each of them is contacted.
+        A seed returns all its members. When each of them was contacted, 78
+        starting instances opened 53 connections each in a second.
         """
         lan = Lan(count=3)
         found = membership.Discovered(
@@ -247,12 +251,12 @@
         ]
         self.assertEqual(3, len(set(contacted)))
 
-    def test_all_that_lacks_is_asked_for_in_the_next_round(self):
-        """Symptom: single members stay unknown for a round longer.
+    def test_all_missing_info_is_requested_in_the_next_round(self):
+        """Guards against members staying unknown for an additional round.
 
-        Sequence: an answer comes in several messages; one of them tells of
-        members by name only, the last one tells nothing new.
-        Cause: the last message takes back what the first one found lacking.
+        An answer consists of several messages. An earlier one contains a
+        member without its info, the last one nothing new. Handling the last
+        message must not reset the flag that info is missing.
         """
         lan = joined()
         lacking = msgspec.structs.replace(
@@ -264,13 +268,13 @@
                 news=(news,), buckets=(), doubt=None, full=False
             )
             event = parts.Received(now=lan.now, sender='gw-3', message=part)
-            lan.tell('gw-2', event)
-        asked = lan.members['gw-2']._comparison.ask('gw-4').message
-        self.assertTrue(asked.full)
+            lan.handle('gw-2', event)
+        request = lan.members['gw-2']._comparison.make_request('gw-4').message
+        self.assertTrue(request.full)
 
 
 class DatagramTest(unittest.TestCase):
-    """Which messages may be lost without a word."""
+    """Which messages may be sent as datagrams, and so be lost unnoticed."""
 
     def sends(self, member: membership.Membership, event) -> dict[type, bool]:
         return {
@@ -279,11 +283,11 @@
             if isinstance(effect, parts.Send)
         }
 
-    def test_a_second_try_needs_no_datagrams(self):
-        """Symptom: all members suspect each other at a new site.
+    def test_a_retry_needs_no_datagrams(self):
+        """Guards against mutual suspicion where datagrams are not delivered.
 
-        Sequence: what stands between them passes no datagrams.
-        Cause: neither the second try nor its answer goes another way.
+        If a middlebox at a new site drops all datagrams, the retry of a
+        probe and its acknowledgement must use a stream.
         """
         lan = joined()
         lan.lost = cut(('gw-1', 'gw-2'))
@@ -308,12 +312,12 @@
             self.assertEqual(each.by_datagram, answer)
 
     def test_comparisons_go_over_streams(self):
-        """They are large, and nobody asks for a lost part again."""
+        """They are large, and a lost part is not requested again."""
         lan = joined()
         two = lan.members['gw-2']
         hashes = membership.ViewHashes(
             own=make_news('ALIVE', 1, 0),
-            hashes=(1,) * len(two._beliefs.roster.hashes),
+            hashes=(1,) * len(two._view.roster.hashes),
             full=True,
         )
         event = parts.Received(now=lan.now, sender='gw-1', message=hashes)
@@ -321,10 +325,10 @@
 
 
 class LinkFaultTest(unittest.TestCase):
-    """Symptom: a healthy member is declared dead, again and again.
+    """Guards against repeatedly declaring a healthy member dead.
 
-    Sequence: one link fails while both its ends are well.
-    Cause: a verdict by one observer over one connection.
+    One link fails while both its ends are healthy; a verdict must not depend
+    on one observer and one connection.
     """
 
     @params(
@@ -332,20 +336,20 @@
         (cut(('gw-2', 'gw-1')),),
         (cut(('gw-1', 'gw-2'), ('gw-2', 'gw-1')),),
     )
-    def test_a_cut_link_is_no_verdict(self, lost):
+    def test_a_cut_link_causes_no_suspicion(self, lost):
         lan = joined()
         lan.lost = lost
         lan.run(30)
-        self.assertEqual(set(), lan.beliefs_since(5))
+        self.assertEqual(set(), lan.changes_since(5))
         self.assertTrue(
             any(isinstance(e, membership.Reconnect) for _, _, e in lan.log)
         )
 
-    def test_a_lost_acknowledgement_is_no_verdict(self):
-        """Symptom: a member is suspected after one lost message.
+    def test_a_lost_acknowledgement_causes_no_suspicion(self):
+        """Guards against suspecting a member after one lost message.
 
-        Sequence: every first acknowledgement is lost, a second gets through.
-        Cause: no second try before the verdict.
+        Every first acknowledgement is lost and the second is delivered, so a
+        probe must be retried before the verdict.
         """
         lan = joined()
         answered: set[tuple[str, int]] = set()
@@ -359,14 +363,14 @@
 
         lan.lost = lost
         lan.run(20)
-        self.assertEqual(set(), lan.beliefs_since(5))
+        self.assertEqual(set(), lan.changes_since(5))
 
-    def test_two_that_suspect_each_other_both_live(self):
-        """Symptom: both ends of a cut link are declared dead.
+    def test_two_members_that_suspect_each_other_stay_alive(self):
+        """Guards against declaring both ends of a failed link dead.
 
-        Sequence: the link between two is cut and nobody helps; each
-        suspects the other; a third hears both suspicions.
-        Cause: a suspicion that its subject does not hear of, or can't refute.
+        The link between two members is cut and indirect probes are lost, so
+        each suspects the other, and a third receives both suspicions. Each
+        suspected member must be notified and be able to refute.
         """
         lan = joined(3)
         both = cut(('gw-1', 'gw-2'), ('gw-2', 'gw-1'))
@@ -375,29 +379,29 @@
             or isinstance(message, membership.IndirectProbe)
         )
         lan.run(40)
-        beliefs = lan.beliefs_since(5)
-        self.assertIn(('gw-1', 'gw-2', 'SUSPECT'), beliefs)
-        self.assertIn(('gw-2', 'gw-1', 'SUSPECT'), beliefs)
-        self.assertEqual(set(), {b for b in beliefs if b[2] == 'DEAD'})
+        changes = lan.changes_since(5)
+        self.assertIn(('gw-1', 'gw-2', 'SUSPECT'), changes)
+        self.assertIn(('gw-2', 'gw-1', 'SUSPECT'), changes)
+        self.assertEqual(set(), {b for b in changes if b[2] == 'DEAD'})
 
 
 class DeathTest(unittest.TestCase):
     def test_a_death_is_known_to_all_within_its_time(self):
         lan = joined()
         lan.frozen.add('gw-4')
-        # A probe, its verdict, the news of it, and time to refute.
+        # A probe, its verdict, the spread of the update, time to refute.
         lan.run(2 + 1 + 3 + lan.members['gw-0'].suspicion_s)
         self.assertEqual({'DEAD'}, lan.states('gw-4'))
-        others = {b for b in lan.beliefs_since(5) if b[1] != 'gw-4'}
+        others = {b for b in lan.changes_since(5) if b[1] != 'gw-4'}
         self.assertEqual(set(), others)
 
-    def test_no_loss_stays_unseen_for_longer_than_its_bound(self):
-        """Symptom: callers are sent for 6 s to an instance without power.
+    def test_every_loss_is_detected_within_the_bound(self):
+        """Guards against sending clients to a lost instance for seconds.
 
-        Sequence: an instance is lost right after it was probed, and by
-        chance stands late in everybody's next round.
-        Cause: rounds in shuffled order bound the time only by their length;
-        of a hundred losses, one took 5 s.
+        An instance is lost right after it was probed and by chance comes
+        late in the next round of every member. Shuffled rounds alone bound
+        the detection time only by their length: of 100 losses one took 5 s,
+        and clients were sent to an instance without power for 6 s.
         """
         for seed in range(100):
             lan = joined(12, seed=seed)
@@ -407,11 +411,11 @@
             lan.run(membership.MOST_UNSEEN_PERIODS)
             self.assertNotIn('ALIVE', lan.states(lost), f'seed {seed}')
 
-    def test_a_loss_is_seen_while_others_are_frozen(self):
-        """Symptom: a lost instance is named for seconds beside a freeze.
+    def test_a_loss_is_detected_while_others_are_frozen(self):
+        """Guards against slow detection while other instances are frozen.
 
-        Sequence: two more instances stand still at the moment of the loss.
-        Cause: one of those that watch the lost one may be among them.
+        Two more instances freeze at the moment of the loss; the one that
+        watches the lost instance may be among them.
         """
         for seed in range(40):
             lan = joined(12, seed=seed)
@@ -423,12 +427,12 @@
             self.assertNotIn('ALIVE', seen, f'seed {seed}')
 
     @params(1.5, 2.5, 4.5)
-    def test_a_frozen_member_refutes_and_blames_nobody(self, seconds):
-        """Symptom: a process that wakes declares its peers dead.
+    def test_a_resumed_member_refutes_and_suspects_no_other(self, seconds):
+        """Guards against a resumed process declaring its peers dead.
 
-        Sequence: it is frozen while a probe of its own is on its way; on
-        waking it finds the acknowledgement late.
-        Cause: a pause of one's own, taken for the silence of others.
+        It is frozen while one of its probes is in flight and finds the
+        acknowledgement overdue when it resumes. Its own pause must not count
+        as unresponsiveness of others.
         """
         lan = joined()
 
@@ -446,11 +450,11 @@
         lan.frozen.clear()
         lan.run(5)
         self.assertEqual({'ALIVE'}, lan.states('gw-4'))
-        beliefs = lan.beliefs_since(start)
-        self.assertEqual(set(), {b for b in beliefs if b[1] != 'gw-4'})
-        self.assertEqual(set(), {b for b in beliefs if b[2] == 'DEAD'})
+        changes = lan.changes_since(start)
+        self.assertEqual(set(), {b for b in changes if b[1] != 'gw-4'})
+        self.assertEqual(set(), {b for b in changes if b[2] == 'DEAD'})
 
-    def test_one_that_was_frozen_for_a_minute_is_taken_back(self):
+    def test_a_member_frozen_for_a_minute_rejoins(self):
         lan = joined()
         lan.frozen.add('gw-4')
         lan.run(60)
@@ -460,9 +464,9 @@
         self.assertEqual({'ALIVE'}, lan.states('gw-4'))
         self.assertEqual(lan.ids, lan.members['gw-4'].alive_ids())
 
-    def test_a_leaver_is_forgotten_in_the_end(self):
+    def test_a_left_member_is_removed_after_its_retention(self):
         lan = joined(3)
-        lan.tell('gw-2', membership.Leave(now=lan.now))
+        lan.handle('gw-2', membership.Leave(now=lan.now))
         lan.frozen.add('gw-2')
         lan.run(10)
         lan.now += membership.MEMORY_S
@@ -474,11 +478,11 @@
 
 class PartitionTest(unittest.TestCase):
     @params(4, 6, 8, 30)
-    def test_one_that_was_cut_off_disturbs_nobody(self, seconds):
-        """Symptom: all instances doubt each other for some seconds.
+    def test_an_isolated_member_causes_no_suspicion_of_others(self, seconds):
+        """Guards against mutual suspicion of all instances for some seconds.
 
-        Sequence: one is cut off, finds everyone dead, and comes back.
-        Cause: verdicts made while hearing nobody, spread afterwards.
+        One instance is isolated, declares all others dead and reconnects. It
+        must not gossip verdicts made while it received no messages.
         """
         lan = joined()
         lan.lost = cut_off('gw-4')
@@ -491,16 +495,16 @@
         self.assertEqual(lan.ids, lan.members['gw-4'].alive_ids())
         doubts = {
             (observer, of)
-            for observer, of, state in lan.beliefs_since(back)
+            for observer, of, state in lan.changes_since(back)
             if state != 'ALIVE' and 'gw-4' not in (observer, of)
         }
         self.assertEqual(set(), doubts)
 
-    def test_two_halves_meet_again(self):
-        """Symptom: after a partition two groups go on without each other.
+    def test_two_halves_of_a_partition_rejoin(self):
+        """Guards against a partition that persists after the network heals.
 
-        Sequence: each half declares the other dead; the network heals.
-        Cause: nobody probes the dead.
+        Each half has declared the other dead. Unless dead members are still
+        contacted, the halves never rejoin.
         """
         lan = joined()
         lan.lost = cut_off(*lan.ids[:4])
@@ -512,17 +516,17 @@
         for member in lan.members.values():
             self.assertEqual(lan.ids, member.alive_ids())
 
-    def test_one_cut_off_from_a_leave_learns_it_and_revives_nobody(self):
-        """Symptom: an instance that left is listed for callers again.
+    def test_a_leave_missed_in_isolation_is_received_and_final(self):
+        """Guards against listing an instance that left for clients again.
 
-        Sequence: one is cut off; another leaves; the first comes back and
-        still believes the leaver alive.
-        Cause: a leave that travels only once, or is not remembered.
+        One instance is isolated while another leaves, and reconnects with
+        the leaver still marked alive. A leave must be retained, and sent more
+        than once.
         """
         lan = joined()
         lan.lost = cut_off('gw-4')
         lan.run(1)
-        lan.tell('gw-7', membership.Leave(now=lan.now))
+        lan.handle('gw-7', membership.Leave(now=lan.now))
         lan.frozen.add('gw-7')
         lan.run(3)
         lan.lost = lambda *message: False
@@ -530,17 +534,16 @@
         lan.run(20)
         self.assertEqual({'LEFT'}, lan.states('gw-7'))
         revived = {
-            b for b in lan.beliefs_since(back) if b[1:] == ('gw-7', 'ALIVE')
+            b for b in lan.changes_since(back) if b[1:] == ('gw-7', 'ALIVE')
         }
         self.assertEqual(set(), {b for b in revived if b[0] != 'gw-4'})
 
 
 class IncarnationTest(unittest.TestCase):
-    """Symptom: a member flaps, or a dead process is listed for callers.
+    """Guards against flapping members and dead processes listed for clients.
 
-    Sequence: a process ends and another starts with its id and address;
-    what was said of the first arrives after that.
-    Cause: news without an order that survives a restart.
+    A process ends and another starts with its id and address; updates about
+    the first arrive later. Updates need an order that survives a restart.
     """
 
     def test_a_restart_is_a_new_process_at_once(self):
@@ -561,7 +564,9 @@
         ('LEFT', 1, 99),
         ('ALIVE', 2, 0),
     )
-    def test_old_news_changes_nothing(self, state, incarnation, revision):
+    def test_a_stale_update_changes_nothing(
+        self, state, incarnation, revision
+    ):
         lan = joined(3)
         lan.start('gw-2')
         lan.run(5)
@@ -570,21 +575,21 @@
     @params(('ALIVE',), ('SUSPECT',), ('DEAD',))
     def test_a_leave_is_final_in_its_incarnation(self, state):
         lan = joined(3)
-        lan.tell('gw-2', membership.Leave(now=lan.now))
+        lan.handle('gw-2', membership.Leave(now=lan.now))
         lan.frozen.add('gw-2')
         lan.run(1)
         self.check(lan, make_news(state, 1, 99), 'LEFT')
 
-    def test_a_death_by_hearsay_is_a_suspicion_first(self):
-        """Symptom: one confused instance removes others everywhere.
+    def test_a_death_reported_by_others_starts_as_a_suspicion(self):
+        """Guards against one faulty instance removing others everywhere.
 
-        Sequence: its verdict arrives where the member answers every probe.
-        Cause: taking a verdict over without a chance to refute it.
+        Its verdict arrives at an instance whose probes the member answers.
+        The member must get time to refute a verdict before it is adopted.
         """
         self.check(joined(3), make_news('DEAD', 1, 0), 'SUSPECT')
 
     def check(self, lan, news, expected):
-        """Tell one member of gw-2 and compare what it believes then."""
+        """Send gw-0 an update of gw-2 and compare its state of gw-2 then."""
         before = lan.members['gw-0'].members_by_id['gw-2']
         lan.gossip('gw-0', news)
         after = lan.members['gw-0'].members_by_id['gw-2']
@@ -592,7 +597,7 @@
         self.assertEqual(before.incarnation, after.incarnation)
         self.assertEqual(before.revision, after.revision)
 
-    def test_one_whose_id_another_process_took_is_told(self):
+    def test_a_process_whose_id_was_taken_over_is_notified(self):
         lan = joined(3)
         lan.gossip('gw-2', make_news('ALIVE', 2, 0))
         self.assertIn(
@@ -602,10 +607,10 @@
 
 class BoundTest(unittest.TestCase):
     def test_messages_stay_small_while_fifty_join(self):
-        """Symptom: heartbeats late, links full, when a rack comes back.
+        """Guards against late heartbeats and full links when a rack returns.
 
-        Sequence: many members change at once.
-        Cause: all news in one message.
+        Many members change at once; their updates must not all go into one
+        message.
         """
         lan = Lan(count=50)
         lan.run(20)
@@ -616,7 +621,7 @@
 
 
 class Process:
-    """A member with real connections and a clock that the test moves."""
+    """A member with real connections and a clock advanced by the test."""
 
     def __init__(self, number: int, addresses: dict) -> None:
         self.id = f'gw-{number}'
@@ -691,7 +696,7 @@
 async def two_processes() -> abc.AsyncIterator[
     tuple[Process, Process, list[relay.Relay]]
 ]:
-    """Two members that know each other; a relay each way between them."""
+    """Two joined members, with a relay in each direction between them."""
     addresses: list[dict[str, tuple[str, int]]] = [{}, {}]
     both = [Process(number, addresses[number]) for number in range(2)]
     async with contextlib.AsyncExitStack() as stack:
@@ -710,11 +715,11 @@
 
 
 class SilentConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """Symptom: a healthy member is declared dead and stays so.
+    """Guards against a healthy member being declared dead permanently.
 
-    Sequence: the connection that carries the probes, or the one that
-    carries the acknowledgements, goes silent; new connections work.
-    Cause: a verdict over one connection.
+    The connection for the probes, or the one for the acknowledgements, stops
+    delivering while new connections work. A verdict must not depend on one
+    connection.
     """
 
     async def test_probes_go_over_a_new_connection(self):
@@ -725,7 +730,7 @@
 
     async def _recover(self, *, towards: int) -> None:
         async with two_processes() as (one, two, relays):
-            # Both directions have a connection that works.
+            # Establish a working connection in both directions.
             one.probe()
             await one.until(lambda: one.acks() == 1)
             relays[towards].blackhole()
@@ -734,11 +739,11 @@
             one.probe()
             await relays[towards].until(lambda: silent.swallowed > swallowed)
             self.assertEqual(1, one.acks())
-            one.probe()  # The second try of the same probe.
+            one.probe()  # The retry of the same probe.
             await one.until(lambda: one.acks() == 2)
             one.tick(0.8)  # Past the verdict.
-            doubted = [m for m in one.changes if m.state.name != 'ALIVE']
-            self.assertEqual([], doubted)
+            suspected = [m for m in one.changes if m.state.name != 'ALIVE']
+            self.assertEqual([], suspected)
             self.assertEqual([1, 1], [one.reconnects, two.reconnects])
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Calls that end backend servers: evidence, its spread, who is to blame."""
+"""Calls that crash backend servers: evidence, its spread, its evaluation."""
 
 import itertools
 import random
@@ -22,7 +22,7 @@
     data_classes=quarantine.MESSAGES, wire_modules=[quarantine_pb2]
 )
 BAD = 'bad'
-#: Seconds in which a change of the members has to be known everywhere.
+#: Seconds within which a change has to reach all instances.
 SETTLE_S = 3.0
 
 
@@ -32,8 +32,8 @@
     )
 
 
-class One(unittest.TestCase):
-    """The base: the quarantine of one instance."""
+class SingleInstance(unittest.TestCase):
+    """Base class: the quarantine of one instance."""
 
     def setUp(self):
         self.part = quarantine.Quarantine(instance_id='gw-1')
@@ -44,8 +44,8 @@
         self.out = self.part.handle(event)
         return self.out
 
-    def end(self, backend_id, *fingerprints, incarnation=1, after_s=1.0):
-        """Let a backend server end under calls."""
+    def crash(self, backend_id, *fingerprints, incarnation=1, after_s=1.0):
+        """Report the crash of a backend server under each of some calls."""
         self.now += after_s
         for fingerprint in fingerprints:
             self.handle(
@@ -65,122 +65,125 @@
         return self.part.held_s(self.now, fingerprint)
 
 
-class BlameTest(One):
-    """What it takes to hold a call back, and what it doesn't."""
+class SingleInstanceEvidenceTest(SingleInstance):
+    """Which evidence quarantines a call, and which does not."""
 
-    def test_three_ends_hold_a_call(self):
-        self.end('a', BAD)
-        self.end('b', BAD)
+    def test_three_crashes_quarantine_a_call(self):
+        self.crash('a', BAD)
+        self.crash('b', BAD)
         self.assertEqual(0.0, self.held_s())
-        self.end('c', BAD)
+        self.crash('c', BAD)
         (held,) = self.out
         self.assertEqual(('a', 'b', 'c'), held.backend_ids)
         self.assertEqual(('gw-1',), held.told_by)
-        self.assertEqual(_cases.HELD_S, self.held_s())
+        self.assertEqual(_cases.QUARANTINE_S, self.held_s())
         self.assertEqual(0.0, self.held_s('other'))
 
     def test_a_start_counts_once_and_the_next_start_again(self):
-        self.end('a', BAD, BAD)
-        self.end('a', BAD)
+        self.crash('a', BAD, BAD)
+        self.crash('a', BAD)
         self.assertEqual(0.0, self.held_s())
-        self.end('a', BAD, incarnation=2)
-        self.end('a', BAD, incarnation=3)
+        self.crash('a', BAD, incarnation=2)
+        self.crash('a', BAD, incarnation=3)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_rack_that_loses_power_holds_nothing(self):
-        """Failure: calls that did nothing are refused for minutes."""
+    def test_a_rack_that_loses_power_quarantines_nothing(self):
+        """Guards against refusing harmless calls for minutes."""
         calls = [f'call-{number}' for number in range(50)]
-        self.end('a', *calls)
+        self.crash('a', *calls)
         for backend_id in ('b', 'c', 'd'):
-            self.end(backend_id, *calls, after_s=0.05)
+            self.crash(backend_id, *calls, after_s=0.05)
         self.assertFalse(any(self.held_s(each) for each in calls))
 
-    def test_copies_at_one_moment_are_held(self):
-        """Failure: servers that come back end at once, again and again."""
-        self.end('a', BAD, 'near')
+    def test_crashes_under_one_call_at_one_moment_quarantine_it(self):
+        """Guards against servers crashing again as soon as they are back."""
+        self.crash('a', BAD, 'near')
         for backend_id in ('b', 'c'):
-            self.end(backend_id, BAD, after_s=0.02)
+            self.crash(backend_id, BAD, after_s=0.02)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_copy_that_ends_well_clears_the_others(self):
-        """A harmless call that was polled everywhere when a rack was lost."""
-        self.end('a', BAD)
+    def test_a_successful_run_clears_simultaneous_crashes(self):
+        """A harmless call may run on all servers of a rack that is lost."""
+        self.crash('a', BAD)
         for backend_id in ('b', 'c'):
-            self.end(backend_id, BAD, after_s=0.02)
+            self.crash(backend_id, BAD, after_s=0.02)
         self.succeed(BAD)
         (released,) = [
             each for each in self.out if isinstance(each, quarantine.Released)
         ]
-        self.assertEqual('a run ended well', released.why)
+        self.assertEqual('a run succeeded', released.why)
         self.assertEqual(0.0, self.held_s())
 
-    def test_neighbours_of_a_bad_call_go_on(self):
-        """Failure: streams that ran beside a bad call are refused, too."""
-        self.end('a', BAD, 'near', 'far')
-        self.end('b', BAD, 'near')
-        self.end('c', BAD)
+    def test_calls_beside_a_bad_call_are_not_quarantined(self):
+        """Guards against refusing calls that ran beside a bad one."""
+        self.crash('a', BAD, 'near', 'far')
+        self.crash('b', BAD, 'near')
+        self.crash('c', BAD)
         self.assertGreater(self.held_s(), 0.0)
-        # Its first two ends are explained by the bad call.
-        self.end('d', 'near')
+        # The bad call explains its first two crashes.
+        self.crash('d', 'near')
         self.assertEqual(0.0, self.held_s('near'))
-        self.end('e', 'near')
+        self.crash('e', 'near')
         self.assertGreater(self.held_s('near'), 0.0)
 
-    def test_a_neighbour_that_is_held_hides_no_bad_call(self):
-        """Failure: a bad call ends five servers and more."""
-        self.end('a', BAD, 'near')
-        self.end('b', BAD, 'near')
-        self.end('x', 'worse', 'near')
+    def test_a_quarantined_call_beside_a_bad_one_does_not_hide_it(self):
+        """Guards against a bad call crashing five or more servers.
+
+        A quarantined call that ran beside it explains its first crashes.
+        """
+        self.crash('a', BAD, 'near')
+        self.crash('b', BAD, 'near')
+        self.crash('x', 'worse', 'near')
         self.assertGreater(self.held_s('near'), 0.0)
-        self.end('c', BAD)
-        self.end('d', BAD)
+        self.crash('c', BAD)
+        self.crash('d', BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_one_that_only_ran_beside_a_held_call_is_never_held(self):
+    def test_a_call_that_only_ran_beside_a_quarantined_one_is_not(self):
         for backend_id in ('a', 'b', 'c', 'd'):
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         for backend_id in ('a', 'b', 'c', 'd'):
-            self.end(backend_id, 'near', after_s=0.0)
+            self.crash(backend_id, 'near', after_s=0.0)
         self.assertEqual(0.0, self.held_s('near'))
 
-    def test_two_that_ran_at_the_same_places_get_one_try_more(self):
+    def test_two_calls_on_the_same_servers_need_one_more_crash(self):
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD, 'near')
+            self.crash(backend_id, BAD, 'near')
         self.assertEqual([0.0, 0.0], [self.held_s(), self.held_s('near')])
-        self.end('d', BAD)
+        self.crash('d', BAD)
         self.assertGreater(self.held_s(), 0.0)
         self.assertEqual(0.0, self.held_s('near'))
 
-    def test_a_run_to_the_end_clears_what_was_known(self):
-        self.end('a', BAD)
-        self.end('b', BAD)
+    def test_a_successful_run_clears_earlier_crashes(self):
+        self.crash('a', BAD)
+        self.crash('b', BAD)
         self.succeed(BAD)
-        self.end('c', BAD)
+        self.crash('c', BAD)
         self.assertEqual(0.0, self.held_s())
-        self.end('d', BAD)
-        self.end('e', BAD)
+        self.crash('d', BAD)
+        self.crash('e', BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_held_call_is_tried_now_and_then_each_time_later(self):
+    def test_each_further_crash_doubles_the_quarantine(self):
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD)
-        self.now += _cases.HELD_S + 1.0
+            self.crash(backend_id, BAD)
+        self.now += _cases.QUARANTINE_S + 1.0
         (released,) = self.handle(parts.Ticked(now=self.now, entropy=1))
         self.assertEqual(BAD, released.fingerprint)
         self.assertEqual(0.0, self.held_s())
-        self.end('d', BAD)
-        self.assertEqual(2 * _cases.HELD_S, self.held_s())
+        self.crash('d', BAD)
+        self.assertEqual(2 * _cases.QUARANTINE_S, self.held_s())
 
-    def test_one_end_is_forgotten_soon(self):
-        self.end('a', BAD)
-        self.now += _cases.KEPT_S
+    def test_a_single_crash_expires(self):
+        self.crash('a', BAD)
+        self.now += _cases.EVIDENCE_RETENTION_S
         self.handle(parts.Ticked(now=self.now, entropy=1))
         self.assertTrue(self.part.is_empty)
 
-    def test_what_is_old_elsewhere_is_not_taken_back(self):
-        """Failure: evidence goes round for ever."""
+    def test_expired_evidence_is_not_accepted_again(self):
+        """Guards against evidence that circulates for ever."""
         end = quarantine.ReportedEnd(
-            start=start('a'), age_s=_cases.KEPT_S, told_by='gw-2'
+            start=start('a'), age_s=_cases.EVIDENCE_RETENTION_S, told_by='gw-2'
         )
         report = quarantine.CaseReport(
             fingerprint=BAD, ends=(end,), cleared=(), lift=None
@@ -189,33 +192,37 @@
         self.handle(parts.Received(now=self.now, sender='gw-2', message=news))
         self.assertTrue(self.part.is_empty)
 
-    def test_too_many_calls_push_out_those_with_the_fewest_ends(self):
-        """Failure: a bad call runs again, as others were made to look bad."""
+    def test_calls_with_the_fewest_crashes_are_evicted_first(self):
+        """Guards against losing a bad call's evidence to a flood of others.
+
+        The bad call would run again.
+        """
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD)
-        self.end('x', *(f'call-{n}' for n in range(_cases.MOST_CASES + 5)))
+            self.crash(backend_id, BAD)
+        self.crash('x', *(f'call-{n}' for n in range(_cases.MAX_CASES + 5)))
         self.now += quarantine.COMPARE_S
         self.handle(parts.Ticked(now=self.now, entropy=1))
-        self.assertEqual(_cases.MOST_CASES, len(self.part.cases()))
+        self.assertEqual(_cases.MAX_CASES, len(self.part.cases()))
         self.assertGreater(self.held_s(), 0.0)
 
 
-class AttackTest(One):
-    """Callers who bring ends upon a call that is harmless, and not theirs.
+class AttackTest(SingleInstance):
+    """Clients that make crashes count against a harmless call of others.
 
-    Calls without an account are the same whoever sends them. A caller may
-    send a harmless one to the very servers that its own calls end.
+    Without an account, identical requests are the same call whoever sends
+    them. A client may send a harmless call to the very servers that its own
+    calls crash.
     """
 
-    #: Before the bad ones in every order by name.
+    #: Sorts before the names of the bad calls.
     NEAR = 'a harmless one'
 
-    def run_well(self, fingerprint, before_s=0.2):
-        """Let a run end well, that long before the next end."""
+    def record_success(self, fingerprint, before_s=0.2):
+        """Record a successful run, that long before the next crash."""
         self.part.successes.record(self.now + 1.0 - before_s, fingerprint)
 
-    def ask(self, fingerprint=NEAR):
-        """Ask for a trial; return whether it may be."""
+    def request_trial(self, fingerprint=NEAR):
+        """Request a trial; return whether it is granted."""
         event = quarantine.AskTrial(
             now=self.now, fingerprint=fingerprint, ticket='t'
         )
@@ -223,77 +230,79 @@
         self.assertEqual('t', answer.ticket)
         return answer.result
 
-    def end_beside(self, *backend_ids):
-        """Let servers end under bad calls, another one each time."""
+    def crash_under_both(self, *backend_ids):
+        """Report crashes under the harmless and a different bad call each."""
         for number, backend_id in enumerate(backend_ids):
-            self.end(backend_id, f'bad-{number}', self.NEAR)
+            self.crash(backend_id, f'bad-{number}', self.NEAR)
 
-    def test_a_call_that_runs_well_elsewhere_is_never_held(self):
+    def test_a_call_that_succeeds_elsewhere_is_never_quarantined(self):
         for backend_id in 'abcdef':
-            self.run_well(self.NEAR)
-            self.end(backend_id, BAD, self.NEAR)
+            self.record_success(self.NEAR)
+            self.crash(backend_id, BAD, self.NEAR)
             self.assertEqual(0.0, self.held_s(self.NEAR))
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_beside_one_bad_call_after_another(self):
+    def test_different_bad_calls_do_not_quarantine_a_harmless_one(self):
         for round_ in range(3):
-            self.run_well(self.NEAR)
-            self.end_beside(*(f'{each}{round_}' for each in 'abc'))
+            self.record_success(self.NEAR)
+            self.crash_under_both(*(f'{each}{round_}' for each in 'abc'))
             self.assertEqual(0.0, self.held_s(self.NEAR))
 
-    def test_a_wave_at_one_moment_tells_the_two_apart(self):
-        self.run_well(self.NEAR)
-        self.end('a', BAD, self.NEAR)
+    def test_simultaneous_crashes_blame_only_the_bad_call(self):
+        self.record_success(self.NEAR)
+        self.crash('a', BAD, self.NEAR)
         for backend_id in 'bc':
-            self.end(backend_id, BAD, self.NEAR, after_s=0.02)
+            self.crash(backend_id, BAD, self.NEAR, after_s=0.02)
         self.assertEqual(0.0, self.held_s(self.NEAR))
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_run_that_ended_long_before_does_not_count(self):
-        """A new version of the servers may end under what ran well before."""
-        self.run_well(BAD, before_s=1.1)
+    def test_an_earlier_successful_run_does_not_clear_crashes(self):
+        """A new server version may crash under calls that succeeded before."""
+        self.record_success(BAD, before_s=1.1)
         for backend_id in 'abc':
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_run_that_ends_well_does_not_clear_the_next_ends(self):
-        """Of a call that ends servers from then on, two more at most."""
-        self.run_well(BAD, before_s=1.0)
+    def test_a_successful_run_does_not_clear_later_crashes(self):
+        """A call that turns bad later crashes at most two more servers."""
+        self.record_success(BAD, before_s=1.0)
         for backend_id in 'abc':
-            self.end(backend_id, BAD, after_s=0.4)
-        self.end('d', BAD, after_s=0.4)
-        self.end('e', BAD, after_s=0.4)
+            self.crash(backend_id, BAD, after_s=0.4)
+        self.crash('d', BAD, after_s=0.4)
+        self.crash('e', BAD, after_s=0.4)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_rare_call_is_tried_once_the_servers_are_back(self):
-        self.end_beside('a', 'b', 'c')
+    def test_a_rare_call_gets_a_trial_once_the_servers_are_back(self):
+        self.crash_under_both('a', 'b', 'c')
         self.assertGreater(self.held_s(self.NEAR), 0.0)
-        self.assertFalse(self.ask())
+        self.assertFalse(self.request_trial())
         self.now = self.part.trial_at(self.NEAR)
         self.assertLess(self.now, 120.0)
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
         self.succeed(self.NEAR)
         self.assertEqual(0.0, self.held_s(self.NEAR))
 
-    def test_one_send_is_tried_at_a_time(self):
-        self.end_beside('a', 'b', 'c')
+    def test_one_trial_runs_at_a_time(self):
+        self.crash_under_both('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
-        self.assertEqual([True, False, False], [self.ask() for _ in range(3)])
+        self.assertEqual(
+            [True, False, False], [self.request_trial() for _ in range(3)]
+        )
         self.now += _trials.TRIAL_S
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
 
-    def test_a_trial_whose_caller_leaves_is_not_the_last(self):
-        """Failure: who takes the trial and leaves has the call held on."""
-        self.end_beside('a', 'b', 'c')
+    def test_a_trial_whose_client_disconnects_is_not_the_last(self):
+        """Guards against a client blocking trials by disconnecting."""
+        self.crash_under_both('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
         self.now += 6.0
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
 
-    def test_a_trial_that_ends_a_server_is_the_last(self):
-        self.end_beside('a', 'b', 'c')
+    def test_a_trial_that_crashes_a_server_is_the_last(self):
+        self.crash_under_both('a', 'b', 'c')
         self.now = self.part.trial_at(self.NEAR)
-        self.assertTrue(self.ask())
+        self.assertTrue(self.request_trial())
         self.handle(
             quarantine.Ended(
                 now=self.now,
@@ -305,19 +314,19 @@
         )
         self.assertIsNone(self.part.trial_at(self.NEAR))
         self.now += _trials.TRIAL_S
-        self.assertFalse(self.ask())
-        self.assertGreater(self.held_s(self.NEAR), _cases.HELD_S)
+        self.assertFalse(self.request_trial())
+        self.assertGreater(self.held_s(self.NEAR), _cases.QUARANTINE_S)
 
-    def test_what_is_not_held_is_not_tried(self):
-        self.end('a', self.NEAR)
+    def test_a_call_that_is_not_quarantined_gets_no_trial(self):
+        self.crash('a', self.NEAR)
         self.now += 60.0
         self.assertIsNone(self.part.trial_at(self.NEAR))
-        self.assertFalse(self.ask())
-        self.assertFalse(self.ask('unknown'))
+        self.assertFalse(self.request_trial())
+        self.assertFalse(self.request_trial('unknown'))
 
 
-class LiftTest(One):
-    """An operator lets a call through again."""
+class LiftTest(SingleInstance):
+    """An operator lifts the quarantine of a call."""
 
     def lift(self, fingerprint):
         return self.handle(
@@ -332,7 +341,7 @@
 
     def test_it_is_released_with_a_name_and_a_reason(self):
         for backend_id in ('a', 'b', 'c'):
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         known, released = self.lift(BAD)
         self.assertTrue(known.result)
         self.assertEqual(BAD, released.fingerprint)
@@ -340,20 +349,20 @@
         self.assertEqual(0.0, self.held_s())
         (case,) = self.part.cases()
         self.assertEqual('ann', case.lifted.operator)
-        # Three more ends hold it again.
+        # Three further crashes quarantine it again.
         for backend_id in ('d', 'e', 'f'):
-            self.end(backend_id, BAD)
+            self.crash(backend_id, BAD)
         self.assertGreater(self.held_s(), 0.0)
 
-    def test_a_call_that_nobody_knows(self):
+    def test_lifting_an_unknown_call(self):
         (known,) = self.lift('unknown')
         self.assertFalse(known.result)
 
 
-class Entries(timeline.Timeline):
+class Instances(timeline.Timeline):
     """Instances on links that delay and lose messages.
 
-    :param loss: part of the messages that is lost.
+    :param loss: fraction of the messages that are lost.
     """
 
     def __init__(self, *, count: int, loss: float, seed: int) -> None:
@@ -407,7 +416,7 @@
         self.handle(instance_id, parts.Ticked(now=self.now, entropy=entropy))
         self._later(0.2, self._tick, instance_id)
 
-    def end(self, instance_id: str, backend_id: str) -> None:
+    def crash(self, instance_id: str, backend_id: str) -> None:
         self.handle(
             instance_id,
             quarantine.Ended(
@@ -418,7 +427,7 @@
             ),
         )
 
-    def not_holding(self) -> list[str]:
+    def not_quarantining(self) -> list[str]:
         return [
             each
             for each, part in self.parts_by_id.items()
@@ -427,138 +436,144 @@
 
 
 class SpreadTest(unittest.TestCase):
-    """Failure: a call goes on ending backend servers at other entries."""
+    """Guards against a call crashing servers through other instances."""
 
     def setUp(self):
-        self.entries = Entries(count=80, loss=0.1, seed=7)
-        self.entries.run(2.0)
+        self.instances = Instances(count=80, loss=0.1, seed=7)
+        self.instances.run(2.0)
 
-    def end_three(self):
+    def crash_three(self):
         for number, backend_id in enumerate(('a', 'b', 'c')):
-            self.entries.end(f'gw-{number * 9}', backend_id)
-            self.entries.run(0.4)
+            self.instances.crash(f'gw-{number * 9}', backend_id)
+            self.instances.run(0.4)
 
-    def test_ends_at_three_entries_add_up_at_all(self):
-        self.end_three()
-        self.entries.run(SETTLE_S - 0.4)
-        self.assertEqual([], self.entries.not_holding())
+    def test_crashes_seen_by_three_instances_add_up_everywhere(self):
+        self.crash_three()
+        self.instances.run(SETTLE_S - 0.4)
+        self.assertEqual([], self.instances.not_quarantining())
 
     @params(*range(20))
-    def test_ends_at_one_moment_add_up_as_soon(self, seed):
-        """Failure: entries send a call for 3 s after its third end."""
-        entries = Entries(count=80, loss=0.1, seed=seed)
-        entries.run(2.0)
+    def test_simultaneous_crashes_add_up_as_soon(self, seed):
+        """Guards against forwarding a call for 3 s after its third crash."""
+        instances = Instances(count=80, loss=0.1, seed=seed)
+        instances.run(2.0)
         for number in range(3):
-            entries.end(f'gw-{number * 9}', f'server-{number}')
+            instances.crash(f'gw-{number * 9}', f'server-{number}')
         # Two hops of 80 ms at most, and once more for what was lost.
-        entries.run(0.5)
-        self.assertEqual([], entries.not_holding())
-
-    def test_one_entry_of_all_tries_a_held_call(self):
-        """Failure: callers who come at once end all servers once more."""
-        self.end_three()
-        self.entries.run(_trials.TRIAL_AFTER_S + 1.0)
-        for instance_id in self.entries.ids:
-            self.entries.handle(
+        instances.run(0.5)
+        self.assertEqual([], instances.not_quarantining())
+
+    def test_only_one_instance_gets_a_trial(self):
+        """Guards against simultaneous requests crashing all servers again."""
+        self.crash_three()
+        self.instances.run(_trials.TRIAL_AFTER_S + 1.0)
+        for instance_id in self.instances.ids:
+            self.instances.handle(
                 instance_id,
                 quarantine.AskTrial(
-                    now=self.entries.now, fingerprint=BAD, ticket='t'
+                    now=self.instances.now, fingerprint=BAD, ticket='t'
                 ),
             )
-        self.entries.run(0.5)
-        self.assertEqual(1, len(self.entries.granted))
+        self.instances.run(0.5)
+        self.assertEqual(1, len(self.instances.granted))
 
-    def test_one_entry_clears_what_ran_well_there(self):
-        self.entries.parts_by_id['gw-33'].successes.record(
-            self.entries.now, BAD
+    def test_an_instance_clears_a_call_that_succeeded_there(self):
+        self.instances.parts_by_id['gw-33'].successes.record(
+            self.instances.now, BAD
         )
-        self.end_three()
-        self.entries.run(0.5)
-        self.assertEqual(80, len(self.entries.not_holding()))
-
-    def test_all_entries_may_clear_a_call_at_a_time(self):
-        """Failure: control loops stand still after an end."""
-        sent = self.entries.sent
-        # The homes would clear the first end, before others hear of it.
-        first = self.entries.parts_by_id['gw-0']
-        others = set(self.entries.ids[2:]) - set(first._homes(BAD))
+        self.crash_three()
+        self.instances.run(0.5)
+        self.assertEqual(80, len(self.instances.not_quarantining()))
+
+    def test_all_instances_may_clear_a_call_at_the_same_time(self):
+        """Guards against blocked control loops after a crash."""
+        sent = self.instances.sent
+        # The aggregators would clear the first crash before the others
+        # receive it.
+        first = self.instances.parts_by_id['gw-0']
+        others = set(self.instances.ids[2:]) - set(first._aggregators(BAD))
         for instance_id in others:
-            part = self.entries.parts_by_id[instance_id]
-            part.successes.record(self.entries.now, BAD)
+            part = self.instances.parts_by_id[instance_id]
+            part.successes.record(self.instances.now, BAD)
         for number in range(2):
-            self.entries.end(f'gw-{number}', f'server-{number}')
-        self.entries.run(0.5)
-        # Two ends and one clearing are each told to all by an entry and the
-        # homes; each entry tells the homes once, and compares with two.
-        homes = quarantine.HOMES
-        most_an_entry = 3 * (1 + homes) + homes + 2 * quarantine.COMPARED
-        self.assertLess(self.entries.sent - sent, most_an_entry * 80)
+            self.instances.crash(f'gw-{number}', f'server-{number}')
+        self.instances.run(0.5)
+        # Two crashes and one clearing are each broadcast by an instance and
+        # the aggregators. Each instance notifies the aggregators once, and
+        # compares checksums with two others.
+        aggregators = quarantine.AGGREGATORS
+        most_an_entry = (
+            3 * (1 + aggregators) + aggregators + 2 * quarantine.COMPARE_FANOUT
+        )
+        self.assertLess(self.instances.sent - sent, most_an_entry * 80)
 
     def test_nothing_is_sent_while_there_is_no_evidence(self):
-        sent = self.entries.sent
-        self.entries.run(10.0)
-        self.assertEqual(sent, self.entries.sent)
-
-    def test_an_entry_that_starts_learns_it(self):
-        self.end_three()
-        self.entries.begin('gw-40')
-        self.entries.run(SETTLE_S)
-        self.assertEqual([], self.entries.not_holding())
-
-    def test_an_entry_that_starts_asks_before_it_is_told(self):
-        """Failure: an entry sends a held call in its first second."""
-        entries = Entries(count=80, loss=0.0, seed=7)
+        sent = self.instances.sent
+        self.instances.run(10.0)
+        self.assertEqual(sent, self.instances.sent)
+
+    def test_a_restarted_instance_receives_the_evidence(self):
+        self.crash_three()
+        self.instances.begin('gw-40')
+        self.instances.run(SETTLE_S)
+        self.assertEqual([], self.instances.not_quarantining())
+
+    def test_a_restarted_instance_requests_the_evidence_at_once(self):
+        """Guards against running a quarantined call right after a start."""
+        instances = Instances(count=80, loss=0.0, seed=7)
         for number in range(3):
-            entries.end(f'gw-{number}', f'server-{number}')
-        entries.run(5.0)
-        entries.begin('gw-40')
-        # There and back, of 80 ms each at most.
-        entries.run(0.17)
-        self.assertEqual([], entries.not_holding())
-
-    def test_entries_that_were_cut_off_learn_it(self):
-        self.entries.cut = {'gw-50', 'gw-51'}
-        self.end_three()
-        self.entries.run(5.0)
-        self.assertEqual(['gw-50', 'gw-51'], self.entries.not_holding())
-        self.entries.cut = set()
-        self.entries.run(SETTLE_S)
-        self.assertEqual([], self.entries.not_holding())
-
-    def test_one_end_is_told_to_few(self):
-        """Failure: entries stand still for tenths of a second at each end."""
-        sent = self.entries.sent
-        self.entries.end('gw-1', 'a')
-        self.assertLessEqual(self.entries.sent - sent, quarantine.HOMES)
-
-    def test_a_second_end_is_told_to_all(self):
-        self.entries.end('gw-1', 'a')
-        self.entries.run(0.1)
-        self.entries.end('gw-2', 'b')
-        self.entries.run(0.3)
-        told = [
+            instances.crash(f'gw-{number}', f'server-{number}')
+        instances.run(5.0)
+        instances.begin('gw-40')
+        # A request and its answer, of at most 80 ms each.
+        instances.run(0.17)
+        self.assertEqual([], instances.not_quarantining())
+
+    def test_isolated_instances_receive_the_evidence_later(self):
+        self.instances.cut = {'gw-50', 'gw-51'}
+        self.crash_three()
+        self.instances.run(5.0)
+        self.assertEqual(['gw-50', 'gw-51'], self.instances.not_quarantining())
+        self.instances.cut = set()
+        self.instances.run(SETTLE_S)
+        self.assertEqual([], self.instances.not_quarantining())
+
+    def test_a_single_crash_is_sent_to_the_aggregators_only(self):
+        """Guards against blocking control loops for tenths of a second."""
+        sent = self.instances.sent
+        self.instances.crash('gw-1', 'a')
+        self.assertLessEqual(
+            self.instances.sent - sent, quarantine.AGGREGATORS
+        )
+
+    def test_a_second_crash_is_broadcast(self):
+        self.instances.crash('gw-1', 'a')
+        self.instances.run(0.1)
+        self.instances.crash('gw-2', 'b')
+        self.instances.run(0.3)
+        informed = [
             each
-            for each, part in self.entries.parts_by_id.items()
+            for each, part in self.instances.parts_by_id.items()
             if any(len(case.counted) == 2 for case in part.cases())
         ]
         # A tenth of all messages is lost.
-        self.assertGreater(len(told), 60)
-
-    def test_evidence_that_all_have_costs_little(self):
-        self.end_three()
-        self.entries.run(5.0)
-        before = self.entries.sent_bytes
-        self.entries.run(10.0)
-        sent = (self.entries.sent_bytes - before) / 10.0 / 80
+        self.assertGreater(len(informed), 60)
+
+    def test_replicated_evidence_costs_little_traffic(self):
+        self.crash_three()
+        self.instances.run(5.0)
+        before = self.instances.sent_bytes
+        self.instances.run(10.0)
+        sent = (self.instances.sent_bytes - before) / 10.0 / 80
         self.assertLess(sent, 500.0)
 
-    def test_what_is_forgotten_does_not_go_round(self):
-        entries = Entries(count=8, loss=0.1, seed=7)
-        entries.end('gw-1', 'a')
-        entries.run(_cases.KEPT_S + 5.0)
+    def test_removed_evidence_does_not_circulate(self):
+        instances = Instances(count=8, loss=0.1, seed=7)
+        instances.crash('gw-1', 'a')
+        instances.run(_cases.EVIDENCE_RETENTION_S + 5.0)
         left = [
             each
-            for each, part in entries.parts_by_id.items()
+            for each, part in instances.parts_by_id.items()
             if not part.is_empty
         ]
         self.assertEqual([], left)
@@ -586,7 +601,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """News may come in any order, late and twice."""
+    """Reports may arrive in any order, late and more than once."""
 
     @hypothesis.given(reports=st.lists(_REPORTS, max_size=8), data=st.data())
     def test_order_and_doubles_change_nothing(self, reports, data):
@@ -600,10 +615,10 @@
         for fingerprint, case in first.by_fingerprint.items():
             other = second.by_fingerprint[fingerprint]
             self.assertEqual(case.cleared, other.cleared)
-        self.assertEqual(first.judge(), second.judge())
+        self.assertEqual(first.evaluate(), second.evaluate())
 
     @hypothesis.given(reports=st.lists(_REPORTS, max_size=8))
-    def test_a_report_of_all_brings_all(self, reports):
+    def test_a_full_report_transfers_all_evidence(self, reports):
         first, second = _cases.Cases(), _cases.Cases()
         for report in reports:
             first.merge(100.0, report)
