--- a/dandeliongw/entry/__init__.py
+++ b/dandeliongw/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request at the instance that its caller chose."""
+"""The life cycle of a request at its entry, the instance it arrived at."""
--- a/dandeliongw/entry/admission.py
+++ b/dandeliongw/entry/admission.py
@@ -1,4 +1,4 @@
-"""Who may have what served at this entry, before any owner is asked."""
+"""Admission control at the entry, before a cell's owner is involved."""
 
 import typing
 
@@ -11,12 +11,12 @@
 
 _REASON = verdict.RefusalReason
 
-#: A caller that gives less than this part of the route's time came before.
+#: A call whose deadline is less than this fraction of the route's timeout
+#: counts as a resend: an earlier send used up the rest.
 RESENT_PART = 0.95
-#: Seconds after which a caller may find a transient refusal gone.
+#: ``Retry-After`` in seconds of refusals for a transient reason.
 SOON_S = 1.0
-#: Refusals that the document gives the reason for, and after which a caller
-#: doesn't come back.
+#: Reasons that follow from the document. Clients do not retry after them.
 _FINAL_REASONS = frozenset(
     (
         _REASON.UNKNOWN_ROUTE,
@@ -28,7 +28,7 @@
 
 
 class Directory(typing.Protocol):
-    """What an entry knows about the system around it."""
+    """An entry's view of the system."""
 
     @property
     def document(self) -> document.Document: ...
@@ -37,7 +37,7 @@
     def is_draining(self) -> bool: ...
 
     def is_fresh(self, now: float) -> bool:
-        """Whether the document was confirmed by a majority lately."""
+        """Whether a majority confirmed the document recently enough."""
         ...
 
     def standing(self, now: float) -> standings.Standing:
@@ -48,21 +48,21 @@
 
     @property
     def own_id(self) -> str:
-        """This instance."""
+        """The id of this instance."""
         ...
 
     @property
     def places_alone(self) -> bool:
-        """Whether it places by itself while a cell's owner is silent."""
+        """Whether it places requests while an owner is unresponsive."""
         ...
 
     def owners_of(self, cell: str) -> tuple[str, ...]:
-        """Return instance ids to ask, the likeliest owner first."""
+        """Return the ids of candidate owners, the most likely one first."""
         ...
 
 
 class Admitted(msgspec.Struct, frozen=True, kw_only=True):
-    """A call that is allowed, with what the document says of it."""
+    """An admitted call, with its parameters from the document."""
 
     service: document.Service
     route: document.Route
@@ -70,24 +70,26 @@
     priority: document.Priority
     streamed: bool
     timeout_s: float
-    #: Backend servers that it may run on; ``None`` where only the limit of
-    #: attempts counts.
+    #: Upper bound for the backend servers that it may run on; ``None`` if
+    #: only the limit of attempts applies.
     max_runs: int | None = None
-    #: Passed on unchanged: reading the prompt alone runs nothing, and every
-    #: send to a decode engine is a run of its own.
+    #: Whether the call is forwarded unchanged. Prefill then does not count as
+    #: running it, and every send to a decode engine is a run of its own.
     is_passed_on: bool = False
-    #: Seconds without a piece after which its caller leaves, if that is known.
+    #: Seconds without a piece after which its client disconnects; ``None`` if
+    #: not known.
     patience_s: float | None = None
-    #: Part of its caller's time is spent: it was turned away before.
+    #: Whether part of its client's time is spent, because an earlier send was
+    #: refused.
     is_resent: bool = False
 
 
 class Admission:
     """Checks calls against the document and this instance's own limits.
 
-    :param max_requests: requests in flight at this instance.
-    :param max_streams: completions in flight, so that the threads left
-        over always serve plain calls: no long prompt blocks a lookup.
+    :param max_requests: upper bound for requests in flight.
+    :param max_streams: upper bound for completions in flight. It leaves
+        threads free for plain calls, so that no long prompt blocks a lookup.
     """
 
     def __init__(
@@ -104,7 +106,7 @@
     def check(
         self, now: float, call: events.Call, entropy: int = 0
     ) -> Admitted | verdict.Refusal:
-        """Return what the call is, or why it is refused; counts nothing.
+        """Return the admitted call or its refusal, without counting it.
 
         :param entropy: 64 random bits, to choose a service by weight.
         """
@@ -115,8 +117,8 @@
                 SOON_S,
             )
         if not self._directory.is_fresh(now):
-            # An instance that is cut off can't know whether its document is
-            # still the accepted one, so it must not act on it.
+            # An instance on the minority side of a partition cannot verify
+            # that its document is still in force, so it must not act on it.
             return not_run(
                 _REASON.CONFIGURATION_STALE,
                 'this instance has not confirmed its configuration lately; '
@@ -135,12 +137,12 @@
     def _unless_outdated(
         self, now: float, refusal: verdict.Refusal
     ) -> verdict.Refusal:
-        """Let a caller come again where a later document may have its call.
+        """Make a refusal retryable if a later document may admit the call.
 
-        With ``unconfirmed`` set to ``serve`` work goes on under a document
-        that may be an old one. "No such route" from that is final for the
-        caller, and false once the route was added; one sees 404 at single
-        entries after a change that was acknowledged seconds ago.
+        With ``unconfirmed`` set to ``serve``, the instance goes on under a
+        document that may be outdated. Clients take "no such route" as final,
+        although the route may have been added since. Without this, single
+        entries would answer 404 for seconds after an acknowledged change.
         """
         if refusal.reason not in _FINAL_REASONS:
             return refusal
@@ -157,11 +159,11 @@
     def _check_host(
         self, call: events.Call, entropy: int
     ) -> Admitted | verdict.Refusal:
-        """Find the route of a call that is passed on; it has no account."""
+        """Check a call that is forwarded unchanged; it has no account."""
         described = self._directory.document
         if not described.host_routes:
-            # Nothing was accepted yet, or this instance hasn't heard of it.
-            # "No such route" would be final for the caller, and false.
+            # No document was accepted yet, or this instance has not received
+            # it. "No such route" would be wrong, and clients take it as final.
             return not_run(
                 _REASON.CONFIGURATION_STALE,
                 'this instance knows no routes yet; use another entry',
@@ -288,14 +290,14 @@
         return bucket.take(now)
 
     def enter(self, account: str, streamed: bool) -> None:
-        """Count a request in."""
+        """Add a request to the counts of those in flight."""
         self._requests += 1
         self._streams += streamed
         in_flight = self._in_flight_by_account.get(account, 0)
         self._in_flight_by_account[account] = in_flight + 1
 
     def leave(self, account: str, streamed: bool) -> None:
-        """Count a request out; once for each :meth:`enter`."""
+        """Remove a request from the counts; once for each :meth:`enter`."""
         self._requests -= 1
         self._streams -= streamed
         left = self._in_flight_by_account[account] - 1
@@ -312,7 +314,8 @@
 class RateBucket:
     """A token bucket that holds one second's worth, at least one token.
 
-    :param rate: tokens a second.
+    :param rate: tokens per second.
+    :param now: current time in seconds.
     """
 
     def __init__(self, *, rate: float, now: float) -> None:
@@ -332,7 +335,7 @@
         return (1.0 - self._level) / self.rate
 
 
-#: Whom calls by host and path are counted for.
+#: The account under which calls by host and path are counted.
 _ANYBODY = document.Account(
     name='anybody',
     key_sha256='0' * 64,
@@ -356,7 +359,7 @@
     message: str,
     retry_after_s: float | None = None,
 ) -> verdict.Refusal:
-    """Return a refusal of something that was never sent anywhere."""
+    """Return a refusal of a call that was sent to no backend server."""
     return verdict.Refusal(
         reason=reason,
         verdict=verdict.Verdict.NOT_RUN,
--- a/dandeliongw/entry/attempts.py
+++ b/dandeliongw/entry/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a request: when one begins, and when it is the last."""
+"""The attempts of a request: beginning, retry with backoff, giving up."""
 
 import typing
 
@@ -15,20 +15,20 @@
 from .request import Phase
 from .request import Request
 
-#: Attempts of one request, the first included.
+#: Upper bound for the attempts of one request, the first included.
 MAX_ATTEMPTS = 4
-#: Mean wait before the third attempt; twice as long before each further
-#: one. The second goes at once: it goes to another backend server.
+#: Mean backoff in seconds before the third attempt, doubled for each further
+#: one. The second attempt has none, as it uses another backend server.
 BACKOFF_S = 0.1
 
 Effects = list[typing.Any]
 
 
 class Attempts:
-    """Begins attempts, and gives them up.
+    """Begins attempts and decides on retries.
 
-    :param budgets: bound the attempts after the first, by service.
-    :param holds: calls that are not to be attempted.
+    :param budgets: retry budgets by service.
+    :param holds: quarantined calls, which are not attempted.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._budgets = budgets
 
     def begin(self, now: float, request: Request) -> Effects:
-        """Begin another attempt, with an id of its own."""
+        """Begin another attempt, with a new id."""
         held = self.held(now, request)
         if held is not None:
             refused = self._endings.refuse(now, request, held.refusal)
@@ -55,18 +55,22 @@
         return self.search(now, request)
 
     def search(self, now: float, request: Request) -> Effects:
-        """Ask for a booking of the present attempt."""
+        """Search for an owner that books the current attempt."""
         asked = self._reservations.search(now, request)
         return self.unless_ownerless(now, request, asked)
 
     def unless_ownerless(
         self, now: float, request: Request, asked: Effects | None
     ) -> Effects:
-        """Return what was asked; end or wait when nobody could be asked."""
+        """Return the messages, or wait or refuse if there is no owner.
+
+        :param asked: the messages that book the request; ``None`` if there is
+            no candidate owner.
+        """
         if asked is not None:
             return asked
         if now - request.phase_at < request.search_s and request.attempts > 1:
-            # What has been computed is worth a little patience.
+            # Earlier attempts have invested work, so wait for an owner.
             request.asked_at = now
             return []
         return self._endings.give_up(now, request, refusals.no_owner(request))
@@ -81,18 +85,27 @@
         failed_id: str = '',
         entropy: int = 0,
     ) -> Effects:
-        """Give the attempt up, and begin another one if that may help."""
+        """End the attempt, and begin another one if the limits allow it.
+
+        :param failure: why the attempt failed.
+        :param failed_id: id of the backend server at fault, else ``''``.
+        :param entropy: 64 random bits for the jitter.
+        """
         out = self._give_back(request, failure, failed_id)
         if request.caller_gone:
             refusal = refusals.caller_gone(request)
             return [*out, *self._endings.refuse(now, request, refusal)]
         if not request.may_run_again:
             refusal = refusals.backend_failed(message)
-            told = _tried(request, failure, 'it may have run', again=False)
+            told = _tried(
+                request, failure, 'the call may have run', again=False
+            )
             return [*out, told, *self._endings.refuse(now, request, refusal)]
         held = self.held(now, request)
         if held is not None:
-            told = _tried(request, failure, 'it is held back', again=False)
+            told = _tried(
+                request, failure, 'the call is quarantined', again=False
+            )
             refused = self._endings.refuse(now, request, held.refusal)
             return [*out, told, held.line, *refused]
         wait_s = self._backoff_s(request, entropy)
@@ -101,7 +114,7 @@
             refusal = refusals.retries_spent(request, message)
             told = _tried(request, failure, hindrance, again=False)
             return [*out, told, *self._endings.refuse(now, request, refusal)]
-        out.append(_tried(request, failure, 'it may help', again=True))
+        out.append(_tried(request, failure, 'a retry is allowed', again=True))
         count = effects.CountRetry(reason=failure)
         if not wait_s:
             return [*out, count, *self.begin(now, request)]
@@ -111,7 +124,7 @@
     def held(self, now: float, request: Request) -> hold_module.Held | None:
         """Return why a request may not be sent; ``None`` if it may.
 
-        One that is tried runs once.
+        A request that is a trial may run once.
         """
         if request.is_trial and not request.runs:
             return None
@@ -144,22 +157,25 @@
         return [*release, *refusals.count_waste(failure, wasted)]
 
     def _backoff_s(self, request: Request, entropy: int) -> float:
-        """Return how long to wait, jittered so that no wave comes back."""
+        """Return the backoff in seconds, with jitter against retry waves."""
         if request.attempts < 2:
             return 0.0
         jitter = 0.5 + entropy / 2**64
         return BACKOFF_S * 2 ** (request.attempts - 2) * jitter
 
     def _hindrance(self, start_at: float, request: Request) -> str:
-        """Return why no other attempt should begin; ``''`` if one should."""
+        """Return why no other attempt may begin; ``''`` if one may.
+
+        Takes one attempt from the retry budget when it returns ``''``.
+        """
         if request.attempts >= MAX_ATTEMPTS:
-            return f'it had {request.attempts} attempts'
+            return f'all {request.attempts} attempts are used up'
         if request.has_run_enough:
-            return f'it may have run on {request.runs} backend servers'
+            return f'may have run on {request.runs} backend servers already'
         if start_at + request.prefill_s >= request.deadline_at:
-            return 'no time is left'
+            return 'not enough time before the deadline'
         if not self._budgets.spend(request.service):
-            return 'the retry budget is spent'
+            return 'retry budget is used up'
         return ''
 
 
--- a/dandeliongw/entry/breaks.py
+++ b/dandeliongw/entry/breaks.py
@@ -1,9 +1,10 @@
-"""Runs that broke off, until it is known whether their backend server ended.
+"""Detection of backend servers that crashed while running a call.
 
-A reset, a cut link and the end of the process look alike to the one who
-waits for an answer. Right after the end of a process, its machine refuses
-connections to its address; so that is asked, away from the call's own way:
-its next attempt doesn't wait for it.
+To the entry, a reset connection, a broken link and the end of the server's
+process look alike. After the end of a process, its machine refuses
+connections to its address, so the address is probed when a connection breaks.
+The probe runs in the background: the call's next attempt does not wait for
+it.
 """
 
 import typing
@@ -16,8 +17,8 @@
 from ..coordination import presence
 from ..coordination import quarantine
 
-#: Seconds from the break to each look at the address. The listening socket
-#: may be closed a moment after the connection; a supervisor starts another
+#: Seconds from the break to each probe of the address. The listening socket
+#: may be closed a moment after the connection; a supervisor restarts the
 #: process about a second later.
 LOOK_AFTER_S = (0.0, 0.1, 0.4)
 
@@ -25,14 +26,15 @@
 
 
 class BrokenRun(msgspec.Struct, frozen=True, kw_only=True):
-    """A run that ended with its connection.
+    """A run that was interrupted by a broken connection.
 
     :param fingerprint: of the call.
-    :param content: the fingerprint that it has for all callers.
-    :param caller: its account, or the address it came from.
+    :param content: fingerprint of the call's content, the same for all
+        clients.
+    :param caller: the client account, or the address it came from.
     :param url: of the backend server.
-    :param ran_s: from the beginning of the run until it broke off.
-    :param is_trial: whether its call was held, and tried with it.
+    :param ran_s: seconds from the start of the run until it broke off.
+    :param is_trial: whether it was the trial of a quarantined call.
     """
 
     request_id: str
@@ -47,9 +49,9 @@
 
 
 class _Break(msgspec.Struct, kw_only=True):
-    """One start of a backend server on which runs broke off.
+    """One start of a backend server on which runs were interrupted.
 
-    :param looks: at its address, so far.
+    :param looks: number of probes of its address so far.
     """
 
     url: str
@@ -60,13 +62,13 @@
 
 
 class Breaks:
-    """Finds out under which runs a backend server ended."""
+    """Determines during which runs a backend server ended."""
 
     def __init__(self) -> None:
         self._breaks_by_start: dict[presence.BackendStart, _Break] = {}
 
     def add(self, now: float, run: BrokenRun) -> Effects:
-        """Take in that a run broke off; return the look at its server."""
+        """Record an interrupted run; return the probe of its server."""
         held = self._breaks_by_start.get(run.start)
         if held is None:
             held = _Break(url=run.url, broke_at=now, runs_by_fingerprint={})
@@ -75,7 +77,7 @@
         return self._look(now, run.start, held)
 
     def tick(self, now: float) -> Effects:
-        """Return the looks that are due."""
+        """Return the probes that are due."""
         out: Effects = []
         for start, held in self._breaks_by_start.items():
             out += self._look(now, start, held)
@@ -91,7 +93,7 @@
         return [effects.ProbeBackend(start=start, url=held.url)]
 
     def probed(self, event: events.BackendProbed) -> Effects:
-        """Take in whether anything listens at a server's address."""
+        """Process the result of a probe of a server's address."""
         held = self._breaks_by_start.get(event.start)
         if held is None:
             return []
@@ -100,7 +102,7 @@
             del self._breaks_by_start[event.start]
             return _tell(event, held)
         if held.looks >= len(LOOK_AFTER_S):
-            # The connection broke, and the process did not end.
+            # Only the connection broke; the process did not end.
             del self._breaks_by_start[event.start]
         return []
 
--- a/dandeliongw/entry/early.py
+++ b/dandeliongw/entry/early.py
@@ -1,4 +1,4 @@
-"""Calls that come before an instance knows its first configuration."""
+"""Calls that arrive before an instance has its first configuration."""
 
 import msgspec
 
@@ -7,47 +7,54 @@
 
 
 class EarlyCalls(msgspec.Struct, kw_only=True):
-    """Keeps calls until there is a configuration to admit them under.
+    """Queues calls until there is a configuration to admit them under.
 
-    An instance takes calls as soon as its port is open, and hears of the
-    configuration a little later. After a loss of power that is some 0.7 s on
-    all instances at once: a call that is turned away then finds no better
-    entry, and its caller is back only when the target is missed. Kept, it
-    starts with the configuration.
+    An instance accepts calls as soon as its port is open and receives the
+    configuration a little later. After a power failure, that takes some 0.7 s
+    on all instances at once. A call that is refused then finds no better
+    entry, and its client retries only when the latency target is missed. A
+    queued call starts as soon as the configuration arrives.
 
-    :param directory: tells whether there is a configuration.
-    :param most_s: seconds after the start in which calls are kept.
+    :param directory: the instance's view of the configuration.
+    :param most_s: seconds after the start during which calls are queued.
     """
 
     directory: admission.Directory
     most_s: float
-    #: When the instance began; ``None`` before its first event.
+    #: When the instance started; ``None`` before its first event.
     began_at: float | None = None
     calls_by_id: dict[str, events.RequestArrived] = msgspec.field(
         default_factory=dict
     )
 
     def begin(self, now: float) -> None:
-        """Take in that the instance runs; only the first time counts."""
+        """Record the start of the instance; only the first call counts."""
         if self.began_at is None:
             self.began_at = now
 
     def must_wait(self, event: events.RequestArrived) -> bool:
-        """Whether a call can't be admitted yet, and soon may be."""
+        """Whether a call cannot be admitted yet but may be soon."""
         return self._is_starting(event.now) and not self._knows(
             event.now, event.call
         )
 
     def add(self, event: events.RequestArrived) -> None:
-        """Keep a call."""
+        """Queue a call."""
         self.calls_by_id[event.request_id] = event
 
     def forget(self, request_id: str) -> bool:
-        """Return whether a call was kept, whose caller has gone."""
+        """Remove a call whose client has disconnected, if it is queued.
+
+        :return: whether it was queued.
+        """
         return self.calls_by_id.pop(request_id, None) is not None
 
     def take(self, now: float) -> list[events.RequestArrived]:
-        """Return the calls whose wait is over, one way or the other."""
+        """Remove and return the calls that need not wait any longer.
+
+        Either they can be admitted, or their deadline or the start-up period
+        has passed.
+        """
         over = [
             event
             for event in self.calls_by_id.values()
--- a/dandeliongw/entry/endings.py
+++ b/dandeliongw/entry/endings.py
@@ -1,7 +1,7 @@
-"""How requests end before their answer is whole, and what that frees.
+"""The ends of requests, and the release of what they hold.
 
-Whatever ends a request gives back its slot, settles its claim, counts what
-was wasted, and refuses it with the verdict that is proved.
+A request that ends before its answer is complete releases its slot, settles
+its claim, counts wasted tokens and is refused with the verdict that is proved.
 """
 
 import typing
@@ -36,11 +36,11 @@
         self._reservations = reservations
 
     def leave(self, now: float, request: Request) -> Effects:
-        """The caller has gone: free what it held."""
+        """End a request whose client has disconnected."""
         request.caller_gone = True
         if request.phase is Phase.CALL and request.claim_key:
-            # A claimed call is left to end, so that its outcome is known
-            # when the caller asks again. It holds no engine memory.
+            # A claimed call runs on, so that its outcome is known when the
+            # client sends it again. It uses no engine memory.
             return []
         if request.phase is Phase.RECORDING:
             return []
@@ -48,7 +48,7 @@
         return self.stop(now, request, refusal, cells.Outcome.CANCELLED)
 
     def cut_off(self, now: float, request: Request) -> Effects:
-        """A shutdown's time is over before the request is."""
+        """End a request that outlasts the shutdown grace period."""
         refusal = refusals.cut_off(request)
         return [
             refusals.log_cut_off(request),
@@ -62,7 +62,7 @@
         refusal: verdict.Refusal,
         outcome: cells.Outcome,
     ) -> Effects:
-        """Break off whatever is under way, then refuse."""
+        """Abort the work in progress, then refuse the request."""
         wasted = request.prefilled_tokens
         return [
             *self.break_off(request),
@@ -72,7 +72,7 @@
         ]
 
     def break_off(self, request: Request) -> Effects:
-        """Stop the thread's step and free the engines' memory."""
+        """Abort the thread's step and free the engines' memory."""
         cancels = self._reservations.cancels(request)
         if request.is_running:
             request.known = _MAY_HAVE_RUN
@@ -86,7 +86,7 @@
     def give_up(
         self, now: float, request: Request, refusal: verdict.Refusal
     ) -> Effects:
-        """Refuse a request of which nothing is under way any more."""
+        """Refuse a request that has no step in progress."""
         wasted = request.prefilled_tokens
         release = self._reservations.release(
             request, cells.Outcome.FAILED, wasted=wasted
@@ -100,13 +100,13 @@
     def refuse(
         self, now: float, request: Request, refusal: verdict.Refusal
     ) -> Effects:
-        """Refuse a request that holds nothing but, perhaps, its claim."""
+        """Refuse a request that holds at most its claim."""
         claim = resends.settle(now, request, refusal)
         last = effects.Refuse(request_id=request.request_id, refusal=refusal)
         return [*claim, *self.end(request, last)]
 
     def end(self, request: Request, last: effects.Directive) -> Effects:
-        """Give the last directive; nothing follows it."""
+        """Mark a request as ended and return its last directive."""
         request.is_ended = True
         request.booked = None
         if isinstance(last, effects.Refuse):
--- a/dandeliongw/entry/fingerprints.py
+++ b/dandeliongw/entry/fingerprints.py
@@ -1,24 +1,24 @@
-"""What makes two sends the same call, in a form that may be told others."""
+"""Fingerprints, by which all instances recognise equal calls."""
 
 import hashlib
 import hmac
 
 from .. import events
 
-#: Of the keyed hash: so few never meet by chance, and they go into messages
-#: between instances and into log lines.
+#: Length of the keyed hash. It is enough to rule out accidental collisions
+#: and short enough for messages between instances and for log lines.
 FINGERPRINT_BYTES = 16
 
 
 class Fingerprints:
-    """Makes the fingerprints of calls.
+    """Computes the fingerprints of calls.
 
-    The same caller, method, host, path with query and body give the same
-    one, whichever entry the call comes through and from whichever address;
-    request id, deadline, place in a stream and ``Idempotency-Key`` don't
-    count. The caller is its account, or the credentials that it sends; calls
-    without either have the same one. Nothing of a call can be read from its
-    fingerprint, and without the secret none can be made.
+    Calls with the same client, method, host, path with query and body have
+    the same fingerprint at every entry and from every address. Request id,
+    deadline, position in a stream and ``Idempotency-Key`` are not part of it.
+    The client is identified by its account or the credentials that it sends;
+    all calls without either count as the same client's. A fingerprint reveals
+    nothing about the call, and it cannot be computed without the secret.
 
     :param secret: shared by all instances; ``None`` if they have none.
     """
@@ -35,11 +35,11 @@
         )
 
     def of_content(self, call: events.Call) -> str:
-        """Return what the same call of all callers has in common."""
+        """Return the fingerprint of a call's content, for all clients."""
         return self._hash(b'content', *_content(call))
 
     def _hash(self, *fields: bytes) -> str:
-        # A length before each field keeps ('ab', 'c') and ('a', 'bc') apart.
+        # The length prefix distinguishes ('ab', 'c') from ('a', 'bc').
         joined = b''.join(
             len(field).to_bytes(4, 'big') + field for field in fields
         )
@@ -52,5 +52,5 @@
 
 
 def is_shared(call: events.Call) -> bool:
-    """Whether other callers may send the same call, by its fingerprint."""
+    """Whether other clients' calls may have the same fingerprint."""
     return not call.key_sha256 and not call.credentials_sha256
--- a/dandeliongw/entry/holds.py
+++ b/dandeliongw/entry/holds.py
@@ -1,4 +1,4 @@
-"""Which calls of an entry are held back, as they end backend servers."""
+"""Quarantined calls at an entry: those that crash backend servers."""
 
 import typing
 
@@ -17,10 +17,11 @@
 
 
 class Held(msgspec.Struct, frozen=True, kw_only=True):
-    """A request whose call is held back.
+    """The reason why a request is refused: its call is quarantined.
 
-    :param line: tells the evidence.
-    :param may_be_tried: this send may go through if no other one does.
+    :param line: log line with the evidence.
+    :param may_be_tried: whether this send may run as a trial, if no other
+        trial is under way.
     """
 
     refusal: verdict.Refusal
@@ -28,15 +29,15 @@
     may_be_tried: bool
 
 
-#: Shortest ``Retry-After``, in seconds, once a trial is due: another send may
-#: be on trial.
+#: Lower bound of ``Retry-After``, in seconds, once a trial is due: a trial of
+#: another send may be under way.
 TRIAL_SOON_S = 2.0
 
 
 class Holds:
-    """What the quarantine says of the calls of this entry.
+    """Checks the calls of this entry against the quarantine.
 
-    While there is no evidence on any call, none is looked at.
+    While the quarantine is empty, no fingerprints are computed for the check.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
     ) -> Held | None:
         """Return why a request is refused; ``None`` if it may be sent.
 
-        :param known: what is proved about this send having run.
+        :param known: proved verdict on whether this send has run.
         """
         if self._quarantine.is_empty:
             return None
@@ -86,9 +87,10 @@
     def _wait_s(
         self, now: float, fingerprint: str, call: events.Call
     ) -> float | None:
-        """Return the time until a send may be tried; ``None`` if none is.
+        """Return the seconds until a trial is due; ``None`` if none will be.
 
-        Nobody but its caller sends a call that names one.
+        Only a call without an account or credentials gets a trial: no client
+        but its own sends any other.
         """
         if not fingerprint_module.is_shared(call):
             return None
@@ -96,17 +98,17 @@
         return None if trial_at is None else trial_at - now
 
     def fingerprint(self, call: events.Call) -> str:
-        """Return what tells a call from all others."""
+        """Return the fingerprint that identifies a call."""
         return self._fingerprints.of(call)
 
     def content(self, call: events.Call) -> str:
-        """Return what the same calls of all callers have in common."""
+        """Return the fingerprint of a call's content, for all clients."""
         return self._fingerprints.of_content(call)
 
     def succeeded(
         self, now: float, request: request_module.Request
     ) -> Effects:
-        """Take in that a backend server ran a request to its end."""
+        """Record that a backend server completed a request."""
         fingerprint = self.fingerprint(request.call)
         self._quarantine.successes.record(now, fingerprint)
         if self._quarantine.is_empty:
--- a/dandeliongw/entry/outcome.py
+++ b/dandeliongw/entry/outcome.py
@@ -1,4 +1,4 @@
-"""What is recorded under a claim: enough to give a resend its answer."""
+"""The outcome that is recorded under a claim, to answer resends with."""
 
 import base64
 import json
@@ -7,7 +7,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer as the first caller got it.
+    """An answer as the first send got it.
 
     :param text: the completion of a model service, else ``''``.
     :param body: a plain service's body, else ``b''``.
--- a/dandeliongw/entry/recovery.py
+++ b/dandeliongw/entry/recovery.py
@@ -1,7 +1,8 @@
-"""After a step failed: the cheapest next step that meets the deadline.
+"""Recovery from a failed step, by the cheapest means within the deadline.
 
-In this order: resume the stream, move the KV cache, begin another attempt,
-give up. ``docs/REQUEST-LIFE.md`` says when each is tried.
+The options are, in this order: resume the stream, move the KV cache, begin
+another attempt, give up. ``docs/REQUEST-LIFE.md`` describes when each is
+used.
 """
 
 import typing
@@ -34,7 +35,7 @@
         self._endings = endings
 
     def after(self, event: events.StepEnded, request: Request) -> Effects:
-        """Take in that a step of the present attempt failed."""
+        """Process the failure of a step of the current attempt."""
         log = refusals.log_failure(event)
         return [log, *self._choose(event, request)]
 
@@ -65,10 +66,10 @@
         )
 
     def _may_resume(self, event: events.StepEnded, request: Request) -> bool:
-        """Whether the engine may hold the stream still.
+        """Whether the engine may still hold the stream.
 
-        It does when only the connection died. A second break at the same
-        token means that the engine itself is at fault.
+        It does if only the connection failed. A second interruption at the
+        same token means that the engine itself is at fault.
         """
         broke = event.failure in (_RETRY.STREAM_BROKEN, _RETRY.STREAM_STALLED)
         return (
@@ -78,7 +79,7 @@
         )
 
     def _resume(self, event: events.StepEnded, request: Request) -> Effects:
-        """Take the stream up where it broke, over a new connection."""
+        """Resume the stream where it broke, over a new connection."""
         request.resumes_from = event.tokens
         request.kv = ''
         count = effects.CountRetry(reason=event.failure)
@@ -102,10 +103,10 @@
         )
 
     def _move(self, event: events.StepEnded, request: Request) -> Effects:
-        """Bring the KV cache to another decode engine before it is evicted.
+        """Move the KV cache to another decode engine before it is evicted.
 
-        The booking is changed, not given back: giving it back would cancel
-        the prefill's result, which is all that there is to move.
+        The booking is changed, not released: a release would discard the
+        prefill's result, which is what is to be moved.
         """
         booked = request.booked
         cancel = reservations.cancel_of(
--- a/dandeliongw/entry/refusals.py
+++ b/dandeliongw/entry/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals that a request can end with, and how its waste is counted."""
+"""Refusals that end a request, and the count of its wasted prefill tokens."""
 
 import enum
 import typing
@@ -17,7 +17,7 @@
 _RETRY = verdict.RetryReason
 _MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 
-#: Reasons that waste a prefill under another name.
+#: Reasons that are counted under another waste reason.
 _WASTE_BY_REASON = {
     _REASON.DRAINING: waste.WasteReason.DEADLINE_PASSED,
     _REASON.NO_OWNER: waste.WasteReason.OWNER_CHANGED,
@@ -29,7 +29,7 @@
 
 
 def count_waste(reason: enum.StrEnum, tokens: int) -> list[typing.Any]:
-    """Count prefilled tokens that are thrown away, if there are any."""
+    """Return the effect that counts prefilled tokens as wasted, if any."""
     if not tokens:
         return []
     named = _WASTE_BY_REASON.get(reason) or waste.WasteReason(reason.value)
@@ -37,11 +37,11 @@
 
 
 def keyed(refusal: verdict.Refusal) -> verdict.Refusal:
-    """Return the refusal of a call with a key that took no claim yet.
+    """Adapt the refusal of a call whose idempotency key was not claimed.
 
-    The claim alone tells whether an earlier send of the call has run. A
-    caller that got no answer to its first send and is told "not run" for
-    the second would give up a booking that was made.
+    Only the claim records whether an earlier send of the call has run. If a
+    client got no answer to its first send, "not run" for the second would
+    make it discard a result that exists.
     """
     if refusal.retry_after_s is None:
         return refusal
@@ -54,7 +54,7 @@
 
 
 def past_deadline(request: request_module.Request) -> verdict.Refusal:
-    """The caller's time, or the service's, is over."""
+    """The deadline of the client or the service's timeout has passed."""
     return verdict.Refusal(
         reason=_REASON.DEADLINE_PASSED,
         verdict=request.known_when_stopped(),
@@ -64,7 +64,7 @@
 
 
 def caller_gone(request: request_module.Request) -> verdict.Refusal:
-    """Nobody reads this one; it is counted."""
+    """The client has disconnected; this refusal is only counted."""
     return verdict.Refusal(
         reason=_REASON.CALLER_GONE,
         verdict=request.known_when_stopped(),
@@ -73,7 +73,7 @@
 
 
 def left_early() -> verdict.Refusal:
-    """Nobody reads this one; its call was not admitted yet."""
+    """The client disconnected before admission; this is only counted."""
     return verdict.Refusal(
         reason=_REASON.CALLER_GONE,
         verdict=verdict.Verdict.NOT_RUN,
@@ -82,7 +82,7 @@
 
 
 def cut_off(request: request_module.Request) -> verdict.Refusal:
-    """The instance ends before the request does."""
+    """The shutdown grace period ended before the request did."""
     return verdict.Refusal(
         reason=_REASON.DRAINING,
         verdict=request.known_when_stopped(),
@@ -93,9 +93,9 @@
 
 
 def log_cut_off(request: request_module.Request) -> effects.Log:
-    """Return the log line of a request that a shutdown broke off."""
+    """Return the log line of a request that a shutdown aborts."""
     return effects.Log(
-        message=f'the shutdown cuts off a request in phase '
+        message=f'shutdown grace period is over; aborting a request in phase '
         f'{request.phase.value}',
         fields=(
             ('request_id', request.request_id),
@@ -106,7 +106,7 @@
 
 
 def no_owner(request: request_module.Request) -> verdict.Refusal:
-    """Nobody books slots for the service just now."""
+    """The request's cell has no owner that could book slots."""
     return verdict.Refusal(
         reason=_REASON.NO_OWNER,
         verdict=request.known,
@@ -116,7 +116,7 @@
 
 
 def backend_failed(message: str) -> verdict.Refusal:
-    """A call that may not be repeated failed after it was sent."""
+    """A call that must not be repeated failed after it was sent."""
     return verdict.Refusal(
         reason=_REASON.BACKEND_FAILED,
         verdict=_MAY_HAVE_RUN,
@@ -126,7 +126,7 @@
 
 
 def answer_unusable(message: str) -> verdict.Refusal:
-    """The call ran, and what came back can't be passed on."""
+    """The call ran, but its answer cannot be forwarded."""
     return verdict.Refusal(
         reason=_REASON.BACKEND_FAILED,
         verdict=verdict.Verdict.RAN,
@@ -138,7 +138,7 @@
 def retries_spent(
     request: request_module.Request, message: str
 ) -> verdict.Refusal:
-    """Another attempt would cost more than it is likely to give."""
+    """A limit on attempts, runs, time or retries prevents another attempt."""
     return verdict.Refusal(
         reason=_REASON.RETRIES_SPENT,
         verdict=request.known,
@@ -148,12 +148,12 @@
 
 
 def quarantined(known: verdict.Verdict, wait_s: float) -> verdict.Refusal:
-    """The call ends the backend servers that begin to run it.
+    """The call crashes the backend servers that start to run it.
 
-    To come back sooner is of no use.
+    A retry before ``wait_s`` is refused as well.
 
-    :param known: of this send; earlier ones did run.
-    :param wait_s: until a send of it may run.
+    :param known: verdict on this send; earlier sends did run.
+    :param wait_s: seconds until a send may run.
     """
     return verdict.Refusal(
         reason=_REASON.QUARANTINED,
@@ -165,7 +165,7 @@
 
 
 def outcome_too_large() -> verdict.Refusal:
-    """A resend of a call whose answer was too long to be recorded."""
+    """A resend of a call whose answer was too large to be recorded."""
     return verdict.Refusal(
         reason=_REASON.OUTCOME_UNKNOWN,
         verdict=verdict.Verdict.RAN,
--- a/dandeliongw/entry/relay.py
+++ b/dandeliongw/entry/relay.py
@@ -1,8 +1,9 @@
-"""The hands of one request: its thread does what the reducer directs.
+"""The worker of one request: runs the steps that the reducer directs.
 
-The reducer decides and never blocks; this module blocks and never decides.
-Tokens flow from the engine's connection to the caller's without passing the
-reducer, which hears only how each step ended.
+The reducer makes all decisions and never blocks. This module does the
+blocking I/O in the request's own thread and makes no decisions. Tokens flow
+from the engine's connection to the client's without passing through the
+reducer, which is notified only of how each step ended.
 """
 
 from collections import abc
@@ -25,19 +26,20 @@
 from . import step_ends
 from . import stops
 
-#: From here on a status tells that the backend server failed; another one
-#: may do better if the call may be repeated.
+#: Lowest HTTP status that counts as a failure of the backend server. The call
+#: is then sent to another one, if it may be repeated.
 FIRST_FAILURE_STATUS = 500
-#: Headers of a caller's call that a plain service gets to see.
+#: Headers of the client's call that are forwarded to a plain service.
 PASSED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
 class Work(msgspec.Struct, frozen=True, kw_only=True):
-    """The parts of a caller's request that the reducer has no need of.
+    """The parts of a client's request that the reducer does not need.
 
-    :param is_passed_on: the answer goes back as it comes, and engines number
-        the pieces of a resumed stream on from where it broke.
-    :param pieces_held: of the stream, which the caller has already.
+    :param is_passed_on: the answer is forwarded unchanged, and when a stream
+        is resumed, the engine continues the numbering of its pieces.
+    :param most_bytes: upper bound for the body of a plain service's answer.
+    :param pieces_held: number of stream pieces that the client already has.
     """
 
     prompt: str = ''
@@ -51,9 +53,9 @@
 
 
 class Finished(msgspec.Struct, frozen=True, kw_only=True):
-    """The end of an answer that is whole.
+    """The end of a complete answer.
 
-    :param replayed: whether it was recorded by an earlier send.
+    :param replayed: whether the answer was recorded by an earlier send.
     :param headers: of a plain service's answer.
     """
 
@@ -63,14 +65,15 @@
 
 
 class Backends(typing.Protocol):
-    """Makes the adapters that a relay talks through."""
+    """Creates the adapters that connect a relay to backend servers."""
 
     def model_engine(
         self, url: str, backend_id: str, pieces_held: int
     ) -> engine.Engine:
-        """Return what sends the call to an engine.
+        """Return an adapter for an engine.
 
-        :param pieces_held: of the stream, which the caller has already.
+        :param pieces_held: number of stream pieces that the client already
+            has.
         """
         ...
 
@@ -80,16 +83,17 @@
 
 
 class Post(typing.Protocol):
-    """Hands an event to the reducer, from any thread."""
+    """Posts an event to the reducer; thread-safe."""
 
     def __call__(self, make_event: abc.Callable[..., typing.Any]) -> None: ...
 
 
 class Relay:
-    """Carries one request from its arrival to its answer's end.
+    """Runs one request from its arrival to the end of its answer.
 
-    :param post: where events go.
-    :param clock: monotonic seconds, as the reducer's.
+    :param backends: creates the adapters for backend servers.
+    :param post: posts events to the reducer.
+    :param clock: returns monotonic seconds; the same clock as the reducer's.
     """
 
     def __init__(
@@ -114,7 +118,7 @@
         self._stops = stops.Stops()
         self._text: list[str] = []
         self._offset = work.pieces_held
-        # Where the present engine's count of tokens begins.
+        # Offset in the answer at which the current engine starts counting.
         self._base = 0
         self._late_pieces = 0
         self._outcome: outcome.Outcome | None = None
@@ -124,7 +128,7 @@
         self._failed: engine.Reply | None = None
 
     def give(self, directive: effects.Directive) -> None:
-        """Take a directive; called by the runtime, never blocks."""
+        """Accept a directive; called by the runtime, never blocks."""
         if isinstance(directive, effects.Abort):
             self._stops.stop(directive.attempt_id)
         else:
@@ -133,11 +137,11 @@
     def pieces(
         self,
     ) -> abc.Iterator[engine.Head | engine.Piece | Finished | verdict.Refusal]:
-        """Yield the answer's text as it arrives, then how it ended.
+        """Yield the pieces of the answer as they arrive, then its end.
 
-        A stream that is passed on begins with its head. The last item is a
-        :class:`Finished` or a ``Refusal``. Closing the
-        iterator early tells the reducer that the caller has gone.
+        A stream that is forwarded unchanged begins with its head. The last
+        item is a :class:`Finished` or a ``Refusal``. Closing the iterator
+        early notifies the reducer that the client has disconnected.
         """
         ended = False
         try:
@@ -180,10 +184,11 @@
     def _last_failure(
         self, refusal: verdict.Refusal
     ) -> Finished | verdict.Refusal:
-        """Return a backend server's own failure in place of ours.
+        """Return the last failure answer of a backend server, if any.
 
-        Its caller is told more by it, and nothing that a backend server
-        answered is thrown away. A refusal that says "not run" stays.
+        It replaces the refusal, because it gives the client more detail and
+        no answer of a backend server is discarded. A refusal with the verdict
+        "not run" is kept.
         """
         if self._failed is None or refusal.verdict is verdict.Verdict.NOT_RUN:
             return refusal
@@ -196,10 +201,11 @@
     def _run(
         self, given_at: float, directive: typing.Any
     ) -> abc.Iterator[engine.Piece]:
-        """Do one step and tell how it ended, whatever comes in between.
+        """Run one step and report how it ended, also after an error.
 
-        An answer that no adapter foresaw must not end the thread: its caller
-        would get no verdict, and its slot would stay booked for seconds.
+        An answer that an adapter cannot parse must not end the thread.
+        Otherwise the client would get no verdict, and the slot would stay
+        booked for seconds.
         """
         attempt_id = directive.attempt_id
         step = _STEP_BY_DIRECTIVE[type(directive)]
@@ -213,7 +219,7 @@
                 is_cut=error.is_cut,
             )
         except (KeyError, TypeError, ValueError, LookupError) as error:
-            logger.exception('a backend server was not understood')
+            logger.exception('could not parse an answer of a backend server')
             end = step_ends.Failed(
                 known=verdict.Verdict.MAY_HAVE_RUN,
                 failure=step_ends.GENERAL_FAILURES[step],
@@ -234,8 +240,8 @@
             )
         left_s = given_at + directive.deadline_in_s - self._clock()
         if left_s <= 0:
-            # The process was frozen, or the machine is overloaded: nobody
-            # waits for the result any more.
+            # The process was suspended, or the machine is overloaded: the
+            # client no longer waits for the result.
             return step_ends.Failed.unstarted(
                 'its deadline passed before it started'
             )
@@ -253,9 +259,9 @@
             directive.url, directive.backend_id, self._offset
         )
         with self._stops.watching(directive.attempt_id, adapter):
-            # After a decode engine died mid-stream, the text that the
-            # caller already has is part of the prompt, and the engine's
-            # count of tokens begins after it.
+            # When a decode engine failed mid-stream, the text that the
+            # client already has becomes part of the prompt, and the new
+            # engine counts tokens from the end of that text.
             self._base = 0 if self._work.is_passed_on else self._offset
             done = adapter.prefill(
                 stream_id=self.request_id,
@@ -285,7 +291,7 @@
             try:
                 yield from self._stream(adapter, directive, left_s, measure)
             except engine.EngineError as error:
-                # A whole answer that lacks only its end mark is whole.
+                # An answer that lacks only its end mark is complete.
                 lacks_more = (
                     self._work.is_passed_on
                     or self._offset < self.call.max_tokens
@@ -301,7 +307,8 @@
         return step_ends.Done(
             outcome=self._outcome.to_bytes(),
             tokens=self._offset,
-            # A resumed stream brings at once what came during the break.
+            # A resumed stream delivers at once the tokens that were generated
+            # during the interruption, so its gaps are not measured.
             token_gap_s=measure.mean_s() if directive.kv else 0.0,
             first_piece_at=measure.first_at,
             first_token_at=self._first_token_at,
@@ -329,11 +336,11 @@
         left_s: float,
         measure: spacing.Spacing,
     ) -> abc.Iterator[engine.Piece]:
-        """Pass on what is missing; only the end mark ends a stream.
+        """Forward the missing pieces until the stream's end mark.
 
-        A connection that is closed early looks like an end to HTTP, so a
-        stream that just stops is an error: the caller would take half an
-        answer for the whole one.
+        To HTTP, a connection that is closed early can look like the regular
+        end of a body. So a stream without an end mark is an error; otherwise
+        the client would take a truncated answer for a complete one.
         """
         pieces = adapter.decode(
             stream_id=self.request_id,
@@ -352,7 +359,7 @@
                     continue
                 offset = piece.offset + self._base
                 if offset < self._offset and not piece.is_end:
-                    # Sent again after a resume; the caller has it.
+                    # Repeated after a resume; the client already has it.
                     continue
                 if offset != self._offset:
                     raise _broken(f'token {self._offset} is missing')
@@ -373,7 +380,7 @@
         )
 
     def _first_head(self, head: engine.Head) -> abc.Iterator[engine.Head]:
-        """Pass on the head of the first run; a later one's is not wanted."""
+        """Forward the head of the first run and drop those of later runs."""
         if not self._has_head:
             self._has_head = True
             yield head
--- a/dandeliongw/entry/replies.py
+++ b/dandeliongw/entry/replies.py
@@ -1,4 +1,4 @@
-"""What the owners of cells answer, and what an entry makes of it."""
+"""Processing of the replies that cells' owners send to an entry."""
 
 from collections import abc
 import typing
@@ -23,7 +23,7 @@
 
 
 class Replies:
-    """Takes in the owners' messages for the requests of one entry."""
+    """Processes the owners' messages for the requests of one entry."""
 
     def __init__(
         self,
@@ -37,9 +37,10 @@
         self._endings = endings
 
     def take(self, event: parts.Received, request: Request | None) -> Effects:
-        """Take in an owner's message.
+        """Process an owner's message.
 
-        :param request: the one that it is about, or ``None`` if forgotten.
+        :param request: the request that the message refers to, or ``None`` if
+            it was removed already.
         """
         message = event.message
         is_current = (
@@ -66,11 +67,11 @@
         return []
 
     def _drop_late(self, event: parts.Received) -> Effects:
-        """Give back what was booked for an attempt that is over.
+        """Release what was booked for an attempt that has ended.
 
-        A reply can cross the end of its attempt. Taking it for the current
-        one would run the request twice; keeping silent would leave a slot
-        booked until its lease runs out.
+        A reply can arrive after its attempt has ended. Applied to the current
+        attempt, it would make the request run twice. Ignored, it would leave
+        a slot booked until its lease expires.
         """
         message = event.message
         if not isinstance(message, cells.NotOwner):
@@ -92,7 +93,7 @@
             request.phase in UNPLACED and event.sender == request.owner
         )
         if not is_expected or booked.decode_id in request.exclude:
-            # Told twice, or the pair that a KV cache is moving away from.
+            # A duplicate, or the pair that a KV cache is moved away from.
             return []
         now = event.now
         waited = _waited(now, request)
@@ -118,7 +119,7 @@
         ).log()
 
     def _begin(self, now: float, request: Request) -> Effects:
-        """Direct the request's thread to the work that was booked."""
+        """Direct the request's thread to run the step that was booked."""
         request.search_s = reservations.OWNER_LOST_S
         if request.stage is vocabulary.Stage.PLAIN:
             return steps.run_call(now, request)
@@ -177,22 +178,22 @@
             followed = self._reservations.follow(event.now, request, holder)
             if followed or not self._reservations.may_stand_in:
                 return followed
-            # Nobody owns the cell just now.
+            # The cell has no owner at present.
             return self._reservations.stand_in(event.now, request)
-        # For placed work, the next renewal goes to whoever is known then.
-        # Telling the named instance at once would go round for ever when
-        # two that don't own the cell name each other.
+        # A placed request is renewed at the owner that is known by the next
+        # renewal. Following the redirection at once would loop for ever when
+        # two instances that do not own the cell name each other.
         return []
 
     def _cancelled(self, event: parts.Received, request: Request) -> Effects:
-        """An owner doesn't know this booking (any more)."""
+        """Process the message of an owner that has no such booking."""
         if request.phase is Phase.QUEUED:
             return self._attempts.search(event.now, request)
         if not request.is_placed:
             return []
         is_owner = event.sender == request.owner
         if not is_owner and event.message.epoch <= request.booked.epoch:
-            # From before the present owner's time.
+            # From an earlier owner than the one that made the booking.
             return []
         if self._reservations.is_lost(request, event):
             return self._lose_slot(event, request)
@@ -212,10 +213,10 @@
         holder: str,
         epoch: int,
     ) -> Effects:
-        """Tell a cell's new owner all that this entry holds of it.
+        """Send a cell's new owner every booking this entry holds there.
 
-        It waits for this also when there is nothing. What the old owner had
-        queued is booked anew with the new one.
+        The message is sent even without bookings, because the owner waits for
+        it. Requests that the old owner had queued are booked anew.
 
         :param here: requests of the cell that have not ended.
         """
@@ -227,11 +228,11 @@
         return out
 
     def _lose_slot(self, event: parts.Received, request: Request) -> Effects:
-        """Stop working on a slot that belongs to another request by now."""
+        """Abort the work in a slot that now belongs to another request."""
         request.is_held = False
         if request.phase is Phase.CALL:
-            # Calls of plain services are never broken off for a slot:
-            # whether they ran could not be told any more.
+            # Calls of plain services are not aborted for a lost slot: it
+            # would no longer be known whether they ran.
             return []
         return [
             *self._endings.break_off(request),
@@ -245,7 +246,7 @@
 
 
 def _waited(now: float, request: Request) -> effects.Took:
-    """Return how long the owner took to answer, or to find a place."""
+    """Return the time that the request spent in booking or in the queue."""
     if request.phase is Phase.QUEUED:
         return request.took(effects.Part.QUEUE, now - request.phase_at)
     return request.took(effects.Part.BOOKING, now - request.asked_at)
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -1,4 +1,4 @@
-"""One request in flight at its entry: what is known and held for it."""
+"""The state of one request in flight at its entry."""
 
 import enum
 import hashlib
@@ -17,9 +17,9 @@
 
 
 class Phase(enum.Enum):
-    """Where a request is."""
+    """The phase of a request's life cycle."""
 
-    #: Its call is held; it waits to hear whether it may be tried.
+    #: Its call is quarantined; it waits for permission to run as a trial.
     ASKING = 'asking'
     CLAIMING = 'claiming'
     BOOKING = 'booking'
@@ -27,22 +27,22 @@
     PREFILL = 'prefill'
     DECODE = 'decode'
     CALL = 'call'
-    #: Waits a little before it asks for another attempt.
+    #: Waits before its next attempt begins.
     BACKOFF = 'backoff'
     RECORDING = 'recording'
 
 
 #: Phases in which a backend server may be working on the request.
 WORKING = (Phase.PREFILL, Phase.DECODE, Phase.CALL)
-#: How long a prefill's result is kept where the document says nothing: the
-#: engines evict it in under 1 s.
+#: Seconds for which a prefill's result is kept, unless the document sets it.
+#: The engines evict it in under 1 s.
 DEFAULT_KV_LIFE_S = 0.7
 #: Phases in which the owner has yet to place the request.
 UNPLACED = (Phase.BOOKING, Phase.QUEUED)
 
 
 class Place(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a step of a request is done."""
+    """The backend server that runs a step of a request."""
 
     start: presence.BackendStart
     url: str
@@ -51,21 +51,21 @@
 class Request(msgspec.Struct, kw_only=True):
     """One request in flight.
 
-    :param known: what is proved about the whole request having run, its
-        earlier sends included.
+    :param known: proved verdict on whether the request has run, its earlier
+        sends included.
     :param claim_key: set while this entry holds a claim for it.
     :param serial: numbers the attempt ids; grows faster than ``attempts``,
         because each owner that is asked gets an id of its own.
-    :param search_s: longest search for an owner.
-    :param is_trial: whether its call is held, and this is the one send that
-        goes through.
+    :param search_s: timeout in seconds of a search for an owner.
+    :param is_trial: whether its call is quarantined, and this is the one send
+        that runs as a trial.
     :param is_held: whether an owner may hold a reservation for it.
-    :param resumes_from: offset of the last resume; a second break at the
-        same offset means that resuming does not help.
-    :param reclaimed_at: when the present owner was first told that this
-        booking, made by an earlier owner, is held.
-    :param cancels_by_attempt: cancels to send once more when the thread has
-        let go of an attempt that was broken off.
+    :param resumes_from: offset of the last resume, in pieces; a second
+        interruption at the same offset means that resuming does not help.
+    :param reclaimed_at: when the booking, made by an earlier owner, was first
+        reclaimed at the present owner.
+    :param cancels_by_attempt: cancels to repeat when the thread has ended the
+        step of an aborted attempt.
     """
 
     request_id: str
@@ -84,7 +84,7 @@
     serial: int = 0
     owner: str = ''
     asked_at: float = 0.0
-    #: Whether this entry asked itself, as the owner is silent.
+    #: Whether this entry booked itself, because the owner is unresponsive.
     is_unowned: bool = False
     asked: int = 0
     hops: int = 0
@@ -101,9 +101,9 @@
     kv_at: float = 0.0
     prefill_s: float = 0.0
     prefilled_tokens: int = 0
-    #: Attempts that a backend server may have run.
+    #: Number of attempts that a backend server may have run.
     runs: int = 0
-    #: When the caller got a piece last, or came.
+    #: When the client last got a piece; at first, when the request arrived.
     served_at: float = 0.0
     resumes_from: int = -1
     caller_gone: bool = False
@@ -114,20 +114,20 @@
 
     @property
     def attempt_id(self) -> str:
-        """Unique, since request ids are; told to every backend server."""
+        """Unique, as request ids are; sent to every backend server."""
         return f'{self.request_id}.{self.serial}'
 
     @property
     def may_run_again(self) -> bool:
-        """Whether another attempt can do no harm."""
+        """Whether another attempt is safe: idempotent, or never run."""
         return self.admitted.route.idempotent or self.known is _NOT_RUN
 
     @property
     def may_run_elsewhere(self) -> bool:
-        """Whether its stream may go to another engine after a failure.
+        """Whether its stream may continue elsewhere after a failure.
 
-        A call that is passed on runs anew at each engine it is sent to; the
-        others run once, wherever their KV cache goes.
+        A call that is forwarded unchanged runs anew at each engine that it is
+        sent to. Other calls run once, even if their KV cache is moved.
         """
         return not self.admitted.is_passed_on or self.may_run_again
 
@@ -139,19 +139,19 @@
 
     @property
     def kv_life_s(self) -> float:
-        """Seconds that a prefill's result can be counted on."""
+        """Seconds for which the engine keeps a prefill's result."""
         return self.admitted.service.kv_life_s or DEFAULT_KV_LIFE_S
 
     @property
     def is_running(self) -> bool:
-        """Whether a backend server may be running it just now."""
+        """Whether a backend server may be running it now."""
         if self.phase is Phase.PREFILL and self.admitted.is_passed_on:
             return False
         return self.phase in WORKING
 
     @property
     def is_placed(self) -> bool:
-        """Whether it works in a slot that an owner counts as its own."""
+        """Whether it runs in a slot that an owner has booked for it."""
         return self.is_held and self.phase in WORKING
 
     @property
@@ -187,21 +187,21 @@
         return Place(start=start, url=url)
 
     def took(self, part: effects.Part, seconds: float) -> effects.Took:
-        """Return the effect that records how long a part took."""
+        """Return the effect that records the duration of a part."""
         return effects.Took(part=part, service=self.service, seconds=seconds)
 
     def left_s(self, now: float) -> float:
-        """Return the seconds until the deadline, never less than none."""
+        """Return the seconds until the deadline, at least 0."""
         return max(0.0, self.deadline_at - now)
 
     def age_ms(self, now: float) -> int:
-        """Return the milliseconds since it came."""
+        """Return the milliseconds since it arrived."""
         return round((now - self.arrived_at) * 1000)
 
     def patient_s(self, now: float) -> float:
-        """Return the seconds until the next piece has to come.
+        """Return the seconds in which the client needs its next piece.
 
-        Work that is placed later is done for a caller who has left.
+        If the request is placed later, the client has disconnected by then.
         """
         if self.admitted.patience_s is None:
             return self.left_s(now)
@@ -209,14 +209,14 @@
         return max(0.0, min(self.deadline_at, until) - now)
 
     def useful_s(self, now: float) -> float:
-        """Return the seconds for which a place found for it is of use."""
+        """Return the seconds within which it has to be placed."""
         if self.stage is not vocabulary.Stage.DECODE or not self.kv:
             return self.patient_s(now)
         kept_until = self.kv_at + self.kv_life_s
         return max(0.0, min(self.patient_s(now), kept_until - now))
 
     def known_when_stopped(self) -> verdict.Verdict:
-        """Return what is proved if it is broken off just now."""
+        """Return the verdict that is proved if it is aborted now."""
         if self.phase is Phase.RECORDING:
             return verdict.Verdict.RAN
         if self.is_running:
@@ -224,7 +224,7 @@
         return self.known
 
     def forget_kv(self) -> None:
-        """The prefill's result is gone, or is no longer of use."""
+        """Drop the prefill's result, which is lost or no longer of use."""
         self.kv = ''
         self.kv_id = ''
         self.kv_source = ''
@@ -232,12 +232,12 @@
 
 
 def claim_key(request: Request) -> str:
-    """Return a key that no other account or service can collide with."""
+    """Return a claim key that is unique per account, service and key."""
     fields = (
         request.admitted.account.name,
         request.call.service,
         request.call.idempotency_key or '',
     )
-    # A length before each field keeps ('ab', 'c') and ('a', 'bc') apart.
+    # The length prefix distinguishes ('ab', 'c') from ('a', 'bc').
     joined = ''.join(f'{len(field)}:{field}' for field in fields)
     return hashlib.sha256(joined.encode()).hexdigest()
--- a/dandeliongw/entry/requests.py
+++ b/dandeliongw/entry/requests.py
@@ -1,10 +1,11 @@
-"""The life of each request at the entry that its caller chose.
-
-A state machine: calls come in as events, answers of the cell's owner as
-messages, ends of steps from the request's own thread; directives to that
-thread and messages to the owner go out. Every request ends with exactly one
-of ``Refuse``, ``Replay`` or ``Complete``. ``docs/REQUEST-LIFE.md`` tells the
-same as a story.
+"""The life cycle of each request at its entry: the instance it arrived at.
+
+This is a state machine. Its inputs are calls from clients (events), replies
+of the cell's owner (messages) and the ends of steps, which the request's own
+thread reports. Its outputs are directives to that thread and messages to the
+owner. Every request ends with exactly one of ``Refuse``, ``Replay`` or
+``Complete``. ``docs/REQUEST-LIFE.md`` describes the whole course of a
+request.
 """
 
 import typing
@@ -36,7 +37,7 @@
 from .request import UNPLACED
 from .request import WORKING
 
-# What others need to know of a request's life, by one name.
+# Re-exported, so that other packages need to import only this module.
 KV_LIFE_S = request_module.DEFAULT_KV_LIFE_S
 MAX_ATTEMPTS = attempts.MAX_ATTEMPTS
 CLAIM_TICKET = resends.CLAIM_TICKET
@@ -51,15 +52,16 @@
 
 
 class Requests:
-    """All requests of this entry.
-
-    :param directory: what is known of the system, see ``admission``.
-    :param holds: calls that are not to be sent to backend servers.
-    :param budgets: bound the attempts after the first, by service.
-    :param most_claimed_s: longest time that a call with a claim may take;
-        claims are kept for a limited time only.
-    :param early_s: seconds after the start in which calls wait for the first
-        configuration; by default they are refused at once.
+    """All requests in flight at this entry.
+
+    :param directory: the instance's view of the system, see ``admission``.
+    :param gate: admission control.
+    :param holds: quarantined calls, which are not sent to backend servers.
+    :param budgets: retry budgets by service.
+    :param most_claimed_s: upper bound in seconds for the deadline of a call
+        with a claim, because claims are retained for a limited time only.
+    :param early_s: seconds after the start during which calls wait for the
+        first configuration; by default they are refused at once.
     """
 
     def __init__(
@@ -103,7 +105,7 @@
     # Events
 
     def handle(self, event: typing.Any) -> Effects:
-        """Take in an event of this module's, or an owner's message."""
+        """Process a request event or an owner's message."""
         match event:
             case events.RequestArrived():
                 return self._arrive(event)
@@ -133,8 +135,8 @@
         admitted = self._gate.check(now, call, event.entropy)
         if isinstance(admitted, verdict.Refusal):
             return _turn_away(event, admitted)
-        # A call that ends the servers which run it would end more of them at
-        # each send, with all that they run for others.
+        # A call that crashes the backend servers it runs on would crash
+        # another one with each send, along with that server's other work.
         held = self.holds.refusal(now, event.request_id, call)
         if held is not None and not held.may_be_tried:
             return [held.line, *_turn_away(event, held.refusal)]
@@ -184,18 +186,20 @@
         return self._endings.leave(now, request)
 
     def _close(self, now: float, request_id: str) -> Effects:
-        """Forget a request whose thread has ended.
+        """Remove a request whose thread has ended.
 
-        A thread that ended without an answer (its caller's connection broke
-        while a piece was written) counts as a caller who has gone.
+        If the thread ended without an answer, because the client's connection
+        broke while a piece was written, the request is handled as one whose
+        client has disconnected.
         """
         out = self._leave(now, request_id)
         request = self.requests_by_id.pop(request_id, None)
         if request is None:
             return out
         if not request.is_ended:
-            # Its thread died in a call that is left to end. The claim
-            # stays, and tells a resend that the call may have run.
+            # The client disconnected during a claimed call, which runs on
+            # without it, and then the thread ended. The claim stays, so that
+            # a resend is answered with "may have run".
             out += self._reservations.release(request, cells.Outcome.FAILED)
         for again in request.cancels_by_attempt.values():
             out += again
@@ -205,9 +209,11 @@
         return out
 
     def hold(self, now: float, fingerprint: str) -> Effects:
-        """Stop what was to be sent of a call that is held back by now.
+        """Stop the pending requests of a call that is now quarantined.
+
+        Requests that a backend server is already running are not aborted.
 
-        What a backend server is running already is left to it.
+        :param fingerprint: of the quarantined call.
         """
         out: Effects = []
         for request in list(self.requests_by_id.values()):
@@ -226,11 +232,11 @@
         return out
 
     def retries_left_by_service(self) -> dict[str, float]:
-        """Return what is left of the budgets; callable in any thread."""
+        """Return the remaining retry budgets; thread-safe."""
         return self._budgets.left_by_service()
 
     def cut_off(self, now: float) -> Effects:
-        """Break off all that is left when a shutdown's time is over."""
+        """Abort all remaining requests when the shutdown grace period ends."""
         out: Effects = []
         for request in list(self.requests_by_id.values()):
             if not request.is_ended:
@@ -246,7 +252,7 @@
     def reclaim_all(
         self, now: float, cell: str, holder: str, epoch: int
     ) -> Effects:
-        """Tell a cell's new owner all that this entry holds of it."""
+        """Send a cell's new owner every booking this entry holds there."""
         here = [
             request
             for request in self.requests_by_id.values()
@@ -259,10 +265,10 @@
     def claim_answered(
         self, now: float, request_id: str, result: typing.Any
     ) -> Effects:
-        """Take the answer to a claim's begin."""
+        """Process the answer to the ``Begin`` of a claim."""
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
-            # The caller left while the claim was on its way.
+            # The client disconnected while the claim was in progress.
             return []
         if isinstance(result, claims.Granted):
             request.known = _NOT_RUN
@@ -282,10 +288,11 @@
     def finish_answered(
         self, now: float, request_id: str, result: typing.Any
     ) -> Effects:
-        """Take the answer to a claim's finish.
+        """Process the answer to the ``Finish`` of a claim.
 
-        Recorded or not, the caller gets the whole answer: it ran, and a
-        resend will be told at worst that the outcome is not known.
+        The client gets the complete answer even if it was not recorded: the
+        call ran, and in the worst case a resend is refused with an unknown
+        outcome.
         """
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
@@ -298,7 +305,7 @@
     def trial_answered(
         self, now: float, request_id: str, is_granted: bool
     ) -> Effects:
-        """Take the answer to a trial that was asked for."""
+        """Process the answer to a request for a trial."""
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
             return []
@@ -316,14 +323,14 @@
         is_current = (
             not request.is_ended
             and event.attempt_id == request.attempt_id
-            # An attempt that was broken off keeps its id while the next one
-            # waits its turn.
+            # An aborted attempt keeps its id while the next one is in
+            # backoff.
             and request.phase in WORKING
         )
         if not is_current:
             return [*out, *self._let_go(event, request)]
         if event.known is not _NOT_RUN:
-            # Part of it ran; only a whole answer is told as having run.
+            # Part of it ran; only a complete answer counts as "ran".
             request.known = _MAY_HAVE_RUN
             request.runs += 1
             request.served_at = event.now
@@ -354,10 +361,11 @@
         )
 
     def _let_go(self, event: events.StepEnded, request: Request) -> Effects:
-        """The thread has left an attempt that was broken off.
+        """Process the end of a step that belongs to an aborted attempt.
 
         The first cancel may have reached the engine before the call that it
-        was for; it goes out again, now that nothing more can follow it.
+        was meant for. It is sent again here, since the thread can send
+        nothing more for this attempt.
         """
         late = effects.CountLate(what=effects.Late.STEP)
         again = request.cancels_by_attempt.pop(event.attempt_id, ())
@@ -381,7 +389,7 @@
         took = request.took(effects.Part.PREFILL, request.prefill_s)
         held = self._attempts.held(event.now, request)
         if held is not None:
-            # Only its prompt was read; the engine that ran it would end.
+            # Prefill alone is harmless; decoding would crash the engine.
             stopped = self._endings.stop(
                 event.now, request, held.refusal, cells.Outcome.CANCELLED
             )
@@ -460,10 +468,11 @@
         return self._attempts.unless_ownerless(now, request, asked)
 
     def _tick_queued(self, now: float, request: Request) -> Effects:
-        """Ask again now and then, which also renews the place in the queue.
+        """Repeat the booking periodically, which also renews its queue entry.
 
-        The owner says only once that a slot is free. With that lost, the
-        owner would hold the slot, and the request wait, until its deadline.
+        The owner sends ``Booked`` only once. Without the repetition, a lost
+        message would keep the slot reserved and the request waiting until
+        its deadline.
         """
         if now - request.heard_at >= reservations.QUEUE_SILENT_S:
             if self._reservations.may_stand_in:
@@ -483,9 +492,10 @@
 
 
 def _has_lost_cache(now: float, request: Request) -> bool:
-    """Whether a KV cache that looks for an engine is kept no longer.
+    """Whether the KV cache of a request without a decode engine has expired.
 
-    Its owner may have died while it was queued there.
+    The owner cannot be relied on to report this: it may have failed while
+    the request was in its queue.
     """
     return (
         request.stage is vocabulary.Stage.DECODE
@@ -495,12 +505,12 @@
 
 
 def _times(event: events.StepEnded, request: Request) -> Effects:
-    """Return how long the parts of a whole answer took."""
+    """Return the durations of the parts of a complete answer."""
     began_at, first_at = request.phase_at, event.first_piece_at
     if event.step is events.Step.CALL:
         return [request.took(effects.Part.CALL, event.now - began_at)]
     if first_at is None:
-        # Nothing was missing but the end.
+        # A resumed stream that lacked only its end mark.
         return []
     out: Effects = [request.took(effects.Part.DECODE, event.now - first_at)]
     if request.booked.prefill_id:
--- a/dandeliongw/entry/resends.py
+++ b/dandeliongw/entry/resends.py
@@ -1,8 +1,8 @@
-"""The claim of a call with a key, by which its resends are told.
+"""Claims for calls with an idempotency key, which detect resends.
 
-A call that must not run twice takes a claim before it is sent. All functions
-change the request only; the answers to claims come back to :mod:`.requests`
-under the tickets named here.
+A call that must not run twice takes a claim before it is sent. The functions
+here change only the request. The answers to claims are delivered to
+:mod:`.requests` under the tickets defined here.
 """
 
 import typing
@@ -15,7 +15,7 @@
 from .request import Phase
 from .request import Request
 
-#: Ticket prefixes, by which the reducer finds the way back.
+#: Ticket prefixes, by which the reducer routes the answers.
 CLAIM_TICKET = 'claim:'
 FINISH_TICKET = 'finish:'
 
@@ -26,7 +26,7 @@
 
 
 def begin(now: float, request: Request) -> Effects:
-    """Ask for the claim; its answer comes under ``CLAIM_TICKET``."""
+    """Request the claim; the answer's ticket begins with ``CLAIM_TICKET``."""
     request.phase = Phase.CLAIMING
     # Until the claim says otherwise, an earlier send may have run.
     request.known = _MAY_HAVE_RUN
@@ -43,9 +43,10 @@
 
 
 def settle(now: float, request: Request, refusal: verdict.Refusal) -> Effects:
-    """Free the key if that can do no harm; else the claim protects.
+    """Release the claim if that is safe; otherwise keep it.
 
-    A claim that is still on its way has let nothing run here.
+    It is safe if the call never ran or is idempotent. While the claim is
+    still being requested, this entry has run nothing.
     """
     if not request.claim_key:
         return []
@@ -60,9 +61,9 @@
 
 
 def record_late(event: events.StepEnded, request: Request) -> Effects:
-    """Record a claimed call that ended as its deadline passed.
+    """Record the outcome of a claimed call that ended too late.
 
-    Its caller has been told that it may have run; a resend gets more.
+    Its client was refused with "may have run"; a resend gets the outcome.
     """
     is_outcome = event.step is events.Step.CALL and event.failure is None
     if not is_outcome or request.call.idempotency_key is None:
@@ -71,7 +72,7 @@
 
 
 def finish(event: events.StepEnded, key: str) -> effects.Dispatch:
-    """Record what a resend is to be told; see ``FINISH_TICKET``."""
+    """Record the outcome for resends; see ``FINISH_TICKET``."""
     record = claims.Finish(
         now=event.now,
         ticket=FINISH_TICKET + event.request_id,
--- a/dandeliongw/entry/reservations.py
+++ b/dandeliongw/entry/reservations.py
@@ -1,7 +1,7 @@
-"""What an entry says to the owners of cells, and when it says it again.
+"""Bookings at the owners of cells: requesting, renewing, releasing.
 
 Every function changes the request and returns the messages to send. None of
-them ends a request: that is for :mod:`.endings`.
+them ends a request; :mod:`.endings` does that.
 """
 
 from collections import abc
@@ -14,49 +14,54 @@
 from ..coordination import parts
 from . import request as request_module
 
-#: An owner that hasn't answered a booking for so long is asked again.
+#: Seconds without an answer after which a booking is sent again.
 OWNER_ANSWER_S = 0.25
-#: One that hasn't answered for so long is silent: the entry places by
-#: itself. An answer takes some 5 ms; this is many times that on a busy
-#: machine, and a small part of any target.
+#: Seconds without an answer after which the owner counts as unresponsive and
+#: the entry places requests itself. An answer takes some 5 ms; this timeout
+#: is many times that on a busy machine, and a small part of any latency
+#: target.
 OWNER_SILENT_S = 0.15
-#: While an entry places by itself, one request so often tries the owner.
+#: Interval in seconds at which one request probes an unresponsive owner while
+#: the entry places requests itself.
 PROBE_S = 0.5
-#: A queued request asks its owner so often whether it is there still.
+#: Interval in seconds at which a queued request repeats its booking.
 QUEUE_ASK_S = 0.3
-#: Longest search for an owner; then the caller is told at once. It is the
-#: same for a call that waits in an owner's queue: nothing is lost with it,
-#: and its caller would leave without an answer.
+#: Timeout in seconds of a search for an owner; the request is then refused.
+#: It also holds for a request in an owner's queue: no work is lost with it,
+#: and with a longer search its client would disconnect without an answer.
 OWNER_SEARCH_S = 1.5
-#: The same for a request that an owner had placed: its successor needs a
-#: lease first, and what has been computed would be lost.
+#: The same for a request that an owner had placed. It is longer because the
+#: next owner has to obtain a lease first, and because giving up would lose
+#: what has been computed.
 OWNER_LOST_S = 5.0
-#: A queued request whose owner said nothing for so long looks for another.
+#: Seconds without a message after which a queued request searches for another
+#: owner.
 QUEUE_SILENT_S = 0.75
-#: Hints of instances that aren't the owner, followed in one search. Two
-#: that point at each other would keep a request going round without end.
+#: Redirections followed in one search. Without a limit, two instances that
+#: name each other as the owner would redirect a request for ever.
 MOST_HOPS = 3
-#: Times that one owner is asked before the next one is.
+#: Times that one candidate owner is asked before the next one is.
 ASKS_PER_OWNER = 2
 
 Effects = list[typing.Any]
 
 
 class Reservations:
-    """Books, renews, moves and gives back, for all requests of an entry."""
+    """Requests, renews, moves and releases the bookings of an entry."""
 
     def __init__(self, *, directory: admission.Directory) -> None:
         self._directory = directory
         self._progress_at = 0.0
-        #: When to try the owner next, by cell that this entry stands in for.
+        #: Time of the next probe of the owner, for each cell whose owner is
+        #: unresponsive, so that this entry places its requests.
         self._probe_at_by_cell: dict[str, float] = {}
 
-    # Asking
+    # Booking
 
     def search(
         self, now: float, request: request_module.Request
     ) -> Effects | None:
-        """Start to look for the owner; ``None`` if nobody can be asked."""
+        """Start to search for the owner; ``None`` without a candidate."""
         request.booked = None
         request.reclaimed_at = None
         request.phase = request_module.Phase.BOOKING
@@ -68,9 +73,9 @@
     def ask(
         self, now: float, request: request_module.Request
     ) -> Effects | None:
-        """Ask the next owner; ``None`` if there is none.
+        """Send a booking to the next candidate; ``None`` if there is none.
 
-        While it is silent this entry asks itself.
+        While the owner is unresponsive, the booking goes to this instance.
         """
         if request.cell in self._probe_at_by_cell:
             own_id = self._directory.own_id
@@ -84,11 +89,11 @@
 
     @property
     def may_stand_in(self) -> bool:
-        """Whether this entry may place work without its owner."""
+        """Whether this entry may place requests without the cell's owner."""
         return self._directory.places_alone
 
     def stand_in(self, now: float, request: request_module.Request) -> Effects:
-        """Ask this instance itself, for this request and those that follow."""
+        """Book at this instance for this request and subsequent ones."""
         self._probe_at_by_cell[request.cell] = now + PROBE_S
         silent = decisions.OwnerSilent(
             request_id=request.request_id,
@@ -102,21 +107,21 @@
         return [silent.log(), *asked]
 
     def note_owner_heard(self, cell: str) -> None:
-        """An owner answers: it places the work again."""
+        """Return to booking at a cell's owner, because it responded."""
         self._probe_at_by_cell.pop(cell, None)
 
     def note_heard_late(self, sender: str, cell: str) -> None:
-        """Take in an answer that nothing waits for, such as to a probe."""
+        """Process an answer that no request waits for, as after a probe."""
         if sender != self._directory.own_id:
             self.note_owner_heard(cell)
 
     def _probe(self, now: float, request: request_module.Request) -> Effects:
-        """Return what asks the owner now and then whether it answers.
+        """Return the messages that probe the owner, if a probe is due.
 
-        The request doesn't wait for that: what is asked for is given back
-        right away, and this entry places it. With few callers one request
-        in three would else wait in vain, and be late, for as long as the
-        owner is silent.
+        The request does not wait for the answer: the booking is released
+        right away, and this entry places the request. Otherwise, with few
+        clients, one request in three would wait in vain and be late while
+        the owner is unresponsive.
         """
         owners = self._directory.owners_of(request.cell)
         is_due = now >= self._probe_at_by_cell[request.cell]
@@ -132,11 +137,11 @@
     def follow(
         self, now: float, request: request_module.Request, holder: str
     ) -> Effects:
-        """Ask the owner that another instance named."""
-        # Whoever is not the owner needn't be asked twice.
+        """Book at the owner that another instance named in ``NotOwner``."""
+        # An instance that is not the owner is not asked a second time.
         request.asked += request.asked % ASKS_PER_OWNER
         if not holder or holder == request.owner or request.hops >= MOST_HOPS:
-            # Nobody owns it just now: the tick asks again a little later.
+            # The cell has no owner at present; the tick asks again later.
             return []
         request.hops += 1
         return self._ask(now, request, holder)
@@ -155,9 +160,10 @@
             or holder != request.owner
             or unowned != request.is_unowned
         ):
-            # An attempt id for each owner that is asked. With one for all,
-            # an owner that answers late, when its successor has booked too,
-            # would be taken for it: two slots for one stream.
+            # Each owner that is asked gets an attempt id of its own. With a
+            # shared id, the late answer of an earlier owner could not be
+            # told from that of its successor, and one stream would take two
+            # slots.
             out = self.release(request, cells.Outcome.CANCELLED)
             request.serial += 1
         request.owner = holder
@@ -191,7 +197,7 @@
     def move_search(
         self, now: float, request: request_module.Request, holder: str
     ) -> Effects:
-        """Ask a cell's new owner for what the old one had not placed."""
+        """Book at a cell's new owner what the old one had not placed."""
         request.phase = request_module.Phase.BOOKING
         request.phase_at = now
         return self._ask(now, request, holder)
@@ -199,11 +205,11 @@
     def ask_again(
         self, now: float, request: request_module.Request
     ) -> Effects:
-        """Ask the same owner once more; the answer is the same."""
+        """Repeat the booking at the same owner, which is idempotent."""
         request.asked_at = now
         return [self._book(now, request)]
 
-    # Giving back
+    # Releasing
 
     def release(
         self,
@@ -216,7 +222,13 @@
         token_gap_s: float = 0.0,
         answer_pieces: int = 0,
     ) -> Effects:
-        """Give the reservation back; nothing if none can be held."""
+        """Release the reservation; returns nothing if none can be held.
+
+        :param fault: id of the backend server that failed, else ``''``.
+        :param is_down: whether that server refused the connection.
+        :param wasted: prefilled tokens that are thrown away.
+        :param token_gap_s: mean seconds between tokens; 0 if not measured.
+        """
         if not request.is_held:
             return []
         request.is_held = False
@@ -233,19 +245,20 @@
         )
         out: Effects = [parts.Send(to=request.owner, message=release)]
         if request.is_unowned and request.owner != self._directory.own_id:
-            # An owner has taken it over; this instance's own share of the
-            # backend servers counts it as well.
+            # An owner has taken over a booking that this instance made. It
+            # still counts in this instance's own share of the servers.
             out.append(parts.Send(to=self._directory.own_id, message=release))
         return out
 
     def cancels(
         self, request: request_module.Request
     ) -> tuple[cells.CancelStream, ...]:
-        """Return the cancels for the engines that may work on it.
+        """Return the cancels for the engines that may work on a request.
 
-        They go out at once. The owner repeats its own until confirmed, and
-        they go out once more when the request's thread has let go: a cancel
-        that overtakes the call it is meant for finds nothing to cancel.
+        They are sent at once. The owner repeats its own cancels until they
+        are confirmed, and these are sent once more when the request's thread
+        has ended its step, because a cancel that overtakes the call it is
+        meant for has no effect.
         """
         booked = request.booked
         if request.stage is vocabulary.Stage.PLAIN:
@@ -265,7 +278,7 @@
     def renew(
         self, now: float, requests: abc.Iterable[request_module.Request]
     ) -> Effects:
-        """Say what this entry holds, once a second, one message a cell."""
+        """Renew all bookings, once a second, with one message per cell."""
         if now - self._progress_at < cells.PROGRESS_EVERY_S:
             return []
         self._progress_at = now
@@ -287,10 +300,10 @@
         held: abc.Sequence[request_module.Request],
         holder: str,
     ) -> Effects:
-        """Renew at ``holder``; to a new owner, tell all first.
+        """Renew bookings at ``holder``, after a reclaim of those it lacks.
 
-        A new owner starts empty, and would give away the slots that these
-        requests use.
+        A new owner starts without any bookings. Without the reclaim, it would
+        give the slots of these requests to others.
         """
         moved = [each for each in held if each.owner != holder]
         out: Effects = []
@@ -314,7 +327,7 @@
         holder: str,
         epoch: int,
     ) -> Effects:
-        """Tell an owner of bookings that another one made."""
+        """Send an owner the bookings that an earlier owner made."""
         for request in held:
             if request.owner != holder or request.reclaimed_at is None:
                 request.owner = holder
@@ -324,7 +337,8 @@
             epoch=epoch,
             bookings=tuple(_reclaimed(now, each) for each in held),
         )
-        # Asked for once more if it is lost; a new owner hears it from all.
+        # A datagram suffices: the owner requests a lost one again. A new
+        # owner receives one from every entry.
         return [parts.Send(to=holder, message=reclaim, by_datagram=True)]
 
     def is_lost(
@@ -332,12 +346,13 @@
         request: request_module.Request,
         event: parts.Received,
     ) -> bool:
-        """Whether an owner's ``Cancelled`` means that the slot is gone.
+        """Whether an owner's ``Cancelled`` means that the slot is lost.
 
-        The owner that made the booking has given the slot to others once it
-        says so: we were frozen past the booking's lease. A later owner says
-        it as well before it was told of the booking, or when that message
-        was lost; only after a whole lease does it mean that it had known.
+        From the owner that made the booking, it means that the slot may be in
+        use by others: this process was suspended for longer than the
+        booking's lease. A later owner also sends it while the reclaim of the
+        booking is under way, or if the reclaim was lost. So its ``Cancelled``
+        counts only when a whole lease has passed since the reclaim.
         """
         if event.message.epoch <= request.booked.epoch:
             return True
@@ -349,7 +364,7 @@
 def cancel_of(
     request: request_module.Request, backend_id: str, url: str
 ) -> cells.CancelStream:
-    """Return the order to free an engine's memory of this attempt."""
+    """Return the effect that frees an engine's memory of this attempt."""
     return cells.CancelStream(
         backend_id=backend_id,
         url=url,
--- a/dandeliongw/entry/retries.py
+++ b/dandeliongw/entry/retries.py
@@ -1,4 +1,4 @@
-"""How often an entry tries again, and after which pause."""
+"""Retry budgets of an entry and the backoff between retries."""
 
 from collections import abc
 
@@ -10,16 +10,16 @@
 
 
 class RetryBudget(msgspec.Struct, kw_only=True):
-    """Bounds retries to a part of the requests.
+    """Limits retries to a fraction of the requests.
 
-    Without it, an outage multiplies the load just when least of it can be
-    carried; one would notice more attempts than requests long after the
-    first cause is gone. The burst lets all streams of a few engines that
-    died together be tried again at once.
+    Without the limit, an outage would multiply the load just when the
+    capacity is lowest, and attempts would outnumber requests long after its
+    cause is gone. The burst allows all streams of a few engines that failed
+    together to be retried at once.
 
-    :param part: gained with each request.
-    :param burst: most that is saved up.
-    :param left: saved up just now.
+    :param part: retries gained with each request.
+    :param burst: upper bound of saved-up retries.
+    :param left: retries that are available now.
     """
 
     part: float
@@ -38,22 +38,23 @@
         return True
 
     def limit(self, burst: float) -> None:
-        """Change the most that is saved up."""
+        """Set the upper bound of saved-up retries."""
         self.burst = burst
         self.left = min(self.left, burst)
 
 
 class RetryBudgets:
-    """This entry's share of a budget for each service.
+    """This entry's share of a retry budget for each service.
 
-    With one for all, a pool that fails spends the retries of the others,
-    whose callers then see errors that one more attempt would have spared.
-    What may be saved up is the whole system's: if each entry saved as much,
-    an outage would bring it as many times as there are entries.
+    With a single budget, a failing pool would use up the retries of the
+    other services, whose clients would then get errors that another attempt
+    would have prevented. The burst is divided among all entries. If each
+    entry saved up the whole burst, an outage would cause that many retries
+    times the number of entries.
 
     :param part: retries gained with each request.
-    :param burst: most that all entries together save up.
-    :param entries: returns how many there are.
+    :param burst: upper bound of the retries that all entries together save.
+    :param entries: returns the number of entries.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         return self._budget(service).spend()
 
     def left_by_service(self) -> dict[str, float]:
-        """Return the attempts that are left; callable in any thread."""
+        """Return the retries that are left; thread-safe."""
         budgets = self._budgets_by_service.copy()
         return {service: each.left for service, each in budgets.items()}
 
@@ -94,11 +95,12 @@
 
 
 def pause_s(attempt: int, entropy: int) -> float:
-    """Return how long to wait before an attempt, in seconds.
+    """Return the backoff before an attempt, in seconds.
 
-    :param attempt: two for the first retry.
-    :param entropy: 64 random bits, from the event that brought the failure;
-        the pause lies between half and all of its bound.
+    :param attempt: number of the attempt; 2 for the first retry.
+    :param entropy: 64 random bits for the jitter, from the event that
+        reported the failure; the result is between half of the upper bound
+        and all of it.
     """
     bound_s = min(MOST_PAUSE_S, FIRST_PAUSE_S * 2 ** max(0, attempt - 2))
     return bound_s * (0.5 + 0.5 * entropy / 2**64)
--- a/dandeliongw/entry/spacing.py
+++ b/dandeliongw/entry/spacing.py
@@ -1,17 +1,19 @@
-"""How far apart the tokens of one answer come from its decode engine."""
+"""Measurement of the gaps between the tokens that a decode engine sends."""
 
-#: Largest part of an answer's time that its caller may have held it up.
-#: The true gap can be that much smaller than the one that is measured.
+#: Upper bound for the fraction of an answer's duration during which a slow
+#: client held it up. The true gap can be that much smaller than the measured
+#: one.
 MOST_HELD = 0.1
 
 
 class Spacing:
     """Measures the mean gap between the tokens of one stream.
 
-    All times are in seconds of one monotonic clock. What a slow caller holds
-    up looks like a slow engine: TCP stops the stream, and an owner that took
-    the gap for the engine's would cap a batch that is in time. One would
-    notice capped engines with few streams. So such an answer tells nothing.
+    All times are in seconds of one monotonic clock. A slow client looks like
+    a slow engine, because TCP flow control stops the stream. An owner that
+    took such a gap for the engine's would limit the batch size of an engine
+    that is fast enough, and engines would stay limited to few streams. So
+    answers that a client held up for too long are not measured.
     """
 
     def __init__(self) -> None:
@@ -22,26 +24,27 @@
         self._held_s = 0.0
 
     def arrived(self, now: float) -> None:
-        """Take in that the engine's next token is here."""
+        """Record the arrival of the engine's next token."""
         if self._gaps < 0:
             self._first_at = now
         else:
-            # The hold after the last token is none of the gaps.
+            # A delay after the last token is not part of a gap, so each one
+            # is added only when the next token arrives.
             self._held_s += self._taken_at - self._last_at
         self._gaps += 1
         self._last_at = now
 
     def taken(self, now: float) -> None:
-        """Take in that the caller has the token that arrived last."""
+        """Record that the client has taken the token that arrived last."""
         self._taken_at = now
 
     @property
     def first_at(self) -> float | None:
-        """When the first token came; ``None`` if none did."""
+        """When the first token arrived; ``None`` if none did."""
         return None if self._gaps < 0 else self._first_at
 
     def mean_s(self) -> float:
-        """Return the mean gap in seconds; zero if it can't be told."""
+        """Return the mean gap in seconds; 0 if it was not measured."""
         whole_s = self._last_at - self._first_at
         if self._gaps < 1 or self._held_s > whole_s * MOST_HELD:
             return 0.0
--- a/dandeliongw/entry/step_ends.py
+++ b/dandeliongw/entry/step_ends.py
@@ -1,4 +1,4 @@
-"""How a step of a request ended, and what a failed one is told as."""
+"""The results of a request's steps, and the retry reasons of failed ones."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 _RETRY = verdict.RetryReason
 
-#: What a step failed by where nothing more is known.
+#: Retry reasons of steps that failed without a more specific reason.
 GENERAL_FAILURES = {
     events.Step.PREFILL: _RETRY.PREFILL_FAILED,
     events.Step.DECODE: _RETRY.STREAM_BROKEN,
@@ -17,7 +17,7 @@
 
 
 class Done(msgspec.Struct, frozen=True, kw_only=True):
-    """A step that did what it should."""
+    """The result of a step that succeeded."""
 
     known: verdict.Verdict = verdict.Verdict.RAN
     kv: str = ''
@@ -30,7 +30,10 @@
 
 
 class Failed(msgspec.Struct, frozen=True, kw_only=True):
-    """A step that did not."""
+    """The result of a step that failed.
+
+    :param is_cut: whether the connection broke.
+    """
 
     known: verdict.Verdict
     failure: verdict.RetryReason
@@ -39,7 +42,7 @@
 
     @classmethod
     def unstarted(cls, message: str) -> 'Failed':
-        """Nothing was sent."""
+        """Return the result of a step that sent nothing."""
         return cls(
             known=verdict.Verdict.NOT_RUN,
             failure=verdict.RetryReason.PREFILL_FAILED,
@@ -66,7 +69,7 @@
 def failure_of(
     step: events.Step, error: engine.EngineError
 ) -> verdict.RetryReason:
-    """Return why another attempt might help after an error of a step."""
+    """Return the reason for a retry after an error of a step."""
     if isinstance(error, StreamError):
         if error.is_stalled:
             return _RETRY.STREAM_STALLED
--- a/dandeliongw/entry/steps.py
+++ b/dandeliongw/entry/steps.py
@@ -1,4 +1,4 @@
-"""The steps that a request's thread is directed to do.
+"""The directives that make a request's thread run a step.
 
 Each function changes the request's phase and returns the directive.
 """
@@ -48,7 +48,7 @@
 ) -> Effects:
     """Stream tokens; a request without ``kv`` resumes its stream.
 
-    :param reads: the engine reads the prompt by itself.
+    :param reads: whether the decode engine does the prefill itself.
     """
     request.phase = Phase.DECODE
     request.phase_at = now
--- a/dandeliongw/entry/stops.py
+++ b/dandeliongw/entry/stops.py
@@ -1,4 +1,4 @@
-"""Stops for attempts whose thread may be blocked, or not begun yet."""
+"""Cancellation of attempts whose thread may be blocked or not started yet."""
 
 from collections import abc
 import contextlib
@@ -7,7 +7,7 @@
 
 
 class Stops:
-    """Which attempts are to stop, and the adapter that may block in one."""
+    """The attempts to cancel, and the adapters that may block in them."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -15,14 +15,14 @@
         self._adapters_by_attempt: dict[str, typing.Any] = {}
 
     def event(self, attempt_id: str) -> threading.Event:
-        """Return what is set once an attempt is to stop."""
+        """Return the event that is set when an attempt is cancelled."""
         with self._lock:
             return self._events_by_attempt.setdefault(
                 attempt_id, threading.Event()
             )
 
     def stop(self, attempt_id: str) -> None:
-        """Stop an attempt, also one that has not begun; any thread may."""
+        """Cancel an attempt, also one that has not begun; thread-safe."""
         self.event(attempt_id).set()
         with self._lock:
             adapter = self._adapters_by_attempt.get(attempt_id)
@@ -30,7 +30,7 @@
             adapter.abort()
 
     def forget(self, attempt_id: str) -> None:
-        """Let go of the adapter of an attempt whose step is over."""
+        """Drop the adapter of an attempt whose step has ended."""
         with self._lock:
             self._adapters_by_attempt.pop(attempt_id, None)
 
@@ -38,10 +38,11 @@
     def watching(
         self, attempt_id: str, adapter: typing.Any
     ) -> abc.Iterator[None]:
-        """Let a stop reach ``adapter``, also one that came just before.
+        """Abort ``adapter`` on a cancellation, also on one just before.
 
-        A stop between the look at the event and the adapter's being known
-        would be lost, and the thread would work on for a caller who left.
+        The adapter is registered before the event is checked. Otherwise a
+        cancellation between the two would be lost, and the thread would go on
+        working for a client that has disconnected.
         """
         with self._lock:
             self._adapters_by_attempt[attempt_id] = adapter
--- a/dandeliongw/entry/trials.py
+++ b/dandeliongw/entry/trials.py
@@ -1,8 +1,8 @@
-"""The one send of a held call that goes through, and what it waits for.
+"""Trials of quarantined calls.
 
-A call's home lets one send through at a time, see
-:mod:`..coordination.quarantine`. It runs on one backend server: it is not
-sent again, and its stream is not moved.
+The instance responsible for a call's fingerprint grants one trial at a time,
+see :mod:`..coordination.quarantine`. A trial runs on one backend server: it
+is not retried, and its stream is not moved.
 """
 
 import typing
@@ -16,16 +16,16 @@
 from .request import Phase
 from .request import Request
 
-#: Ticket prefix, by which the reducer finds the way back.
+#: Ticket prefix, by which the reducer routes the answers.
 TRIAL_TICKET = 'trial:'
-#: Longest wait for the home's answer, in seconds.
+#: Timeout in seconds for the answer of the instance that grants trials.
 ANSWER_S = 0.3
 
 Effects = list[typing.Any]
 
 
 class Trials:
-    """The requests of one entry that ask to be tried."""
+    """Handles the requests of one entry that wait for a trial."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._endings = endings
 
     def ask(self, now: float, request: Request) -> Effects:
-        """Ask whether a request may be tried; see :meth:`answered`."""
+        """Request a trial; see :meth:`answered`."""
         request.phase = Phase.ASKING
         request.phase_at = now
         asked = quarantine.AskTrial(
@@ -52,11 +52,15 @@
     def answered(
         self, now: float, request: Request, *, is_granted: bool
     ) -> Effects:
-        """Try a request, or refuse it while another one is tried."""
+        """Begin a granted trial, or refuse the request.
+
+        It is refused while a trial of another send is under way.
+        """
         if request.phase is not Phase.ASKING:
             return []
         request.is_trial = is_granted
-        # If the call was released meanwhile, it begins like any other.
+        # Without a grant, this refuses the request, unless the call has been
+        # released from quarantine in the meantime.
         begun = self._attempts.begin(now, request)
         if not is_granted:
             return begun
@@ -68,7 +72,7 @@
         return [line.log(), *begun]
 
     def tick(self, now: float, request: Request) -> Effects:
-        """Give up a request whose call's home is silent."""
+        """End the wait of a request whose trial request timed out."""
         if now - request.phase_at < ANSWER_S:
             return []
         return self._attempts.begin(now, request)
--- a/dandeliongw/entry/waste.py
+++ b/dandeliongw/entry/waste.py
@@ -4,7 +4,7 @@
 
 
 class WasteReason(enum.StrEnum):
-    """Why prefill work was wasted (a counter label)."""
+    """Why prefill work was wasted (a metric label)."""
 
     CALLER_GONE = 'caller_gone'
     DEADLINE_PASSED = 'deadline_passed'
