--- a/tests/entry_fake.py
+++ b/tests/entry_fake.py
@@ -1,4 +1,4 @@
-"""An entry's requests with nothing around them: time and owners are given."""
+"""A driver for an entry's ``Requests``, with simulated time and owners."""
 
 import itertools
 import json
@@ -26,7 +26,7 @@
 
 
 def described(**changes_by_service):
-    """Return the example document; services changed, a quote route added."""
+    """Return the example document with changed services and a quote route."""
     fields = local.example_document()
     fields['routes'].append(
         {
@@ -43,7 +43,7 @@
 
 
 def make_budgets(count):
-    """Return the retry budgets of one of so many entries."""
+    """Return the retry budgets of one of ``count`` entries."""
     usual = settings.Retries()
     return retries.RetryBudgets(
         part=usual.part, burst=usual.saved, entries=lambda: count
@@ -51,13 +51,13 @@
 
 
 class Directory:
-    """What a test says that the entry knows."""
+    """An entry's view of the system, set by the test."""
 
     def __init__(self):
         self.document = described()
         self.is_draining = False
         self.fresh = True
-        #: Whether a majority has confirmed the document lately.
+        #: Whether a majority has confirmed the document recently.
         self.confirmed = True
         self.owners = (OWNER, NEXT_OWNER)
         self.own_id = 'gw-0'
@@ -104,7 +104,7 @@
 
 
 class Entry:
-    """Drives ``Requests`` and sorts what comes out of it."""
+    """Drives ``Requests`` and records the effects that it returns."""
 
     def __init__(self, **options):
         self.now = 100.0
@@ -125,7 +125,7 @@
             **options,
         )
         self.ids = (f'r{number}' for number in itertools.count(1))
-        #: Everything that came out, and what came out last.
+        #: All effects so far, and the effects of the last event.
         self.all = []
         self.out = []
 
@@ -181,7 +181,7 @@
         }
 
     def booked(self, request_id, epoch=1, **changes):
-        """Return what an owner answers to the booking at hand."""
+        """Return an owner's ``Booked`` for the current attempt."""
         request = self.requests.requests_by_id[request_id]
         places = {
             'prefill_id': 'p1',
@@ -205,7 +205,7 @@
         return self.receive(message, sender)
 
     def end(self, request_id, step, failure=None, **changes):
-        """End a step of the present attempt: well without a failure."""
+        """End a step of the current attempt, successfully by default."""
         fields = {
             'attempt_id': self.ids_of(request_id)['attempt_id'],
             'known': verdict.Verdict.RAN,
@@ -236,7 +236,7 @@
     def close(self, request_id):
         return self.post(events.RequestClosed, request_id=request_id)
 
-    # What came out last
+    # Effects of the last event
 
     def found(self, kind, among=None):
         return [
@@ -279,10 +279,10 @@
             for each in self.found(effects.CountWaste)
         ]
 
-    # Ways to a stage
+    # Requests at a given stage
 
     def calling(self, kind='booking', key='k'):
-        """Return the id of a plain call that is under way."""
+        """Return the id of a plain call that is running."""
         request_id = self.arrive(kind, key)
         if key is not None:
             self.claim(request_id)
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,7 +1,7 @@
-"""A TCP relay that fails the way networks do, for tests of real sockets.
+"""A TCP relay that simulates network failures, for tests of real sockets.
 
-It works inside the test's event loop, so a test can wait on a condition
-instead of a time.
+It runs in the test's event loop, so that a test can wait for a condition
+instead of a fixed time.
 """
 
 import asyncio
@@ -11,12 +11,12 @@
 import enum
 
 
-#: Seconds after which a condition that must come true counts as failed.
+#: Timeout in seconds for a condition that must become true.
 LIMIT_S = 30.0
 
 
 class Way(enum.StrEnum):
-    """A direction, as seen from whoever connected."""
+    """A direction, as seen from the client of the connection."""
 
     THERE = 'there'
     BACK = 'back'
@@ -26,19 +26,19 @@
 class Connection:
     """One relayed connection.
 
-    :param cut: directions in which bytes are swallowed without a sign.
+    :param cut: directions in which bytes are dropped silently.
     """
 
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
     cut: set[Way] = dataclasses.field(default_factory=set)
-    #: Bytes that were swallowed; a test waits on it, see :meth:`Relay.until`.
+    #: Number of dropped bytes; a test waits for it with :meth:`Relay.until`.
     swallowed: int = 0
-    #: Bytes that were passed on.
+    #: Number of forwarded bytes.
     passed: int = 0
 
 
 class Relay:
-    """Carries connections to one address.
+    """Forwards connections to one address.
 
     :param host: of the target.
     :param port: of the target.
@@ -47,30 +47,33 @@
     def __init__(self, *, host: str, port: int) -> None:
         self.port = 0
         self.connections: list[Connection] = []
-        #: Directions that are cut in new connections too.
+        #: Directions that are cut in new connections, too.
         self.cut: set[Way] = set()
-        #: Seconds by which bytes of either direction are late.
+        #: Delay of the bytes in both directions, in seconds.
         self.delay_s = 0.0
         self._target = (host, port)
         self._changed = asyncio.Condition()
         self._tasks: set[asyncio.Task] = set()
 
     def cut_all(self, *ways: Way) -> None:
-        """Cut old and new connections one way or both ways."""
+        """Cut existing and new connections in one or both directions."""
         self.cut.update(ways)
         self.blackhole(*ways)
 
     def heal(self) -> None:
-        """Let new connections work; old ones stay as they are."""
+        """Let new connections work; existing ones stay cut."""
         self.cut.clear()
 
     def blackhole(self, *ways: Way) -> None:
-        """Let the present connections go silent; new ones work."""
+        """Drop all bytes of the existing connections; new ones work."""
         for connection in self.connections:
             connection.cut.update(ways or Way)
 
     async def until(self, condition: abc.Callable[[], bool]) -> None:
-        """Wait until bytes make the condition true, within a limit."""
+        """Wait until the condition is true; it is checked after each read.
+
+        :raises TimeoutError: after ``LIMIT_S``.
+        """
         async with asyncio.timeout(LIMIT_S), self._changed:
             await self._changed.wait_for(condition)
 
@@ -115,7 +118,7 @@
             async with self._changed:
                 self._changed.notify_all()
         if way not in connection.cut:
-            # A silent connection hides its end, too.
+            # A cut connection does not forward its end either.
             writer.close()
 
     @contextlib.asynccontextmanager
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who may have what served, before any owner is asked."""
+"""Admission control at the entry, before a cell's owner is involved."""
 
 import unittest
 
@@ -25,10 +25,9 @@
         return result.reason if is_refusal else None
 
     def test_streams_never_take_the_threads_of_lookups(self):
-        """Symptom: press operators stall at the job board.
+        """Guards against lookups that are blocked by long prompts.
 
-        Sequence: as many long prompts come in as the instance takes.
-        Cause: one limit for all.
+        With a single limit for all calls, streams could take all threads.
         """
         for _ in range(3):
             self.gate.enter('studio-1', True)
@@ -52,7 +51,7 @@
         self.assertEqual(self.check(**changes), reason)
 
     def test_what_an_account_may_have_counts_at_each_entry(self):
-        """One entry keeps the limit; it knows nothing of the others'."""
+        """Each entry applies the limit without the counts of the others."""
         account = entry_fake.Directory().document.accounts[0]
         other = admission.Admission(
             directory=entry_fake.Directory(),
@@ -81,12 +80,12 @@
 
 
 class UnconfirmedTest(unittest.TestCase):
-    """Callers got 404 for a route that an operator had added 2.5 s before.
+    """Guards against a 404 for a route that was added 2.5 s before.
 
-    An entry that hears no majority goes on with its last document, so that
-    calls are served while all voters are away. It refused what that document
-    doesn't have as if it were the latest one. A caller takes "no such route"
-    or "no such account" as final and does not come back.
+    An entry without contact to a majority goes on with its last document, so
+    that calls are served while all voters are unreachable. Refusals for what
+    that document lacks must be retryable, because clients take "no such
+    route" or "no such account" as final.
     """
 
     def setUp(self):
@@ -101,7 +100,7 @@
         return self.gate.check(100.0, entry_fake.call(**changes))
 
     def test_what_a_later_document_may_have_is_not_refused_for_good(self):
-        """Each of these was final: 404, 401, 403 or 400."""
+        """Under a confirmed document, these are 404, 401, 403 or 400."""
         refusals = [
             self.check(**changes)
             for changes in (
--- a/tests/test_breaks.py
+++ b/tests/test_breaks.py
@@ -1,4 +1,4 @@
-"""Runs that broke off: which of them had their backend server end."""
+"""Detection of backend servers that crashed while running a call."""
 
 import unittest
 
@@ -45,7 +45,7 @@
     def test_a_refused_connection_tells_of_all_runs_there(self):
         (look,) = self.add('f1')
         self.assertIsInstance(look, effects.ProbeBackend)
-        # One look for all of them.
+        # One probe for all of them.
         self.assertEqual([], self.add('f2'))
         line, first, _, second = self.probed(is_refused=True)
         self.assertIsInstance(first, effects.Dispatch)
@@ -63,10 +63,10 @@
         self.assertEqual([], self.tick(10.0))
 
     def test_a_server_that_listens_on_has_not_ended(self):
-        """Symptom: calls are held back after resets of connections.
+        """Guards against calls that are quarantined after connection resets.
 
-        Sequence: a network resets connections; the servers go on.
-        Cause: a connection that breaks is no proof of an end.
+        The network may reset a connection while the server goes on, so a
+        broken connection is no proof that the server ended.
         """
         self.add()
         for after_s in (0.2, 0.4):
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -1,4 +1,4 @@
-"""Calls that come before the first configuration are not turned away."""
+"""Calls that arrive before the first configuration are queued."""
 
 import unittest
 
@@ -11,12 +11,11 @@
 
 
 class EarlyCallsTest(unittest.TestCase):
-    """Symptom: after a loss of power every caller is late or turned away.
+    """Guards against calls that are late or refused after a power failure.
 
-    Sequence: all instances start at once; their ports are open, and the
-    voters need some tenths of a second more.
-    Cause: each call was refused for the lack of a configuration, and came
-    back a second later, past its target.
+    All instances start at once and open their ports some tenths of a second
+    before the voters have a configuration. A call that is refused meanwhile
+    is retried a second later, past its latency target.
     """
 
     def setUp(self):
@@ -37,7 +36,7 @@
         ((_, book),) = self.entry.sent(cells.Book)
         request = self.entry.requests.requests_by_id[book.request_id]
         self.assertAlmostEqual(0.6, self.entry.now - request.arrived_at)
-        # The search for an owner has its whole time.
+        # The search for an owner starts with its full timeout.
         self.assertEqual(self.entry.now, request.phase_at)
 
     def test_they_are_refused_when_the_start_takes_too_long(self):
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two sends the same call."""
+"""Fingerprints: which sends count as the same call."""
 
 import unittest
 
@@ -23,10 +23,10 @@
         return self.fingerprints.of(call)
 
     def test_callers_without_account_send_the_same_call(self):
-        """Guards against a call that ends three servers for each address.
+        """Guards against a call that crashes three servers for each address.
 
-        Clients share addresses and change them, and so does each copy that
-        is sent again.
+        Clients share addresses and change them, and each resend may come
+        from another address.
         """
         fingerprints_by_address = {
             address: self.of(address=address, key_sha256='')
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""Calls that are held back at an entry: what is stopped, and what is told."""
+"""Quarantined calls at an entry: which requests stop, what is reported."""
 
 import itertools
 import json
@@ -29,7 +29,7 @@
 
 
 class Held(unittest.TestCase):
-    """The base: an entry that learns of ends under its calls."""
+    """Base class: an entry with evidence against some of its calls."""
 
     def setUp(self):
         self.entry = entry_fake.Entry()
@@ -38,7 +38,10 @@
         return self.entry.holds.fingerprint(entry_fake.call(kind))
 
     def learn(self, kind, *backend_ids):
-        """Let backend servers end under a kind of call, one a second."""
+        """Report that backend servers ended under a kind of call.
+
+        The ends are one second apart.
+        """
         for number, backend_id in enumerate(backend_ids):
             start = presence.BackendStart(backend_id=backend_id, incarnation=1)
             self.entry.quarantine.handle(
@@ -51,7 +54,7 @@
             )
 
     def hold(self, kind):
-        """Hold a kind of call back; return what that stopped."""
+        """Quarantine a kind of call; return the resulting effects."""
         self.learn(kind, 'a', 'b', 'c')
         return self.entry.take(
             self.entry.requests.hold(self.entry.now, self.fingerprint(kind))
@@ -78,14 +81,14 @@
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
 
     def test_a_call_with_a_key_may_have_run_before(self):
-        """Only its claim tells whether an earlier send has run."""
+        """Only its claim records whether an earlier send has run."""
         self.hold('booking')
         self.entry.arrive('booking', 'k')
         self.assertEqual(MAY_HAVE_RUN, self.entry.refusal.verdict)
 
 
 class InFlightTest(Held):
-    """What an entry has in hand when a call is held back."""
+    """Requests in flight when their call is quarantined."""
 
     def test_what_waits_for_a_place_is_stopped(self):
         self.entry.arrive('lookup')
@@ -118,7 +121,7 @@
 
 
 class StreamTest(Held):
-    """Guards against a held stream that ends one decode engine more."""
+    """Guards against a quarantined stream that crashes another engine."""
 
     def test_one_whose_prompt_was_read_is_not_run(self):
         request_id = self.entry.prefilling()
@@ -135,7 +138,7 @@
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
 
     def test_one_that_looks_for_another_engine_is_stopped(self):
-        """Guards against an error that ends the handling of the hold."""
+        """Guards against an exception while the quarantine is applied."""
         request_id = self.entry.decoding()
         self.entry.decode(request_id, RETRY.CONNECT_REFUSED, known=NOT_RUN)
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
@@ -147,7 +150,7 @@
 
 
 class EvidenceTest(Held):
-    """What an entry makes of the ends of its steps."""
+    """The evidence that an entry derives from the ends of its steps."""
 
     def end(self, request_id, **changes):
         fields = {'failure': RETRY.STREAM_BROKEN, 'known': MAY_HAVE_RUN}
@@ -162,7 +165,7 @@
             presence.BackendStart(backend_id='s1', incarnation=7), look.start
         )
         self.assertEqual('http://s1', look.url)
-        # The next attempt does not wait for the answer.
+        # The next attempt does not wait for the probe.
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
         self.entry.post(
             events.BackendProbed, start=look.start, is_refused=True
@@ -190,7 +193,7 @@
 
 
 class TogetherTest(unittest.TestCase):
-    """What whole instances make of evidence."""
+    """Evidence that is shared between complete instances."""
 
     def setUp(self):
         self.network = network.Network(count=3)
@@ -237,9 +240,9 @@
             )
 
     def test_copies_from_several_addresses_are_one_call(self):
-        """Guards against three ends for each address that a call comes from.
+        """Guards against three crashed servers for each client address.
 
-        Callers without an account share addresses and change them.
+        Clients without an account share addresses and change them.
         """
         entries = itertools.cycle(self.network.reducers_by_id)
         ended = 0
@@ -258,7 +261,7 @@
         self.assertEqual(3, ended)
 
     def test_one_send_of_all_entries_is_tried(self):
-        """Guards against a herd of held calls when the first trial is due."""
+        """Guards against a thundering herd when the first trial is due."""
         routes = document.document_bytes(test_passed_on.described())
         self.network.apply('gw-1', json.loads(routes), 'routes')
         call = entry_fake.call(
@@ -291,7 +294,7 @@
         self.assertEqual(2, refused.count(REASON.QUARANTINED))
 
     def test_servers_that_said_they_would_leave_are_no_evidence(self):
-        """Failure: calls are held back after machines are taken away."""
+        """Guards against a quarantine caused by servers that shut down."""
         for number in (1, 2, 3):
             backend_id = f'portal-{number}'
             self.network.post(
--- a/tests/test_passed_on.py
+++ b/tests/test_passed_on.py
@@ -1,4 +1,4 @@
-"""The life of calls that are passed on: what counts as a run, and what not."""
+"""Calls that are forwarded unchanged: what counts as a run of them."""
 
 import json
 import unittest
@@ -41,9 +41,9 @@
 
 
 class PassedOn(unittest.TestCase):
-    """The base: an entry whose document has host routes.
+    """Base class: an entry whose document has host routes.
 
-    :cvar route: what is particular to the routes.
+    :cvar route: fields of the routes that differ from the default.
     """
 
     route: dict = {}
@@ -62,7 +62,7 @@
         return self.entry.arrive('completion', **fields)
 
     def prefilled(self, **changes):
-        """Return the id of a call whose prompt was read."""
+        """Return the id of a call whose prefill has ended."""
         request_id = self.arrive('/model/x', **changes)
         self.entry.book(request_id)
         self.entry.prefill(request_id, known=NOT_RUN)
@@ -85,11 +85,10 @@
         self.assertEqual(self.entry.refusal.reason, REASON.UNKNOWN_ROUTE)
 
     def test_an_instance_that_knows_no_routes_says_come_back(self):
-        """Symptom: callers are told for good that there is no such route.
+        """Guards against a final "no such route" while an instance starts.
 
-        Sequence: an instance starts; a call arrives before it has heard of
-        any configuration.
-        Cause: nothing known would be taken for nothing there.
+        A call may arrive before the instance has a configuration. Having no
+        routes yet must not be taken for a document without the route.
         """
         self.entry.directory.document = document.EMPTY
         self.arrive('/model/x')
@@ -110,11 +109,10 @@
     route = {'repeat': 'never', 'max_runs': 3}
 
     def test_reading_the_prompt_runs_nothing(self):
-        """Symptom: callers are told "may have run" of what has not.
+        """Guards against "may have run" for a call that has not run.
 
-        Sequence: the prompt is read; the decode engine refuses; no other
-        engine is found.
-        Cause: a prompt that was read would count as a run.
+        The prefill succeeds, the decode engine refuses the call, and there
+        is no other engine. The prefill alone must not count as a run.
         """
         request_id = self.prefilled()
         self.entry.decode(
@@ -134,11 +132,11 @@
 
     @params(RETRY.STREAM_BROKEN, RETRY.STREAM_STALLED, RETRY.IMPORT_REFUSED)
     def test_a_stream_that_may_have_run_goes_nowhere_else(self, failure):
-        """Symptom: a quote is billed twice.
+        """Guards against a quote that is billed twice.
 
-        Sequence: a decode engine takes the call and falls silent.
-        Cause: a stream of ours may resume anywhere, since it runs once;
-        each send of a call that is passed on is a run.
+        A decode engine accepts the call and stops responding. Other streams
+        may resume on any engine, as they run once. But each send of a call
+        that is forwarded unchanged is a run.
         """
         request_id = self.prefilled()
         self.entry.decode(request_id, failure=failure, known=MAY_HAVE_RUN)
@@ -148,7 +146,7 @@
 
 
 class ResumeTest(PassedOn):
-    """A stream that may go on elsewhere."""
+    """A stream that may continue on another engine."""
 
     route = {'repeat': 'resume', 'max_runs': 2}
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The hands of a request against engines that answer anything."""
+"""The relay of a request, with engines that send arbitrary answers."""
 
 import queue
 import threading
@@ -39,7 +39,7 @@
 
 
 class Carried:
-    """A relay on a thread of its own; the test is its reducer."""
+    """A relay in a thread of its own; the test acts as its reducer."""
 
     def __init__(self, kind='completion', clock=lambda: 0.0, **changes):
         self.events = queue.Queue()
@@ -131,10 +131,10 @@
         stream(piece('r.1', 0, 'a'), end('r.1', 0)),
     )
     def test_only_the_right_end_mark_ends_a_stream(self, broken):
-        """Symptom: half a summary is printed as if it were all.
+        """Guards against a truncated answer that is taken for a complete one.
 
-        Sequence: the engine's answer ends well formed, or loses a token.
-        Cause: the end of the connection would be the end of the answer.
+        The HTTP body ends regularly, or a token is missing. The end of the
+        connection must not count as the end of the answer.
         """
         with raw_server.serving(IMPORTED, broken) as server:
             with Carried() as carried:
@@ -144,10 +144,10 @@
         self.assertEqual(carried.text, 'a')
 
     def test_a_stream_resumes_at_the_first_missing_token(self):
-        """Symptom: a token twice, or one lost, in the caller's text.
+        """Guards against a duplicate or missing token after a resume.
 
-        Sequence: the connection breaks; the resumed one repeats a piece.
-        Cause: a resume from where the engine was, not the caller.
+        After a broken connection, the engine repeats a piece. The stream has
+        to resume at the client's offset, not at the engine's.
         """
         first = stream(piece('r.1', 0, 'a'), piece('r.1', 1, 'b'))
         again = stream(
@@ -165,10 +165,10 @@
         self.assertEqual(connections.count('/v1/decode'), 2)
 
     def test_pieces_of_another_attempt_are_dropped_and_counted(self):
-        """Symptom: another attempt's text in the middle of an answer.
+        """Guards against text of another attempt in an answer.
 
-        Sequence: the first attempt answers after the second has begun.
-        Cause: the stream's id alone would be looked at.
+        The first attempt answers after the second has begun. The stream id
+        is the same for both, so the attempt id has to be checked.
         """
         mixed = stream(
             piece('r.0', 0, 'x'),
@@ -183,11 +183,11 @@
         self.assertIsNone(ended.failure)
 
     def test_what_was_answered_is_part_of_the_next_prompt(self):
-        """Symptom: an answer with a hole where an engine died.
+        """Guards against missing tokens after an engine has failed.
 
-        Sequence: two tokens; the engine dies; another one computes the
-        prompt with them and streams what follows.
-        Cause: the new engine would be asked to skip two tokens again.
+        After two tokens the engine fails. Another one prefills the prompt
+        with them and streams the rest. It must not be told to skip the two
+        tokens, which would be skipped twice.
         """
         first = stream(piece('r.1', 0, 'a'), piece('r.1', 1, 'b'))
         again = stream(piece('r.2', 0, 'c'), end('r.2', 1))
@@ -230,7 +230,7 @@
 
 
 class CutTest(unittest.TestCase):
-    """A step tells whether its connection ended before the answer."""
+    """A step reports whether its connection broke before the answer's end."""
 
     @params(
         (run_prefill, b'', True),
@@ -257,10 +257,10 @@
 class Stops(unittest.TestCase):
     @params('prefill', 'decode', 'call', 'waiting')
     def test_a_stop_wakes_the_thread(self, step):
-        """Symptom: threads and engines work for a caller who left.
+        """Guards against work that goes on for a disconnected client.
 
-        Sequence: the caller leaves while an engine says nothing.
-        Cause: the thread would wait for the engine's next byte.
+        The client disconnects while an engine sends nothing, so the thread
+        is blocked until the engine's next byte.
         """
         with raw_server.serving(lambda c: server.hang()(c)) as server:
             directive = {
@@ -282,11 +282,10 @@
         self.assertEqual(ended.known is NOT_RUN, step == 'waiting')
 
     def test_a_stop_in_the_last_moment_is_not_lost(self):
-        """Symptom: an engine computes a prompt for a caller who left.
+        """Guards against a prefill for a client that has disconnected.
 
-        Sequence: the thread sees no stop; the stop comes; the thread makes
-        its adapter and calls.
-        Cause: a stop finds no adapter, the adapter finds no stop.
+        The cancellation comes after the thread has checked for one and
+        before it has registered its adapter. It must not be lost.
         """
         with raw_server.serving(lambda c: server.hang()(c)) as server:
             carried = Carried()
@@ -313,10 +312,10 @@
 
     @params('prefill', 'decode', 'call')
     def test_work_past_its_deadline_is_not_begun(self, step):
-        """Symptom: bookings are made that nobody waits for any more.
+        """Guards against calls that are sent after their deadline.
 
-        Sequence: the process is frozen between the decision and the call.
-        Cause: only the reducer, frozen as well, would know the deadline.
+        The process is suspended between the directive and the call. The
+        reducer is suspended as well, so the thread has to check the deadline.
         """
         times = iter([0.0])
         with raw_server.serving(PREFILLED) as server:
@@ -342,10 +341,10 @@
         self.assertEqual(server.calls[0][1]['x-request-id'], 'r')
 
     def test_an_error_that_nobody_foresaw_has_a_verdict(self):
-        """Symptom: a caller without an answer, a slot booked for seconds.
+        """Guards against a client without an answer and a leaked slot.
 
-        Sequence: an adapter raises what it should not.
-        Cause: the thread would end without a word to the reducer.
+        An adapter raises an unexpected exception. The thread must report the
+        end of the step to the reducer all the same.
         """
 
         class Odd(Adapters):
@@ -383,7 +382,7 @@
 
 
 class PacedEngine:
-    """An engine whose tokens come at given times on the test's clock."""
+    """An engine whose tokens arrive at given times on the test's clock."""
 
     def __init__(self, *arrivals):
         self.now = 0.0
@@ -409,7 +408,7 @@
 
 
 def paced(paced_engine, directive):
-    """Return the end of one decode; all on the test's own thread."""
+    """Return the end of one decode step, run in the test's own thread."""
     told = []
     carried = relay.Relay(
         request_id='r',
@@ -429,19 +428,19 @@
 
 class TokenGaps(unittest.TestCase):
     def test_a_whole_answer_tells_its_mean_gap(self):
-        """Symptom: decode batches grow until all tokens come too late.
+        """Guards against decode batches that grow until tokens are late.
 
-        Sequence: answers end well, but with wide gaps between their tokens.
-        Cause: nobody would tell the owner how wide the gaps are.
+        The answers are complete but have wide gaps between their tokens. The
+        owner limits the batches by the gaps that are reported to it.
         """
         ended = paced(PacedEngine(1.0, 1.1, 1.4), run_decode('http://d'))
         self.assertAlmostEqual(ended.token_gap_s, 0.2)
 
     def test_a_resumed_stream_tells_no_gap(self):
-        """Symptom: a slow engine's batch is allowed to grow.
+        """Guards against a slow engine whose batch is allowed to grow.
 
-        Sequence: a stream is resumed; the tokens of the break come at once.
-        Cause: what was buffered meanwhile would count as quick.
+        When a stream is resumed, the tokens that were buffered during the
+        interruption arrive at once and would make the engine look fast.
         """
         resume = run_decode('http://d', kv='')
         ended = paced(PacedEngine(1.0, 1.0, 1.0, 1.3), resume)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""The life of a request at its entry, failure by failure."""
+"""The life cycle of a request at its entry, by kind of failure."""
 
 import unittest
 
@@ -43,10 +43,10 @@
         self.assertEqual((to, release.outcome), (OWNER, cells.Outcome.DONE))
 
     def test_the_release_of_a_whole_answer_tells_its_token_gap(self):
-        """Symptom: the cap of a decode batch never comes on.
+        """Guards against decode batches that are never limited.
 
-        Sequence: answers end well, with gaps far above the target.
-        Cause: the owner learns from the release only, which told no gap.
+        The answers are complete, with gaps far above the target. The owner
+        gets the gap only from the release.
         """
         entry = Entry()
         entry.decode(entry.decoding(), token_gap_s=0.125)
@@ -94,10 +94,10 @@
         self.assertEqual((effects.Part.QUEUE, 2.0), (took.part, took.seconds))
 
     def test_a_stream_that_is_passed_on_tells_its_times(self):
-        """Symptom: no time to the first token of calls passed on.
+        """Guards against forwarded streams without a first-token time.
 
-        Sequence: the border passes pieces on without a look at them.
-        Cause: only answers that are made here would be measured.
+        The pieces are forwarded unread, so they are measured separately from
+        answers that this instance composes.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -129,11 +129,10 @@
 
 class Attempts(unittest.TestCase):
     def test_the_end_of_an_earlier_attempt_is_dropped(self):
-        """Symptom: a caller gets tokens of two attempts, mixed.
+        """Guards against an answer that mixes the tokens of two attempts.
 
-        Sequence: the first attempt breaks; the second starts; the first
-        one's end arrives.
-        Cause: only the request id would tell the two apart.
+        The first attempt fails, the second starts, and then the end of the
+        first arrives. The request id alone does not tell them apart.
         """
         entry = Entry()
         request_id = entry.prefilling()
@@ -145,10 +144,10 @@
         self.assertEqual(entry.one(effects.CountLate).what, effects.Late.STEP)
 
     def test_swapped_bookings_go_back_or_to_their_own_request(self):
-        """Symptom: two callers get each other's slots.
+        """Guards against two requests that get each other's slots.
 
-        Sequence: two bookings are asked for; the replies come swapped.
-        Cause: replies would be matched by their order.
+        The replies to two bookings arrive in the opposite order, so they must
+        not be matched by their order.
         """
         entry = Entry()
         first, second = entry.arrive('lookup'), entry.arrive('lookup')
@@ -167,11 +166,10 @@
         self.assertEqual(entry.out, [])
 
     def test_an_owner_that_answers_after_its_successor_is_given_back(self):
-        """Symptom: two slots are booked for one stream, one is never used.
+        """Guards against two slots for one stream, one of them unused.
 
-        Sequence: the owner is slow; its successor is asked and books; then
-        the first one's booking arrives.
-        Cause: one attempt id for all owners that are asked.
+        A slow owner's booking arrives after its successor has booked, too.
+        With one attempt id for both, they could not be told apart.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
@@ -191,10 +189,9 @@
 class Leaving(unittest.TestCase):
     @params('claiming', 'queued', 'prefill', 'decode', 'call', 'backoff')
     def test_a_caller_who_has_gone_frees_everything(self, stage):
-        """Symptom: engines hold memory for answers nobody will read.
+        """Guards against engine memory that is held for no client.
 
-        Sequence: the caller closes while no byte flows.
-        Cause: only a failed write would tell that it has gone.
+        The client disconnects while no bytes flow, so no write fails.
         """
         entry = Entry()
         request_id = _at(entry, stage)
@@ -214,11 +211,11 @@
         self.assertEqual(entry.gate.in_flight, 0)
 
     def test_a_cancel_goes_again_when_the_thread_has_let_go(self):
-        """Symptom: an engine works on for a caller who left at once.
+        """Guards against an engine that works on for a disconnected client.
 
-        Sequence: prefill is directed; the caller leaves; the cancel reaches
-        the engine before the prefill does, and finds nothing.
-        Cause: cancel and call travel over connections of their own.
+        The client disconnects right after the prefill was directed. Cancel
+        and call use separate connections, so the cancel can reach the engine
+        first and find nothing to cancel.
         """
         entry = Entry()
         request_id = entry.prefilling()
@@ -230,10 +227,10 @@
         self.assertEqual(entry.out, [])
 
     def test_a_claimed_call_is_left_to_end(self):
-        """Symptom: a resend is told "may have run" though all went well.
+        """Guards against "may have run" for the resend of a successful call.
 
-        Sequence: a booking is under way; the caller goes; it resends.
-        Cause: the call would be broken off with its caller.
+        The client disconnects while a booking is running and sends it again.
+        So the call must not be aborted when its client disconnects.
         """
         entry = Entry()
         request_id = entry.calling()
@@ -253,10 +250,10 @@
         self.assertEqual(len(entry.dispatched(claims.Abandon)), 1)
 
     def test_a_thread_that_dies_in_a_claimed_call_leaks_nothing(self):
-        """Symptom: a slot stays booked, the account's count never falls.
+        """Guards against a leaked slot and a leaked in-flight count.
 
-        Sequence: a claimed call's thread ends without an answer.
-        Cause: a caller's leaving is no news to a claimed call.
+        A claimed call's thread ends without an answer. A claimed call is not
+        aborted when its client disconnects, so that does not clean it up.
         """
         entry = Entry()
         request_id = entry.calling()
@@ -267,7 +264,7 @@
 
 
 def _at(entry, stage):
-    """Return the id of a new request that has come to a stage."""
+    """Return the id of a new request that has reached a stage."""
     if stage == 'prefill':
         return entry.prefilling()
     if stage == 'decode':
@@ -300,10 +297,10 @@
         ('lookup', MAY_HAVE_RUN, True),
     )
     def test_another_try_needs_proof_or_idempotence(self, kind, known, again):
-        """Symptom: two riders are booked on one horse.
+        """Guards against a booking that is made twice.
 
-        Sequence: the connection is reset after the last byte went out.
-        Cause: a broken call would count as one that did not run.
+        The connection is reset after the last byte was sent. Such a call may
+        have run, although it got no answer.
         """
         entry = Entry()
         request_id = entry.calling(kind, None)
@@ -315,10 +312,10 @@
 
     @params(False, True)
     def test_a_quote_is_resumed_but_never_prefilled_again(self, resumed):
-        """Symptom: a studio is billed for two drafts.
+        """Guards against a client that is billed for two drafts.
 
-        Sequence: tokens flow; the stream breaks; its resume breaks.
-        Cause: another prefill makes a second draft.
+        A stream breaks, and its resume breaks as well. Another prefill would
+        create a second draft.
         """
         entry = Entry()
         request_id = entry.decoding('quote')
@@ -341,11 +338,11 @@
 
     @params('draining', 'stale', 'full')
     def test_a_key_that_was_not_looked_up_is_never_told_not_run(self, why):
-        """Symptom: a rider whose booking was made is told that it was not.
+        """Guards against "not run" for a booking that was made.
 
-        Sequence: a booking runs, its answer is lost; the resend meets an
-        instance that is shutting down.
-        Cause: "not run" would be said of the send, not of the call.
+        A booking runs and its answer is lost. The resend is refused, as by an
+        instance that is shutting down. "Not run" would be true of this send
+        but not of the call.
         """
         entry = Entry()
         entry.directory.is_draining = why == 'draining'
@@ -381,10 +378,10 @@
 
 class Claims(unittest.TestCase):
     def test_an_outcome_too_large_to_keep_is_told_as_run(self):
-        """Symptom: the resend's thread dies and its caller gets a 500.
+        """Guards against a 500 for a resend, after an exception in its thread.
 
-        Sequence: a long answer is given but not kept; the caller resends.
-        Cause: a replay without an outcome can't be read.
+        The answer to the first send was too large to be recorded, so there is
+        no outcome to replay.
         """
         entry = Entry()
         entry.claim(
@@ -393,10 +390,10 @@
         self.assertEqual(entry.refusal.verdict, RAN)
 
     def test_a_claimed_call_takes_no_longer_than_its_record_lasts(self):
-        """Symptom: a call with a key never gets any answer.
+        """Guards against a call with a key that never gets an answer.
 
-        Sequence: the service allows more time than claims are kept for.
-        Cause: the claims part raises, and the reducer drops the event.
+        If the service's timeout exceeds the retention of claims, the claims
+        part raises an exception, and the reducer drops the event.
         """
         entry = Entry(most_claimed_s=2.0)
         entry.arrive('booking', 'k')
@@ -438,11 +435,10 @@
 
 class NextSteps(unittest.TestCase):
     def test_a_kv_cache_moves_without_being_given_back(self):
-        """Symptom: every refused import costs a second prefill.
+        """Guards against a second prefill after every refused import.
 
-        Sequence: the decode engine is full; the booking is released; the
-        owner cancels on both engines; the KV cache is gone before its move.
-        Cause: a move that begins with a release.
+        The decode engine is full. If the move began with a release, the owner
+        would cancel on both engines, and the KV cache would be lost.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -464,10 +460,10 @@
 
     @params('declined', 'late', 'queued')
     def test_a_move_that_finds_no_engine_is_computed_again(self, why):
-        """Symptom: a request fails although its prompt could be run again.
+        """Guards against failing a request instead of prefilling it again.
 
-        Sequence: the import is refused; no other decode engine is free.
-        Cause: a refused move would end the request, and leave its booking.
+        The import is refused, and no other decode engine is free. That must
+        neither end the request nor leak its booking.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -518,10 +514,10 @@
         self.assertEqual((book.stage, book.exclude), ('pair', ('d1',)))
 
     def test_a_failing_pool_is_not_stormed(self):
-        """Symptom: a pool that fails gets four times its load, in waves.
+        """Guards against four times the load on a failing pool, in waves.
 
-        Sequence: every call fails at once, again and again.
-        Cause: retries that neither wait nor know a budget.
+        Every call fails at once, again and again. Retries need a backoff with
+        jitter and a budget.
         """
         entry = Entry()
         waits = []
@@ -606,10 +602,9 @@
 
 class Owners(unittest.TestCase):
     def test_two_instances_that_point_at_each_other(self):
-        """Symptom: thousands of messages a second between two instances.
+        """Guards against thousands of messages per second in a redirect loop.
 
-        Sequence: each says that the other is the owner.
-        Cause: hints would be followed without end.
+        Two instances name each other as the owner.
         """
         entry = Entry()
         request_id = entry.arrive('lookup')
@@ -631,11 +626,11 @@
         self.assertEqual(len(entry.sent(cells.Release)), 1)
 
     def test_a_queued_call_is_turned_away_soon_after_its_owner_went(self):
-        """Symptom: 2,502 calls of a day got no answer before callers left.
+        """Guards against calls without an answer before clients disconnect.
 
-        An owner queues a call and falls silent. Nothing was computed for it,
-        yet its entry looked for another owner for as long as for a prompt
-        that was read, 5 s; callers leave after less than four.
+        An owner queues a call and stops responding. If the entry searched for
+        another owner for 5 s, as it does after a prefill, clients would
+        disconnect first, after less than 4 s: 2,502 calls in one day.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
@@ -650,11 +645,11 @@
         self.assertEqual(entry.refusal.retry_after_s, 1.0)
 
     def test_a_slot_told_once_and_lost_is_heard_of(self):
-        """Symptom: a request waits out its deadline beside a free slot.
+        """Guards against a request that waits until its deadline for its slot.
 
-        Sequence: queued; the owner says once that a slot is free; that
-        message is lost; renewals keep the slot booked.
-        Cause: nobody asks again.
+        The owner books a slot for a queued request and sends this once. If
+        the message is lost, the renewals keep the slot booked, so the entry
+        has to repeat its booking.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
@@ -668,10 +663,10 @@
         entry.one(effects.RunPrefill)
 
     def test_a_queued_request_outlives_its_owner(self):
-        """Symptom: what was queued at an owner that died is never answered.
+        """Guards against requests that are lost in a failed owner's queue.
 
-        Sequence: queued; the owner dies; it says nothing any more.
-        Cause: only requests in a slot would be told to its successor.
+        Only requests with a slot are reclaimed at the next owner, so queued
+        ones have to be booked anew.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
@@ -721,10 +716,10 @@
         self.assertEqual((to, book.request_id), (NEXT_OWNER, queued))
 
     def test_a_new_owner_that_was_not_told_yet_is_told_again(self):
-        """Symptom: a change of owner breaks streams that run well.
+        """Guards against a change of owner that aborts healthy streams.
 
-        Sequence: the news of a booking crosses the new owner's "gone".
-        Cause: "gone" would always be believed.
+        The new owner may send ``Cancelled`` before the reclaim of the booking
+        has arrived there, so ``Cancelled`` alone is no proof.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -738,11 +733,11 @@
 
     @params('same owner', 'next owner')
     def test_a_slot_that_was_given_away_is_left(self, whose):
-        """Symptom: an engine runs more streams than it has slots.
+        """Guards against an engine that runs more streams than it has slots.
 
-        Sequence: this process is frozen for longer than a booking lasts;
-        the owner gives the slot away; the process wakes up and streams on.
-        Cause: the owner's "gone" would be answered by "I hold it".
+        This process is suspended for longer than a booking's lease, so the
+        owner gives the slot to another request. The ``Cancelled`` that follows
+        must not be answered with a reclaim.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -761,11 +756,11 @@
         self.assertEqual(len(entry.sent(cells.Book)), 1)
 
     def test_the_end_of_what_was_broken_off_comes_while_it_waits(self):
-        """Symptom: the request is never answered; the reducer has failed.
+        """Guards against an exception in the reducer and a lost request.
 
-        Sequence: a second attempt loses its slot and waits for a third; its
-        thread tells how it ended.
-        Cause: the third attempt has no id of its own before it begins.
+        A second attempt loses its slot, and the request is in backoff. Then
+        the end of its step is reported. The third attempt has no id of its
+        own before it begins.
         """
         entry = Entry()
         request_id = entry.prefilling()
@@ -778,11 +773,10 @@
         self.assertEqual(len(entry.sent(cells.Book)), 1)
 
     def test_an_owner_of_before_is_not_believed(self):
-        """Symptom: a slot stays booked at the new owner, used by nobody.
+        """Guards against a leaked slot at the new owner.
 
-        Sequence: the booking has moved to a new owner; the old one, which
-        made it, says that it is gone.
-        Cause: only the epochs would be compared.
+        The booking has moved to a new owner, and the old one, which made it,
+        sends ``Cancelled``. Comparing the epochs does not suffice.
         """
         entry = Entry()
         request_id = entry.decoding()
--- a/tests/test_requests_machine.py
+++ b/tests/test_requests_machine.py
@@ -1,4 +1,4 @@
-"""Whatever comes in whatever order: requests end once and leave nothing."""
+"""Stateful test: requests end once, without leaks, in any order of events."""
 
 import collections
 import unittest
@@ -17,7 +17,7 @@
 
 RETRY = verdict.RetryReason
 NOT_RUN = verdict.Verdict.NOT_RUN
-#: Each owner held the lease under an epoch of its own.
+#: Each owner holds the lease under an epoch of its own.
 EPOCHS_BY_OWNER = {'gw-1': 1, 'gw-2': 2, 'gw-3': 3}
 OWNERS = tuple(EPOCHS_BY_OWNER)
 KINDS = ('lookup', 'booking', 'completion', 'quote')
@@ -47,7 +47,7 @@
 
 
 class Thread:
-    """A request's thread, as far as the entry can tell."""
+    """A request's thread, as the entry sees it."""
 
     def __init__(self, call):
         self.call = call
@@ -61,10 +61,10 @@
 
 
 class RequestsMachine(stateful.RuleBasedStateMachine):
-    """Callers, threads, owners and claims at their worst.
+    """Clients, threads, owners and claims with arbitrary failures.
 
-    Owners are leases in a set: a ``Book`` may add one, a ``Release`` takes
-    it away. Messages are delivered late, twice or never.
+    The owners are modelled as a set of bookings: a ``Book`` may add one, a
+    ``Release`` removes it. Messages are delivered late, twice or never.
     """
 
     def __init__(self):
@@ -78,7 +78,7 @@
         self.booked = set()
         self.releases = collections.Counter()
 
-    # What comes out
+    # Effects
 
     def _take(self):
         for effect in self.entry.out:
@@ -98,11 +98,11 @@
             for held in message.bookings:
                 self._move_booking(held.attempt_id, send.to)
         elif isinstance(message, cells.Book) and message.stage == 'decode':
-            # An owner before this one has lost its lease, and the booking.
+            # The earlier owner has lost its lease, and with it the booking.
             self._move_booking(message.attempt_id, send.to)
 
     def _move_booking(self, attempt_id, holder):
-        """Only the present owner's bookings count; it took this one over."""
+        """Move a booking to the current owner; only its bookings count."""
         self.booked = {each for each in self.booked if each[1] != attempt_id}
         self.booked.add((holder, attempt_id))
 
@@ -134,7 +134,7 @@
         if is_refused and effect.refusal.verdict is NOT_RUN:
             assert not thread.may_have_run
 
-    # What may happen
+    # Rules
 
     @stateful.precondition(lambda self: len(self._open()) < 4)
     @stateful.rule(
@@ -195,7 +195,7 @@
         message = send.message
         key = send.to, getattr(message, 'attempt_id', '')
         if isinstance(message, cells.Release):
-            # A lost one is made up for by the end of the booking's lease.
+            # If the release is lost, the booking's lease expires instead.
             self.booked.discard(key)
         if isinstance(message, cells.Book) and fate != 'lost':
             self._answer_book(send, fate, key, holder)
@@ -233,7 +233,7 @@
     @stateful.precondition(lambda self: self.to_owners)
     @stateful.rule()
     def all_are_booked(self):
-        """Without luck now and then, no request would get far."""
+        """Book everything, so that some requests reach later phases."""
         while self.to_owners:
             self._owner_answers('booked', '')
         while self.to_entry:
@@ -332,7 +332,7 @@
         )
         self._take()
 
-    # What must always hold
+    # Invariants
 
     @stateful.invariant()
     def released_once(self):
@@ -345,7 +345,7 @@
         assert twice <= given_back_late
 
     def teardown(self):
-        """Let everything come to its end; then nothing may be left."""
+        """Let all requests end; check that nothing is left over."""
         for _ in range(3):
             self.entry.tick(40.0)
             self._take()
@@ -383,7 +383,7 @@
     stateful_step_count=60,
     deadline=None,
     derandomize=True,
-    # Shrinking a long story takes minutes; the story alone will do.
+    # Shrinking a long example takes minutes, and the example suffices.
     phases=[hypothesis.Phase.generate],
     report_multiple_bugs=False,
     database=None,
@@ -392,7 +392,7 @@
 
 
 class TestRequestsMachine(Machine, unittest.TestCase):
-    """Runs the machine the same way each time."""
+    """Runs the state machine deterministically."""
 
 
 del Machine
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries stay a part of the requests."""
+"""Retry budgets and backoff."""
 
 import unittest
 
@@ -24,12 +24,11 @@
 
 
 class TogetherTest(unittest.TestCase):
-    """Symptom: an outage brings a service many times its retries.
+    """Guards against an outage that causes many times the allowed retries.
 
-    Sequence: an engine that carries streams of all entries ends; each entry
-    tries its own again, and what fails then once more.
-    Cause: the retries that may be saved up were promised for the system, and
-    each entry saved as many: 280 at seven entries, where 54 are allowed.
+    An engine with streams of all entries fails, and each entry retries its
+    own. If each entry saved up the burst of the whole system, seven entries
+    would send 280 retries where 54 are allowed.
     """
 
     def spend_all(self, budgets):
--- a/tests/test_spacing.py
+++ b/tests/test_spacing.py
@@ -1,4 +1,4 @@
-"""The measure of an answer's token spacing, with made-up times."""
+"""Measurement of an answer's token gaps, with simulated times."""
 
 import unittest
 
@@ -33,10 +33,10 @@
         self.assertEqual(5.0, measure.first_at)
 
     def test_a_caller_that_takes_tokens_slowly_is_not_the_engines_fault(self):
-        """Symptom: a decode engine's batch is capped though it is in time.
+        """Guards against a batch limit for an engine that is fast enough.
 
-        Sequence: a caller on a bad line takes each token a second late.
-        Cause: the wait for the caller would count as the engine's gap.
+        A client on a slow connection takes each token a second late. This
+        delay must not count as the engine's token gap.
         """
         self.assertEqual(measured((0.0, 1.0), (1.0, 2.0), (2.0, 3.0)), 0.0)
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""The one send of a held call that goes through, at its entry."""
+"""Trials of quarantined calls at their entry."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class Trial(unittest.TestCase):
-    """The base: calls of callers without an account, one of them held."""
+    """Base class: clients without an account, one call quarantined."""
 
     def setUp(self):
         self.entry = entry_fake.Entry()
@@ -41,7 +41,10 @@
         return self.entry.arrive(**self.call(**changes))
 
     def hold(self, age_s, **changes):
-        """Hold a call whose last end is so old."""
+        """Quarantine a call.
+
+        :param age_s: seconds since the last backend server ended under it.
+        """
         call = entry_fake.call(**self.call(**changes))
         for number, backend_id in enumerate('abc'):
             self.entry.quarantine.handle(
@@ -63,7 +66,7 @@
         )
 
     def tried(self, **changes):
-        """Return the id of a request that is tried, and has a place."""
+        """Return the id of a request that is booked as a trial."""
         self.hold(60.0, **changes)
         request_id = self.arrive(**changes)
         self.answer(request_id, is_granted=True)
@@ -91,7 +94,7 @@
         self.entry.tick(trials.ANSWER_S + 0.01)
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual(NOT_RUN, self.entry.refusal.verdict)
-        # The trial that is due may be this caller's.
+        # The trial that is due may be granted to this client's next send.
         self.assertLess(self.entry.refusal.retry_after_s, 10.0)
 
     def test_another_one_is_tried(self):
@@ -120,7 +123,7 @@
         self.assertEqual([], self.answer(request_id, is_granted=True))
 
     def test_what_has_a_caller_of_its_own_is_not_tried(self):
-        """Only that caller can have brought ends upon it."""
+        """Only that client's own sends can have crashed the servers."""
         mine = {'credentials_sha256': 'e' * 64}
         self.hold(60.0, **mine)
         self.arrive(**mine)
@@ -145,7 +148,7 @@
             known=MAY_HAVE_RUN,
             is_cut=True,
         )
-        # No other backend server gets it.
+        # It is sent to no other backend server.
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.entry.post(
             events.BackendProbed,
