--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -24,7 +24,7 @@
         is_refusal = isinstance(result, verdict.Refusal)
         return result.reason if is_refusal else None
 
-    def test_streams_never_take_the_threads_of_lookups(self):
+    def test_streams_leave_threads_for_lookups(self):
         """Guards against lookups that are blocked by long prompts.
 
         With a single limit for all calls, streams could take all threads.
@@ -47,10 +47,10 @@
         ({'method': 'DELETE'}, REASON.UNKNOWN_ROUTE),
         ({'priority': 'no such'}, REASON.BAD_REQUEST),
     )
-    def test_what_is_not_in_the_document(self, changes, reason):
+    def test_calls_that_the_document_does_not_allow(self, changes, reason):
         self.assertEqual(self.check(**changes), reason)
 
-    def test_what_an_account_may_have_counts_at_each_entry(self):
+    def test_account_limits_apply_at_each_entry(self):
         """Each entry applies the limit without the counts of the others."""
         account = entry_fake.Directory().document.accounts[0]
         other = admission.Admission(
@@ -70,7 +70,7 @@
         admitted = other.check(100.0, entry_fake.call())
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_an_account_that_sends_too_fast_is_told_when(self):
+    def test_an_account_over_its_rate_gets_a_retry_time(self):
         refused = None
         while refused is None or not isinstance(refused, verdict.Refusal):
             refused = self.gate.check(100.0, entry_fake.call())
@@ -99,7 +99,7 @@
     def check(self, **changes):
         return self.gate.check(100.0, entry_fake.call(**changes))
 
-    def test_what_a_later_document_may_have_is_not_refused_for_good(self):
+    def test_refusals_under_an_unconfirmed_document_are_retryable(self):
         """Under a confirmed document, these are 404, 401, 403 or 400."""
         refusals = [
             self.check(**changes)
@@ -121,11 +121,11 @@
             ],
         )
 
-    def test_what_the_document_has_is_served(self):
+    def test_calls_of_an_unconfirmed_document_are_admitted(self):
         admitted = self.check(host='a.example', path='/plain/x')
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_the_refusal_tells_how_old_the_document_is(self):
+    def test_the_refusal_has_the_age_of_the_document(self):
         self.assertIn(
             'revision 1, number 1, confirmed 9.00 s ago',
             self.check(host='a.example', path='/new/x').message,
--- a/tests/test_breaks.py
+++ b/tests/test_breaks.py
@@ -42,7 +42,7 @@
         self.now += seconds
         return self.breaks.tick(self.now)
 
-    def test_a_refused_connection_tells_of_all_runs_there(self):
+    def test_a_refused_connection_is_evidence_for_all_runs_there(self):
         (look,) = self.add('f1')
         self.assertIsInstance(look, effects.ProbeBackend)
         # One probe for all of them.
@@ -62,7 +62,7 @@
         self.assertEqual('1', fields['calls_beside'])
         self.assertEqual([], self.tick(10.0))
 
-    def test_a_server_that_listens_on_has_not_ended(self):
+    def test_a_server_that_still_listens_has_not_ended(self):
         """Guards against calls that are quarantined after connection resets.
 
         The network may reset a connection while the server goes on, so a
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -26,7 +26,7 @@
     def refusal(self):
         return self.entry.one(effects.Refuse).refusal
 
-    def test_they_start_with_the_configuration(self):
+    def test_calls_start_with_the_configuration(self):
         self.entry.arrive()
         self.assertEqual([], self.entry.out)
         self.entry.tick(0.5)
@@ -39,7 +39,7 @@
         # The search for an owner starts with its full timeout.
         self.assertEqual(self.entry.now, request.phase_at)
 
-    def test_they_are_refused_when_the_start_takes_too_long(self):
+    def test_calls_are_refused_when_the_start_takes_too_long(self):
         self.entry.arrive()
         self.entry.tick(1.0)
         self.assertEqual([], self.entry.found(effects.Refuse))
@@ -47,7 +47,7 @@
         self.assertIs(REASON.CONFIGURATION_STALE, self.refusal().reason)
         self.assertIs(verdict.Verdict.NOT_RUN, self.refusal().verdict)
 
-    def test_one_that_has_no_time_left_is_refused_sooner(self):
+    def test_a_call_past_its_deadline_is_refused_sooner(self):
         self.entry.arrive(deadline_s=0.25)
         self.entry.tick(0.3)
         self.assertIs(REASON.CONFIGURATION_STALE, self.refusal().reason)
@@ -57,13 +57,13 @@
         self.entry.arrive()
         self.assertIs(REASON.CONFIGURATION_STALE, self.refusal().reason)
 
-    def test_a_shutdown_does_not_wait_for_them(self):
+    def test_a_shutdown_does_not_wait_for_queued_calls(self):
         self.entry.arrive()
         self.entry.directory.is_draining = True
         self.entry.tick(0.1)
         self.assertIs(REASON.DRAINING, self.refusal().reason)
 
-    def test_a_caller_who_left_is_forgotten(self):
+    def test_the_call_of_a_disconnected_client_is_removed(self):
         request_id = self.entry.arrive()
         self.entry.leave(request_id)
         self.assertIs(REASON.CALLER_GONE, self.refusal().reason)
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -34,7 +34,7 @@
         }
         self.assertEqual(1, len(set(fingerprints_by_address.values())))
 
-    def test_what_callers_send_alike_is_seen(self):
+    def test_equal_content_of_several_clients_is_recognised(self):
         mine, theirs = (
             msgspec.structs.replace(self.call, key_sha256=digit * 64)
             for digit in '12'
@@ -54,7 +54,7 @@
         {'priority': 'urgent'},
         {'expected_tokens': 7},
     )
-    def test_a_send_again_is_the_same_call(self, changes):
+    def test_a_resend_is_the_same_call(self, changes):
         self.assertEqual(self.of(), self.of(**changes))
 
     @params(
@@ -64,10 +64,10 @@
         {'service': 'other'},
         {'digest': b'other'},
     )
-    def test_what_differs_is_another_call(self, changes):
+    def test_different_calls_have_different_fingerprints(self, changes):
         self.assertNotEqual(self.of(), self.of(**changes))
 
-    def test_without_the_secret_none_can_be_made(self):
+    def test_no_fingerprint_without_the_secret(self):
         for secret in (None, b'another'):
             other = fingerprints.Fingerprints(secret=secret)
             self.assertNotEqual(self.of(), other.of(self.call))
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -62,7 +62,7 @@
 
 
 class ArrivalTest(Held):
-    def test_it_is_refused_at_once_and_told_for_how_long(self):
+    def test_a_quarantined_call_is_refused_with_a_retry_time(self):
         self.hold('lookup')
         self.entry.arrive('lookup')
         refusal = self.entry.refusal
@@ -90,13 +90,13 @@
 class InFlightTest(Held):
     """Requests in flight when their call is quarantined."""
 
-    def test_what_waits_for_a_place_is_stopped(self):
+    def test_a_request_without_a_slot_is_stopped(self):
         self.entry.arrive('lookup')
         self.hold('lookup')
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual(1, len(self.entry.sent(cells.Release)))
 
-    def test_what_runs_is_left_to_its_backend_server(self):
+    def test_a_running_request_is_not_stopped(self):
         self.entry.calling('lookup', key=None)
         self.assertEqual([], self.hold('lookup'))
 
@@ -107,7 +107,7 @@
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual(NOT_RUN, self.entry.refusal.verdict)
 
-    def test_it_is_not_tried_again(self):
+    def test_a_quarantined_call_is_not_retried(self):
         request_id = self.entry.calling('lookup', key=None)
         self.learn('lookup', 'a', 'b', 'c')
         self.entry.answer(
@@ -123,21 +123,21 @@
 class StreamTest(Held):
     """Guards against a quarantined stream that crashes another engine."""
 
-    def test_one_whose_prompt_was_read_is_not_run(self):
+    def test_a_stream_is_not_decoded_after_its_prefill(self):
         request_id = self.entry.prefilling()
         self.learn('completion', 'a', 'b', 'c')
         self.entry.prefill(request_id)
         self.assertEqual([], self.entry.found(effects.RunDecode))
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
 
-    def test_it_is_not_moved_to_another_engine(self):
+    def test_a_stream_is_not_moved_to_another_engine(self):
         request_id = self.entry.decoding()
         self.learn('completion', 'a', 'b', 'c')
         self.entry.decode(request_id, RETRY.CONNECT_REFUSED, known=NOT_RUN)
         self.assertEqual([], self.entry.sent(cells.Book))
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
 
-    def test_one_that_looks_for_another_engine_is_stopped(self):
+    def test_a_stream_that_searches_for_another_engine_is_stopped(self):
         """Guards against an exception while the quarantine is applied."""
         request_id = self.entry.decoding()
         self.entry.decode(request_id, RETRY.CONNECT_REFUSED, known=NOT_RUN)
@@ -156,7 +156,7 @@
         fields = {'failure': RETRY.STREAM_BROKEN, 'known': MAY_HAVE_RUN}
         return self.entry.answer(request_id, **{**fields, **changes})
 
-    def test_a_cut_connection_is_looked_into(self):
+    def test_a_broken_connection_causes_a_probe(self):
         request_id = self.entry.arrive('lookup')
         self.entry.book(request_id, plain_incarnation=7)
         self.end(request_id, is_cut=True)
@@ -174,19 +174,19 @@
         self.assertEqual(self.fingerprint('lookup'), ended.fingerprint)
 
     @params({'is_cut': False}, {'is_cut': False, 'known': NOT_RUN})
-    def test_other_failures_are_none(self, changes):
+    def test_other_failures_cause_no_probe(self, changes):
         request_id = self.entry.calling('lookup', key=None)
         self.end(request_id, **changes)
         self.assertEqual([], self.entry.found(effects.ProbeBackend))
 
-    def test_a_whole_answer_tells_for_a_call_that_is_suspected(self):
+    def test_a_complete_answer_is_reported_for_a_suspected_call(self):
         request_id = self.entry.calling('lookup', key=None)
         self.learn('lookup', 'a')
         self.entry.answer(request_id)
         (told,) = self.entry.dispatched(quarantine.Succeeded)
         self.assertEqual(self.fingerprint('lookup'), told.fingerprint)
 
-    def test_without_evidence_nothing_is_told(self):
+    def test_without_evidence_nothing_is_reported(self):
         request_id = self.entry.calling('lookup', key=None)
         self.entry.answer(request_id)
         self.assertEqual([], self.entry.dispatched(quarantine.Succeeded))
@@ -227,7 +227,7 @@
         found = [each for each in out if isinstance(each, effects.Refuse)]
         return found[0].refusal.reason if found else None
 
-    def test_one_end_at_each_entry_stops_it_at_all(self):
+    def test_one_crash_at_each_entry_quarantines_at_all(self):
         for number in (1, 2, 3):
             self.assertNotEqual(
                 REASON.QUARANTINED, self.refusal_at(f'gw-{number}')
@@ -260,7 +260,7 @@
             self.network.run(1.0)
         self.assertEqual(3, ended)
 
-    def test_one_send_of_all_entries_is_tried(self):
+    def test_one_trial_among_all_entries(self):
         """Guards against a thundering herd when the first trial is due."""
         routes = document.document_bytes(test_passed_on.described())
         self.network.apply('gw-1', json.loads(routes), 'routes')
@@ -293,7 +293,7 @@
         ]
         self.assertEqual(2, refused.count(REASON.QUARANTINED))
 
-    def test_servers_that_said_they_would_leave_are_no_evidence(self):
+    def test_servers_that_announced_their_departure_are_no_evidence(self):
         """Guards against a quarantine caused by servers that shut down."""
         for number in (1, 2, 3):
             backend_id = f'portal-{number}'
@@ -312,7 +312,7 @@
             self.assertIn('announced', line.message)
         self.assertNotEqual(REASON.QUARANTINED, self.refusal_at('gw-2'))
 
-    def test_a_lift_lets_it_through_everywhere(self):
+    def test_a_lift_applies_at_all_entries(self):
         for number in (1, 2, 3):
             self.end('gw-1', f'portal-{number}')
             self.network.run(1.0)
--- a/tests/test_passed_on.py
+++ b/tests/test_passed_on.py
@@ -84,7 +84,7 @@
         self.arrive(path, host=host)
         self.assertEqual(self.entry.refusal.reason, REASON.UNKNOWN_ROUTE)
 
-    def test_an_instance_that_knows_no_routes_says_come_back(self):
+    def test_an_instance_without_routes_refuses_with_a_retry_time(self):
         """Guards against a final "no such route" while an instance starts.
 
         A call may arrive before the instance has a configuration. Having no
@@ -97,7 +97,7 @@
         self.assertIsNotNone(refusal.retry_after_s)
 
     @params((14.0, False), (9.0, True), (None, False))
-    def test_who_came_before(self, deadline_s, resent):
+    def test_a_short_deadline_marks_a_resend(self, deadline_s, resent):
         self.arrive('/model/x', deadline_s=deadline_s)
         ((_, book),) = self.entry.sent(cells.Book)
         self.assertEqual(book.resent, resent)
@@ -108,7 +108,7 @@
 
     route = {'repeat': 'never', 'max_runs': 3}
 
-    def test_reading_the_prompt_runs_nothing(self):
+    def test_a_prefill_is_not_a_run(self):
         """Guards against "may have run" for a call that has not run.
 
         The prefill succeeds, the decode engine refuses the call, and there
@@ -124,14 +124,14 @@
         self.entry.tick(20.0)
         self.assertEqual(self.entry.refusal.verdict, NOT_RUN)
 
-    def test_a_caller_who_leaves_while_it_is_read(self):
+    def test_a_disconnect_during_the_prefill(self):
         request_id = self.arrive('/model/x')
         self.entry.book(request_id)
         self.entry.leave(request_id)
         self.assertEqual(self.entry.refusal.verdict, NOT_RUN)
 
     @params(RETRY.STREAM_BROKEN, RETRY.STREAM_STALLED, RETRY.IMPORT_REFUSED)
-    def test_a_stream_that_may_have_run_goes_nowhere_else(self, failure):
+    def test_a_stream_that_may_have_run_is_not_sent_again(self, failure):
         """Guards against a quote that is billed twice.
 
         A decode engine accepts the call and stops responding. Other streams
@@ -150,7 +150,7 @@
 
     route = {'repeat': 'resume', 'max_runs': 2}
 
-    def test_it_runs_on_no_more_backend_servers_than_it_may(self):
+    def test_a_stream_runs_on_at_most_max_runs_backend_servers(self):
         request_id = self.prefilled()
         broken = {'failure': RETRY.CONNECT_REFUSED, 'known': MAY_HAVE_RUN}
         self.entry.decode(request_id, **broken)
@@ -159,7 +159,7 @@
         self.assertEqual(self.entry.sent(cells.Book), [])
         self.assertEqual(self.entry.refusal.reason, REASON.RETRIES_SPENT)
 
-    def test_refusals_are_no_runs(self):
+    def test_refused_sends_are_not_runs(self):
         request_id = self.prefilled()
         for _ in range(attempts.MAX_ATTEMPTS - 1):
             self.entry.decode(
@@ -169,7 +169,7 @@
             self.entry.book(request_id, decode_id=f'd{self.entry.now}')
             self.entry.now += 0.01
 
-    def test_without_a_reader_the_decode_engine_reads(self):
+    def test_without_a_prefill_engine_the_decode_engine_prefills(self):
         request_id = self.arrive('/model/x')
         self.entry.book(request_id, prefill_id='', prefill_url='')
         run = self.entry.one(effects.RunDecode)
@@ -178,7 +178,7 @@
         self.entry.decode(request_id)
         self.assertEqual(len(self.entry.found(effects.Complete)), 1)
 
-    def test_an_engine_that_is_down_is_told_to_its_owner(self):
+    def test_an_engine_that_is_down_is_reported_to_its_owner(self):
         request_id = self.arrive('/model/x')
         self.entry.book(request_id)
         self.entry.prefill(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -182,7 +182,7 @@
         self.assertEqual((carried.text, ended.late_pieces), ('a', 2))
         self.assertIsNone(ended.failure)
 
-    def test_what_was_answered_is_part_of_the_next_prompt(self):
+    def test_the_text_so_far_is_part_of_the_next_prompt(self):
         """Guards against missing tokens after an engine has failed.
 
         After two tokens the engine fails. Another one prefills the prompt
@@ -207,7 +207,7 @@
             [each.offset for each in carried.pieces[:3]], [0, 1, 2]
         )
 
-    def test_a_whole_answer_without_its_end_mark_is_whole(self):
+    def test_an_answer_without_its_end_mark_is_complete(self):
         pieces = [piece('r.1', at, 'a') for at in range(10)]
         with raw_server.serving(IMPORTED, stream(*pieces), stream()) as server:
             with Carried(max_tokens=10) as carried:
@@ -281,7 +281,7 @@
         self.assertIsNotNone(ended.failure)
         self.assertEqual(ended.known is NOT_RUN, step == 'waiting')
 
-    def test_a_stop_in_the_last_moment_is_not_lost(self):
+    def test_a_stop_before_the_adapter_is_registered_is_not_lost(self):
         """Guards against a prefill for a client that has disconnected.
 
         The cancellation comes after the thread has checked for one and
@@ -332,7 +332,7 @@
 
 
 class Ends(unittest.TestCase):
-    def test_a_call_is_told_how_long_anybody_waits(self):
+    def test_a_call_has_its_deadline_in_a_header(self):
         with raw_server.serving(raw_server.answer(b'ok')) as server:
             with Carried('booking') as carried:
                 ended = carried.run(run_call(server.url, 2.5))
@@ -340,7 +340,7 @@
         self.assertEqual(server.calls[0][1]['x-deadline-s'], '2.500')
         self.assertEqual(server.calls[0][1]['x-request-id'], 'r')
 
-    def test_an_error_that_nobody_foresaw_has_a_verdict(self):
+    def test_an_unexpected_exception_has_a_verdict(self):
         """Guards against a client without an answer and a leaked slot.
 
         An adapter raises an unexpected exception. The thread must report the
@@ -358,7 +358,7 @@
         self.assertEqual(ended.failure, RETRY.STREAM_BROKEN)
 
     @params(0, 1)
-    def test_a_caller_that_closes_early_is_told_as_gone(self, read):
+    def test_a_client_that_closes_early_is_reported(self, read):
         told = []
         carried = relay.Relay(
             request_id='r',
@@ -427,7 +427,7 @@
 
 
 class TokenGaps(unittest.TestCase):
-    def test_a_whole_answer_tells_its_mean_gap(self):
+    def test_a_complete_answer_reports_its_mean_gap(self):
         """Guards against decode batches that grow until tokens are late.
 
         The answers are complete but have wide gaps between their tokens. The
@@ -436,7 +436,7 @@
         ended = paced(PacedEngine(1.0, 1.1, 1.4), run_decode('http://d'))
         self.assertAlmostEqual(ended.token_gap_s, 0.2)
 
-    def test_a_resumed_stream_tells_no_gap(self):
+    def test_a_resumed_stream_reports_no_gap(self):
         """Guards against a slow engine whose batch is allowed to grow.
 
         When a stream is resumed, the tokens that were buffered during the
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -30,7 +30,7 @@
     return cells.Queued(**entry.ids_of(request_id), epoch=1, expected_in_s=0.5)
 
 
-class WholeWay(unittest.TestCase):
+class CompleteRequests(unittest.TestCase):
     def test_a_completion_books_prefills_decodes_and_completes(self):
         entry = Entry()
         request_id = entry.prefilling()
@@ -42,7 +42,7 @@
         ((to, release),) = entry.sent(cells.Release)
         self.assertEqual((to, release.outcome), (OWNER, cells.Outcome.DONE))
 
-    def test_the_release_of_a_whole_answer_tells_its_token_gap(self):
+    def test_the_release_of_a_complete_answer_has_its_token_gap(self):
         """Guards against decode batches that are never limited.
 
         The answers are complete, with gaps far above the target. The owner
@@ -53,7 +53,7 @@
         ((_, release),) = entry.sent(cells.Release)
         self.assertEqual(release.token_gap_s, 0.125)
 
-    def test_each_part_of_the_way_is_measured(self):
+    def test_each_part_of_a_request_is_measured(self):
         entry = Entry()
         request_id = entry.arrive('completion')
         entry.now += 0.25
@@ -78,7 +78,7 @@
         )
         self.assertEqual({'dieline-llm'}, {each.service for each in took})
 
-    def test_a_refused_request_tells_how_long_it_was_queued(self):
+    def test_the_queue_time_of_a_refused_request_is_measured(self):
         entry = Entry()
         request_id = entry.arrive('completion')
         entry.receive(queued(entry, request_id))
@@ -93,7 +93,7 @@
         took = entry.one(effects.Took)
         self.assertEqual((effects.Part.QUEUE, 2.0), (took.part, took.seconds))
 
-    def test_a_stream_that_is_passed_on_tells_its_times(self):
+    def test_the_times_of_a_forwarded_stream_are_measured(self):
         """Guards against forwarded streams without a first-token time.
 
         The pieces are forwarded unread, so they are measured separately from
@@ -116,7 +116,7 @@
             (0.75, 0.125), (stream.first_token_s, stream.token_gap_s)
         )
 
-    def test_a_claim_is_recorded_before_the_end_is_given(self):
+    def test_a_claim_is_recorded_before_the_answer_ends(self):
         entry = Entry()
         request_id = entry.calling()
         entry.answer(request_id)
@@ -143,7 +143,7 @@
         self.assertEqual(entry.found(effects.RunDecode), [])
         self.assertEqual(entry.one(effects.CountLate).what, effects.Late.STEP)
 
-    def test_swapped_bookings_go_back_or_to_their_own_request(self):
+    def test_swapped_bookings_reach_their_own_requests(self):
         """Guards against two requests that get each other's slots.
 
         The replies to two bookings arrive in the opposite order, so they must
@@ -157,7 +157,7 @@
         run = entry.one(effects.RunCall)
         self.assertEqual((run.request_id, run.url), (first, 'http://for-1'))
 
-    def test_a_booking_told_twice_starts_once(self):
+    def test_a_duplicate_booking_starts_one_step(self):
         entry = Entry()
         request_id = entry.arrive('booking')
         message = entry.booked(request_id)
@@ -165,7 +165,7 @@
         entry.receive(message)
         self.assertEqual(entry.out, [])
 
-    def test_an_owner_that_answers_after_its_successor_is_given_back(self):
+    def test_a_late_booking_of_an_earlier_owner_is_released(self):
         """Guards against two slots for one stream, one of them unused.
 
         A slow owner's booking arrives after its successor has booked, too.
@@ -186,9 +186,9 @@
         self.assertEqual(release.attempt_id, late.attempt_id)
 
 
-class Leaving(unittest.TestCase):
+class Disconnects(unittest.TestCase):
     @params('claiming', 'queued', 'prefill', 'decode', 'call', 'backoff')
-    def test_a_caller_who_has_gone_frees_everything(self, stage):
+    def test_a_disconnect_releases_everything(self, stage):
         """Guards against engine memory that is held for no client.
 
         The client disconnects while no bytes flow, so no write fails.
@@ -210,7 +210,7 @@
         self.assertEqual(entry.sent(cells.Release), [])
         self.assertEqual(entry.gate.in_flight, 0)
 
-    def test_a_cancel_goes_again_when_the_thread_has_let_go(self):
+    def test_a_cancel_is_repeated_when_the_step_has_ended(self):
         """Guards against an engine that works on for a disconnected client.
 
         The client disconnects right after the prefill was directed. Cancel
@@ -226,7 +226,7 @@
         entry.close(request_id)
         self.assertEqual(entry.out, [])
 
-    def test_a_claimed_call_is_left_to_end(self):
+    def test_a_claimed_call_continues_after_a_disconnect(self):
         """Guards against "may have run" for the resend of a successful call.
 
         The client disconnects while a booking is running and sends it again.
@@ -241,7 +241,7 @@
         entry.record(request_id)
         entry.one(effects.Complete)
 
-    def test_a_claimed_call_that_did_not_run_ends_with_its_caller(self):
+    def test_a_claimed_call_is_not_retried_after_a_disconnect(self):
         entry = Entry()
         request_id = entry.calling()
         entry.leave(request_id)
@@ -296,7 +296,7 @@
         ('booking', MAY_HAVE_RUN, False),
         ('lookup', MAY_HAVE_RUN, True),
     )
-    def test_another_try_needs_proof_or_idempotence(self, kind, known, again):
+    def test_a_retry_needs_proof_or_idempotence(self, kind, known, again):
         """Guards against a booking that is made twice.
 
         The connection is reset after the last byte was sent. Such a call may
@@ -337,7 +337,9 @@
         self.assertEqual(entry.sent(cells.Book), [])
 
     @params('draining', 'stale', 'full')
-    def test_a_key_that_was_not_looked_up_is_never_told_not_run(self, why):
+    def test_a_call_with_an_unclaimed_key_is_never_refused_as_not_run(
+        self, why
+    ):
         """Guards against "not run" for a booking that was made.
 
         A booking runs and its answer is lost. The resend is refused, as by an
@@ -377,7 +379,7 @@
 
 
 class Claims(unittest.TestCase):
-    def test_an_outcome_too_large_to_keep_is_told_as_run(self):
+    def test_an_outcome_too_large_to_record_is_refused_as_run(self):
         """Guards against a 500 for a resend, after an exception in its thread.
 
         The answer to the first send was too large to be recorded, so there is
@@ -405,7 +407,7 @@
         ('booking', MAY_HAVE_RUN, 0),
         ('quote', None, 0),
     )
-    def test_only_proof_frees_a_key(self, kind, known, abandoned):
+    def test_a_claim_is_released_only_with_proof(self, kind, known, abandoned):
         entry = Entry()
         if kind == 'quote':
             entry.leave(entry.decoding(kind, 'k'))
@@ -419,7 +421,7 @@
                         entry.book(request_id)
         self.assertEqual(len(entry.dispatched(claims.Abandon)), abandoned)
 
-    def test_a_key_of_an_idempotent_call_is_free_when_its_caller_left(self):
+    def test_a_disconnect_releases_the_claim_of_an_idempotent_call(self):
         entry = Entry()
         entry.leave(entry.decoding('completion', 'k'))
         self.assertEqual(len(entry.dispatched(claims.Abandon)), 1)
@@ -434,7 +436,7 @@
 
 
 class NextSteps(unittest.TestCase):
-    def test_a_kv_cache_moves_without_being_given_back(self):
+    def test_a_kv_cache_moves_without_a_release(self):
         """Guards against a second prefill after every refused import.
 
         The decode engine is full. If the move began with a release, the owner
@@ -459,7 +461,7 @@
         self.assertEqual(engines, {'p1', 'd2'})
 
     @params('declined', 'late', 'queued')
-    def test_a_move_that_finds_no_engine_is_computed_again(self, why):
+    def test_a_failed_move_is_followed_by_another_prefill(self, why):
         """Guards against failing a request instead of prefilling it again.
 
         The import is refused, and no other decode engine is free. That must
@@ -480,7 +482,7 @@
         ((_, book),) = entry.sent(cells.Book)
         self.assertEqual(book.stage, 'pair')
 
-    def test_the_owner_is_told_how_long_a_cache_is_kept(self):
+    def test_the_booking_has_the_remaining_life_of_the_cache(self):
         entry = Entry()
         request_id = entry.decoding()
         entry.now += 0.25
@@ -502,7 +504,7 @@
             entry.wastes, [(waste.WasteReason(failure.value), 100)]
         )
 
-    def test_a_stream_resumes_while_it_gets_on(self):
+    def test_a_stream_resumes_while_it_makes_progress(self):
         entry = Entry()
         request_id = entry.decoding()
         for tokens in (4, 6):
@@ -513,7 +515,7 @@
         ((_, book),) = entry.sent(cells.Book)
         self.assertEqual((book.stage, book.exclude), ('pair', ('d1',)))
 
-    def test_a_failing_pool_is_not_stormed(self):
+    def test_a_failing_pool_is_not_overloaded_by_retries(self):
         """Guards against four times the load on a failing pool, in waves.
 
         Every call fails at once, again and again. Retries need a backoff with
@@ -581,7 +583,7 @@
         entry.close(request_id)
         self.assertEqual(entry.requests.requests_by_id, {})
 
-    def test_every_step_is_told_what_is_left(self):
+    def test_every_step_gets_the_remaining_time(self):
         entry = Entry()
         request_id = entry.arrive('completion', deadline_s=5.0)
         entry.now += 1.0
@@ -591,7 +593,7 @@
         entry.prefill(request_id)
         self.assertEqual(entry.one(effects.RunDecode).deadline_in_s, 3.0)
 
-    def test_a_refusal_of_the_owner_is_passed_on_at_once(self):
+    def test_a_refusal_of_the_owner_is_forwarded_at_once(self):
         entry = Entry()
         request_id = entry.arrive('booking')
         entry.receive(_declined(entry, request_id))
@@ -601,7 +603,7 @@
 
 
 class Owners(unittest.TestCase):
-    def test_two_instances_that_point_at_each_other(self):
+    def test_two_instances_that_name_each_other_as_owner(self):
         """Guards against thousands of messages per second in a redirect loop.
 
         Two instances name each other as the owner.
@@ -617,7 +619,7 @@
             asked += len(entry.sent(cells.Book))
         self.assertEqual(asked, reservations.MOST_HOPS)
 
-    def test_nobody_owns_the_cell(self):
+    def test_a_cell_without_an_owner(self):
         entry = Entry()
         entry.arrive('lookup')
         entry.tick(reservations.OWNER_SEARCH_S)
@@ -625,7 +627,7 @@
         self.assertEqual(entry.refusal.verdict, NOT_RUN)
         self.assertEqual(len(entry.sent(cells.Release)), 1)
 
-    def test_a_queued_call_is_turned_away_soon_after_its_owner_went(self):
+    def test_a_queued_call_is_refused_soon_after_its_owner_failed(self):
         """Guards against calls without an answer before clients disconnect.
 
         An owner queues a call and stops responding. If the entry searched for
@@ -644,7 +646,7 @@
         self.assertEqual(entry.refusal.verdict, NOT_RUN)
         self.assertEqual(entry.refusal.retry_after_s, 1.0)
 
-    def test_a_slot_told_once_and_lost_is_heard_of(self):
+    def test_a_lost_booked_message_is_recovered(self):
         """Guards against a request that waits until its deadline for its slot.
 
         The owner books a slot for a queued request and sends this once. If
@@ -662,7 +664,7 @@
         entry.book(request_id)
         entry.one(effects.RunPrefill)
 
-    def test_a_queued_request_outlives_its_owner(self):
+    def test_a_queued_request_survives_its_owner(self):
         """Guards against requests that are lost in a failed owner's queue.
 
         Only requests with a slot are reclaimed at the next owner, so queued
@@ -678,7 +680,7 @@
         self.assertEqual(to, NEXT_OWNER)
         self.assertNotEqual(book.attempt_id, old)
 
-    def test_a_new_owner_is_told_of_all_before_it_is_renewed_at(self):
+    def test_bookings_are_reclaimed_before_they_are_renewed(self):
         entry = Entry()
         held = [entry.decoding(), entry.prefilling(), entry.calling()]
         queued = entry.arrive('completion')
@@ -697,7 +699,7 @@
         entry.tick(cells.PROGRESS_EVERY_S)
         self.assertEqual(entry.sent(cells.Reclaim), [])
 
-    def test_a_new_owner_that_asks_gets_all_and_the_queued_book_anew(self):
+    def test_a_new_owner_gets_all_bookings_and_queued_requests(self):
         entry = Entry()
         held = entry.decoding()
         queued = entry.arrive('completion')
@@ -715,7 +717,7 @@
         ((to, book),) = entry.sent(cells.Book)
         self.assertEqual((to, book.request_id), (NEXT_OWNER, queued))
 
-    def test_a_new_owner_that_was_not_told_yet_is_told_again(self):
+    def test_bookings_are_reclaimed_again_at_a_new_owner(self):
         """Guards against a change of owner that aborts healthy streams.
 
         The new owner may send ``Cancelled`` before the reclaim of the booking
@@ -732,7 +734,7 @@
         self.assertEqual(entry.out, [], 'from before the booking')
 
     @params('same owner', 'next owner')
-    def test_a_slot_that_was_given_away_is_left(self, whose):
+    def test_work_in_a_lost_slot_is_aborted(self, whose):
         """Guards against an engine that runs more streams than it has slots.
 
         This process is suspended for longer than a booking's lease, so the
@@ -755,7 +757,7 @@
         self.assertEqual(entry.retries, [RETRY.OWNER_CHANGED])
         self.assertEqual(len(entry.sent(cells.Book)), 1)
 
-    def test_the_end_of_what_was_broken_off_comes_while_it_waits(self):
+    def test_the_end_of_an_aborted_step_arrives_in_backoff(self):
         """Guards against an exception in the reducer and a lost request.
 
         A second attempt loses its slot, and the request is in backoff. Then
@@ -772,7 +774,7 @@
         entry.tick(1.0)
         self.assertEqual(len(entry.sent(cells.Book)), 1)
 
-    def test_an_owner_of_before_is_not_believed(self):
+    def test_cancelled_of_an_earlier_owner_is_ignored(self):
         """Guards against a leaked slot at the new owner.
 
         The booking has moved to a new owner, and the old one, which made it,
@@ -785,7 +787,7 @@
         entry.cancelled(request_id, epoch=1, sender=OWNER)
         self.assertEqual(entry.out, [])
 
-    def test_a_call_without_a_slot_still_ends(self):
+    def test_a_plain_call_completes_after_its_slot_is_lost(self):
         entry = Entry()
         request_id = entry.calling(key=None)
         entry.cancelled(request_id)
@@ -794,7 +796,7 @@
         entry.one(effects.Complete)
         self.assertEqual(entry.sent(cells.Release), [])
 
-    def test_a_late_message_for_nobody_gives_the_slot_back(self):
+    def test_a_late_booking_of_a_removed_request_is_released(self):
         entry = Entry()
         request_id = entry.arrive('completion')
         late = entry.booked(request_id)
@@ -805,8 +807,8 @@
         self.assertEqual(entry.one(effects.CountLate).what, effects.Late.OWNER)
 
 
-class Borders(unittest.TestCase):
-    def test_steps_of_requests_that_are_gone_are_no_news(self):
+class UnknownRequests(unittest.TestCase):
+    def test_steps_of_removed_requests_are_ignored(self):
         entry = Entry()
         entry.post(
             events.StepEnded,
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -19,7 +19,7 @@
         self.assertIn(spent, (11, 12))
 
     @params((2, 0, 0.01), (2, 2**64 - 1, 0.02), (60, 2**64 - 1, 1.0))
-    def test_pauses_grow_to_a_bound_and_are_spread(self, attempt, bits, s):
+    def test_backoff_is_bounded_and_jittered(self, attempt, bits, s):
         self.assertAlmostEqual(s, retries.pause_s(attempt, bits))
 
 
@@ -38,7 +38,7 @@
         return spent
 
     @params(1, 2, 7, 40)
-    def test_all_entries_save_up_as_much_as_one(self, count):
+    def test_all_entries_together_save_up_one_burst(self, count):
         entries = [entry_fake.make_budgets(count) for _ in range(count)]
         spent = sum(self.spend_all(each) for each in entries)
         self.assertLessEqual(spent, settings.Retries().saved)
@@ -48,7 +48,7 @@
         budgets = entry_fake.make_budgets(100)
         self.assertEqual(1, self.spend_all(budgets))
 
-    def test_entries_that_come_take_their_share(self):
+    def test_new_entries_take_their_share(self):
         count = 1
         usual = settings.Retries()
         budgets = retries.RetryBudgets(
@@ -71,7 +71,7 @@
             budget.earn()
         self.assertTrue(budget.spend())
 
-    def test_what_is_left_is_told_by_service(self):
+    def test_remaining_retries_by_service(self):
         budgets = entry_fake.make_budgets(1)
         budgets.spend('a')
         budgets.earn('b')
--- a/tests/test_spacing.py
+++ b/tests/test_spacing.py
@@ -17,7 +17,7 @@
 
 
 class MeanGap(unittest.TestCase):
-    def test_it_is_the_mean_of_the_times_between_arrivals(self):
+    def test_the_gap_is_the_mean_time_between_arrivals(self):
         times = ((5.0, 5.0), (5.1, 5.1), (5.4, 5.4))
         self.assertAlmostEqual(measured(*times), 0.2)
 
@@ -32,7 +32,7 @@
         measure.arrived(6.0)
         self.assertEqual(5.0, measure.first_at)
 
-    def test_a_caller_that_takes_tokens_slowly_is_not_the_engines_fault(self):
+    def test_a_slow_client_is_not_counted_against_the_engine(self):
         """Guards against a batch limit for an engine that is fast enough.
 
         A client on a slow connection takes each token a second late. This
@@ -40,6 +40,6 @@
         """
         self.assertEqual(measured((0.0, 1.0), (1.0, 2.0), (2.0, 3.0)), 0.0)
 
-    def test_a_caller_that_is_quick_enough_does_not_hide_the_gap(self):
+    def test_a_fast_client_does_not_hide_the_gap(self):
         times = ((0.0, 0.001), (0.1, 0.101), (0.2, 9.0))
         self.assertAlmostEqual(measured(*times), 0.1)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -74,21 +74,21 @@
         return request_id
 
 
-class AskingTest(Trial):
-    def test_before_its_time_it_is_refused_and_told_when(self):
+class GrantTest(Trial):
+    def test_a_send_before_the_trial_is_due_gets_a_retry_time(self):
         self.hold(4.0)
         self.arrive()
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual(6.0, self.entry.refusal.retry_after_s)
 
-    def test_when_it_is_due_it_asks_and_waits(self):
+    def test_a_send_requests_a_trial_that_is_due(self):
         self.hold(60.0)
         request_id = self.arrive()
         (asked,) = self.entry.dispatched(quarantine.AskTrial)
         self.assertEqual(trials.TRIAL_TICKET + request_id, asked.ticket)
         self.assertEqual([], self.entry.sent(cells.Book))
 
-    def test_a_silent_home_does_not_hold_it_up(self):
+    def test_an_unanswered_trial_request_times_out(self):
         self.hold(60.0)
         self.arrive()
         self.entry.tick(trials.ANSWER_S + 0.01)
@@ -97,32 +97,32 @@
         # The trial that is due may be granted to this client's next send.
         self.assertLess(self.entry.refusal.retry_after_s, 10.0)
 
-    def test_another_one_is_tried(self):
+    def test_a_send_is_refused_during_another_trial(self):
         self.hold(60.0)
         self.answer(self.arrive(), is_granted=False)
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual([], self.entry.sent(cells.Book))
 
-    def test_an_answer_that_comes_late_starts_nothing(self):
+    def test_a_late_grant_starts_nothing(self):
         self.hold(60.0)
         request_id = self.arrive()
         self.entry.tick(trials.ANSWER_S + 0.01)
         self.assertEqual([], self.answer(request_id, is_granted=True))
 
-    def test_an_answer_that_comes_twice_starts_one_attempt(self):
+    def test_a_duplicate_grant_starts_one_attempt(self):
         self.hold(60.0)
         request_id = self.arrive()
         self.answer(request_id, is_granted=True)
         self.assertEqual([], self.answer(request_id, is_granted=True))
 
-    def test_a_caller_who_leaves_while_it_asks(self):
+    def test_a_disconnect_while_waiting_for_the_grant(self):
         self.hold(60.0)
         request_id = self.arrive()
         self.entry.leave(request_id)
         self.assertEqual(REASON.CALLER_GONE, self.entry.refusal.reason)
         self.assertEqual([], self.answer(request_id, is_granted=True))
 
-    def test_what_has_a_caller_of_its_own_is_not_tried(self):
+    def test_a_call_with_credentials_gets_no_trial(self):
         """Only that client's own sends can have crashed the servers."""
         mine = {'credentials_sha256': 'e' * 64}
         self.hold(60.0, **mine)
@@ -131,8 +131,8 @@
         self.assertGreater(self.entry.refusal.retry_after_s, 60.0)
 
 
-class TriedTest(Trial):
-    def test_it_is_sent_and_clears_the_call(self):
+class TrialTest(Trial):
+    def test_a_successful_trial_clears_the_call(self):
         request_id = self.tried()
         self.entry.answer(request_id)
         (told,) = self.entry.dispatched(quarantine.Succeeded)
@@ -140,7 +140,7 @@
         self.arrive()
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
 
-    def test_a_server_that_ends_is_told_as_a_trial(self):
+    def test_a_crash_during_a_trial_is_reported_as_such(self):
         request_id = self.tried()
         self.entry.answer(
             request_id,
@@ -158,7 +158,7 @@
         (ended,) = self.entry.dispatched(quarantine.Ended)
         self.assertTrue(ended.is_trial)
 
-    def test_news_of_the_hold_does_not_stop_it(self):
+    def test_a_repeated_quarantine_does_not_stop_a_trial(self):
         self.hold(60.0)
         request_id = self.arrive()
         self.answer(request_id, is_granted=True)
@@ -168,7 +168,7 @@
         )
         self.assertEqual([], stopped)
 
-    def test_a_stream_is_run_once_its_prompt_was_read(self):
+    def test_a_trial_of_a_stream_is_decoded(self):
         request_id = self.tried(path='/model/x')
         self.entry.prefill(request_id, known=NOT_RUN)
         self.assertEqual(1, len(self.entry.found(effects.RunDecode)))
