--- a/dandeliongw/entry/admission.py
+++ b/dandeliongw/entry/admission.py
@@ -13,9 +13,9 @@
 
 #: A call whose deadline is less than this fraction of the route's timeout
 #: counts as a resend: an earlier send used up the rest.
-RESENT_PART = 0.95
+RESENT_FRACTION = 0.95
 #: ``Retry-After`` in seconds of refusals for a transient reason.
-SOON_S = 1.0
+TRANSIENT_RETRY_S = 1.0
 #: Reasons that follow from the document. Clients do not retry after them.
 _FINAL_REASONS = frozenset(
     (
@@ -114,7 +114,7 @@
             return not_run(
                 _REASON.DRAINING,
                 'this instance is shutting down; use another entry',
-                SOON_S,
+                TRANSIENT_RETRY_S,
             )
         if not self._directory.is_fresh(now):
             # An instance on the minority side of a partition cannot verify
@@ -123,7 +123,7 @@
                 _REASON.CONFIGURATION_STALE,
                 'this instance has not confirmed its configuration lately; '
                 'use another entry',
-                SOON_S,
+                TRANSIENT_RETRY_S,
             )
         found = (
             self._check_host(call, entropy)
@@ -131,10 +131,10 @@
             else self._check_document(now, call)
         )
         if isinstance(found, verdict.Refusal):
-            return self._unless_outdated(now, found)
+            return self._retryable_if_outdated(now, found)
         return found
 
-    def _unless_outdated(
+    def _retryable_if_outdated(
         self, now: float, refusal: verdict.Refusal
     ) -> verdict.Refusal:
         """Make a refusal retryable if a later document may admit the call.
@@ -153,7 +153,7 @@
         return not_run(
             _REASON.CONFIGURATION_STALE,
             f'{message}, and a later one may be in force; use another entry',
-            SOON_S,
+            TRANSIENT_RETRY_S,
         )
 
     def _check_host(
@@ -167,7 +167,7 @@
             return not_run(
                 _REASON.CONFIGURATION_STALE,
                 'this instance knows no routes yet; use another entry',
-                SOON_S,
+                TRANSIENT_RETRY_S,
             )
         found = described.route_table.find(call.host, call.path)
         if found is None:
@@ -187,7 +187,7 @@
                 path=found.path_prefix,
                 idempotent=found.repeat != 'never',
             ),
-            account=_ANYBODY,
+            account=_ANONYMOUS,
             priority=described.priorities_by_name[found.priority],
             streamed=streamed,
             timeout_s=found.timeout_s,
@@ -196,7 +196,7 @@
             patience_s=found.patience_s if streamed else None,
             is_resent=(
                 call.deadline_s is not None
-                and call.deadline_s < found.timeout_s * RESENT_PART
+                and call.deadline_s < found.timeout_s * RESENT_FRACTION
             ),
         )
 
@@ -261,7 +261,7 @@
                 _REASON.ACCOUNT_LIMIT,
                 f'account {account.name!r} has {in_flight} requests in '
                 'flight, as many as it may',
-                SOON_S,
+                TRANSIENT_RETRY_S,
             )
         wait_s = self._wait_for_rate(now, account)
         if wait_s > 0:
@@ -336,7 +336,7 @@
 
 
 #: The account under which calls by host and path are counted.
-_ANYBODY = document.Account(
+_ANONYMOUS = document.Account(
     name='anybody',
     key_sha256='0' * 64,
     services=(),
@@ -350,7 +350,7 @@
     return not_run(
         _REASON.INSTANCE_FULL,
         'this instance serves as many requests as it may; use another entry',
-        SOON_S,
+        TRANSIENT_RETRY_S,
     )
 
 
--- a/dandeliongw/entry/attempts.py
+++ b/dandeliongw/entry/attempts.py
@@ -57,9 +57,9 @@
     def search(self, now: float, request: Request) -> Effects:
         """Search for an owner that books the current attempt."""
         asked = self._reservations.search(now, request)
-        return self.unless_ownerless(now, request, asked)
+        return self.handle_no_owner(now, request, asked)
 
-    def unless_ownerless(
+    def handle_no_owner(
         self, now: float, request: Request, asked: Effects | None
     ) -> Effects:
         """Return the messages, or wait or refuse if there is no owner.
@@ -69,13 +69,16 @@
         """
         if asked is not None:
             return asked
-        if now - request.phase_at < request.search_s and request.attempts > 1:
+        if (
+            now - request.phase_at < request.search_timeout_s
+            and request.attempts > 1
+        ):
             # Earlier attempts have invested work, so wait for an owner.
             request.asked_at = now
             return []
         return self._endings.give_up(now, request, refusals.no_owner(request))
 
-    def again(
+    def retry(
         self,
         now: float,
         request: Request,
@@ -91,30 +94,32 @@
         :param failed_id: id of the backend server at fault, else ``''``.
         :param entropy: 64 random bits for the jitter.
         """
-        out = self._give_back(request, failure, failed_id)
+        out = self._release_attempt(request, failure, failed_id)
         if request.caller_gone:
             refusal = refusals.caller_gone(request)
             return [*out, *self._endings.refuse(now, request, refusal)]
         if not request.may_run_again:
             refusal = refusals.backend_failed(message)
-            told = _tried(
+            line = _retry_log(
                 request, failure, 'the call may have run', again=False
             )
-            return [*out, told, *self._endings.refuse(now, request, refusal)]
+            return [*out, line, *self._endings.refuse(now, request, refusal)]
         held = self.held(now, request)
         if held is not None:
-            told = _tried(
+            line = _retry_log(
                 request, failure, 'the call is quarantined', again=False
             )
             refused = self._endings.refuse(now, request, held.refusal)
-            return [*out, told, held.line, *refused]
+            return [*out, line, held.line, *refused]
         wait_s = self._backoff_s(request, entropy)
-        hindrance = self._hindrance(now + wait_s, request)
-        if hindrance:
+        obstacle = self._why_no_retry(now + wait_s, request)
+        if obstacle:
             refusal = refusals.retries_spent(request, message)
-            told = _tried(request, failure, hindrance, again=False)
-            return [*out, told, *self._endings.refuse(now, request, refusal)]
-        out.append(_tried(request, failure, 'a retry is allowed', again=True))
+            line = _retry_log(request, failure, obstacle, again=False)
+            return [*out, line, *self._endings.refuse(now, request, refusal)]
+        out.append(
+            _retry_log(request, failure, 'a retry is allowed', again=True)
+        )
         count = effects.CountRetry(reason=failure)
         if not wait_s:
             return [*out, count, *self.begin(now, request)]
@@ -132,7 +137,7 @@
             now, request.request_id, request.call, request.known
         )
 
-    def _give_back(
+    def _release_attempt(
         self,
         request: Request,
         failure: verdict.RetryReason,
@@ -148,8 +153,8 @@
         )
         request.phase = Phase.BACKOFF
         request.booked = None
-        request.forget_kv()
-        request.resumes_from = -1
+        request.drop_kv()
+        request.last_resume_offset = -1
         if failed_id:
             request.exclude += (failed_id,)
         if request.stage is vocabulary.Stage.DECODE:
@@ -163,14 +168,14 @@
         jitter = 0.5 + entropy / 2**64
         return BACKOFF_S * 2 ** (request.attempts - 2) * jitter
 
-    def _hindrance(self, start_at: float, request: Request) -> str:
+    def _why_no_retry(self, start_at: float, request: Request) -> str:
         """Return why no other attempt may begin; ``''`` if one may.
 
         Takes one attempt from the retry budget when it returns ``''``.
         """
         if request.attempts >= MAX_ATTEMPTS:
             return f'all {request.attempts} attempts are used up'
-        if request.has_run_enough:
+        if request.has_used_up_runs:
             return f'may have run on {request.runs} backend servers already'
         if start_at + request.prefill_s >= request.deadline_at:
             return 'not enough time before the deadline'
@@ -179,7 +184,7 @@
         return ''
 
 
-def _tried(
+def _retry_log(
     request: Request,
     failure: verdict.RetryReason,
     why: str,
--- a/dandeliongw/entry/stops.py
+++ b/dandeliongw/entry/cancellations.py
@@ -6,7 +6,7 @@
 import typing
 
 
-class Stops:
+class Cancellations:
     """The attempts to cancel, and the adapters that may block in them."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
                 attempt_id, threading.Event()
             )
 
-    def stop(self, attempt_id: str) -> None:
+    def cancel(self, attempt_id: str) -> None:
         """Cancel an attempt, also one that has not begun; thread-safe."""
         self.event(attempt_id).set()
         with self._lock:
@@ -35,7 +35,7 @@
             self._adapters_by_attempt.pop(attempt_id, None)
 
     @contextlib.contextmanager
-    def watching(
+    def registered(
         self, attempt_id: str, adapter: typing.Any
     ) -> abc.Iterator[None]:
         """Abort ``adapter`` on a cancellation, also on one just before.
--- a/dandeliongw/entry/breaks.py
+++ b/dandeliongw/entry/crash_detection.py
@@ -20,12 +20,12 @@
 #: Seconds from the break to each probe of the address. The listening socket
 #: may be closed a moment after the connection; a supervisor restarts the
 #: process about a second later.
-LOOK_AFTER_S = (0.0, 0.1, 0.4)
+PROBE_DELAYS_S = (0.0, 0.1, 0.4)
 
 Effects = list[typing.Any]
 
 
-class BrokenRun(msgspec.Struct, frozen=True, kw_only=True):
+class InterruptedRun(msgspec.Struct, frozen=True, kw_only=True):
     """A run that was interrupted by a broken connection.
 
     :param fingerprint: of the call.
@@ -48,68 +48,81 @@
     is_trial: bool = False
 
 
-class _Break(msgspec.Struct, kw_only=True):
+class _Interruption(msgspec.Struct, kw_only=True):
     """One start of a backend server on which runs were interrupted.
 
-    :param looks: number of probes of its address so far.
+    :param probes: number of probes of its address so far.
     """
 
     url: str
     broke_at: float
-    runs_by_fingerprint: dict[str, BrokenRun]
-    looks: int = 0
-    is_looking: bool = False
+    runs_by_fingerprint: dict[str, InterruptedRun]
+    probes: int = 0
+    is_probing: bool = False
 
 
-class Breaks:
+class CrashDetector:
     """Determines during which runs a backend server ended."""
 
     def __init__(self) -> None:
-        self._breaks_by_start: dict[presence.BackendStart, _Break] = {}
+        self._interruptions_by_start: dict[
+            presence.BackendStart, _Interruption
+        ] = {}
 
-    def add(self, now: float, run: BrokenRun) -> Effects:
+    def add(self, now: float, run: InterruptedRun) -> Effects:
         """Record an interrupted run; return the probe of its server."""
-        held = self._breaks_by_start.get(run.start)
-        if held is None:
-            held = _Break(url=run.url, broke_at=now, runs_by_fingerprint={})
-            self._breaks_by_start[run.start] = held
-        held.runs_by_fingerprint[run.fingerprint] = run
-        return self._look(now, run.start, held)
+        interruption = self._interruptions_by_start.get(run.start)
+        if interruption is None:
+            interruption = _Interruption(
+                url=run.url, broke_at=now, runs_by_fingerprint={}
+            )
+            self._interruptions_by_start[run.start] = interruption
+        interruption.runs_by_fingerprint[run.fingerprint] = run
+        return self._probe(now, run.start, interruption)
 
     def tick(self, now: float) -> Effects:
         """Return the probes that are due."""
         out: Effects = []
-        for start, held in self._breaks_by_start.items():
-            out += self._look(now, start, held)
+        for start, interruption in self._interruptions_by_start.items():
+            out += self._probe(now, start, interruption)
         return out
 
-    def _look(
-        self, now: float, start: presence.BackendStart, held: _Break
+    def _probe(
+        self,
+        now: float,
+        start: presence.BackendStart,
+        interruption: _Interruption,
     ) -> Effects:
-        if held.is_looking or now < held.broke_at + LOOK_AFTER_S[held.looks]:
+        if (
+            interruption.is_probing
+            or now
+            < interruption.broke_at + PROBE_DELAYS_S[interruption.probes]
+        ):
             return []
-        held.is_looking = True
-        held.looks += 1
-        return [effects.ProbeBackend(start=start, url=held.url)]
+        interruption.is_probing = True
+        interruption.probes += 1
+        return [effects.ProbeBackend(start=start, url=interruption.url)]
 
-    def probed(self, event: events.BackendProbed) -> Effects:
+    def process_probe(self, event: events.BackendProbed) -> Effects:
         """Process the result of a probe of a server's address."""
-        held = self._breaks_by_start.get(event.start)
-        if held is None:
+        interruption = self._interruptions_by_start.get(event.start)
+        if interruption is None:
             return []
-        held.is_looking = False
+        interruption.is_probing = False
         if event.is_refused:
-            del self._breaks_by_start[event.start]
-            return _tell(event, held)
-        if held.looks >= len(LOOK_AFTER_S):
+            del self._interruptions_by_start[event.start]
+            return _report_ended(event, interruption)
+        if interruption.probes >= len(PROBE_DELAYS_S):
             # Only the connection broke; the process did not end.
-            del self._breaks_by_start[event.start]
+            del self._interruptions_by_start[event.start]
         return []
 
 
-def _tell(event: events.BackendProbed, held: _Break) -> Effects:
+def _report_ended(
+    event: events.BackendProbed, interruption: _Interruption
+) -> Effects:
     out: Effects = []
-    for fingerprint, run in held.runs_by_fingerprint.items():
+    for fingerprint, run in interruption.runs_by_fingerprint.items():
         line = decisions.BackendEnded(
             request_id=run.request_id,
             call=fingerprint,
@@ -119,14 +132,14 @@
             backend_id=event.start.backend_id,
             incarnation=event.start.incarnation,
             ran_ms=round(run.ran_s * 1000),
-            calls_beside=len(held.runs_by_fingerprint) - 1,
+            calls_beside=len(interruption.runs_by_fingerprint) - 1,
             is_trial=run.is_trial,
         )
         ended = quarantine.Ended(
             now=event.now,
             fingerprint=fingerprint,
             start=event.start,
-            ended_at=held.broke_at,
+            ended_at=interruption.broke_at,
             is_trial=run.is_trial,
         )
         out += [line.log(), effects.Dispatch(event=ended)]
--- a/dandeliongw/entry/endings.py
+++ b/dandeliongw/entry/endings.py
@@ -9,8 +9,8 @@
 from .. import effects
 from .. import verdict
 from ..cell import cells
+from . import idempotency
 from . import refusals
-from . import resends
 from . import reservations
 from .request import Phase
 from .request import Request
@@ -21,7 +21,7 @@
 Effects = list[typing.Any]
 
 
-def turn_away(request_id: str, refusal: verdict.Refusal) -> Effects:
+def refuse_unadmitted(request_id: str, refusal: verdict.Refusal) -> Effects:
     """Refuse a request that was not admitted."""
     return [
         effects.CountRefusal(refusal=refusal),
@@ -35,7 +35,7 @@
     def __init__(self, *, reservations: reservations.Reservations) -> None:
         self._reservations = reservations
 
-    def leave(self, now: float, request: Request) -> Effects:
+    def disconnect(self, now: float, request: Request) -> Effects:
         """End a request whose client has disconnected."""
         request.caller_gone = True
         if request.phase is Phase.CALL and request.claim_key:
@@ -47,11 +47,11 @@
         refusal = refusals.caller_gone(request)
         return self.stop(now, request, refusal, cells.Outcome.CANCELLED)
 
-    def cut_off(self, now: float, request: Request) -> Effects:
+    def abort_at_shutdown(self, now: float, request: Request) -> Effects:
         """End a request that outlasts the shutdown grace period."""
-        refusal = refusals.cut_off(request)
+        refusal = refusals.shutdown_timeout(request)
         return [
-            refusals.log_cut_off(request),
+            refusals.log_shutdown_abort(request),
             *self.stop(now, request, refusal, cells.Outcome.CANCELLED),
         ]
 
@@ -65,13 +65,13 @@
         """Abort the work in progress, then refuse the request."""
         wasted = request.prefilled_tokens
         return [
-            *self.break_off(request),
+            *self.abort(request),
             *self._reservations.release(request, outcome, wasted=wasted),
             *refusals.count_waste(refusal.reason, wasted),
             *self.refuse(now, request, refusal),
         ]
 
-    def break_off(self, request: Request) -> Effects:
+    def abort(self, request: Request) -> Effects:
         """Abort the thread's step and free the engines' memory."""
         cancels = self._reservations.cancels(request)
         if request.is_running:
@@ -101,7 +101,7 @@
         self, now: float, request: Request, refusal: verdict.Refusal
     ) -> Effects:
         """Refuse a request that holds at most its claim."""
-        claim = resends.settle(now, request, refusal)
+        claim = idempotency.release_claim(now, request, refusal)
         last = effects.Refuse(request_id=request.request_id, refusal=refusal)
         return [*claim, *self.end(request, last)]
 
--- a/dandeliongw/entry/holds.py
+++ b/dandeliongw/entry/holds.py
@@ -26,12 +26,12 @@
 
     refusal: verdict.Refusal
     line: effects.Log
-    may_be_tried: bool
+    may_be_trial: bool
 
 
 #: Lower bound of ``Retry-After``, in seconds, once a trial is due: a trial of
 #: another send may be under way.
-TRIAL_SOON_S = 2.0
+MIN_TRIAL_RETRY_S = 2.0
 
 
 class Holds:
@@ -78,10 +78,11 @@
         wait_s = self._wait_s(now, fingerprint, call)
         return Held(
             refusal=refusals.quarantined(
-                known, held_s if wait_s is None else max(wait_s, TRIAL_SOON_S)
+                known,
+                held_s if wait_s is None else max(wait_s, MIN_TRIAL_RETRY_S),
             ),
             line=line.log(),
-            may_be_tried=wait_s is not None and wait_s <= 0.0,
+            may_be_trial=wait_s is not None and wait_s <= 0.0,
         )
 
     def _wait_s(
--- a/dandeliongw/entry/resends.py
+++ b/dandeliongw/entry/idempotency.py
@@ -42,7 +42,9 @@
     return [effects.Dispatch(event=claim)]
 
 
-def settle(now: float, request: Request, refusal: verdict.Refusal) -> Effects:
+def release_claim(
+    now: float, request: Request, refusal: verdict.Refusal
+) -> Effects:
     """Release the claim if that is safe; otherwise keep it.
 
     It is safe if the call never ran or is idempotent. While the claim is
@@ -60,7 +62,7 @@
     return [effects.Dispatch(event=abandon)]
 
 
-def record_late(event: events.StepEnded, request: Request) -> Effects:
+def record_late_outcome(event: events.StepEnded, request: Request) -> Effects:
     """Record the outcome of a claimed call that ended too late.
 
     Its client was refused with "may have run"; a resend gets the outcome.
--- a/dandeliongw/entry/recovery.py
+++ b/dandeliongw/entry/recovery.py
@@ -34,7 +34,7 @@
         self._attempts = attempts
         self._endings = endings
 
-    def after(self, event: events.StepEnded, request: Request) -> Effects:
+    def recover(self, event: events.StepEnded, request: Request) -> Effects:
         """Process the failure of a step of the current attempt."""
         log = refusals.log_failure(event)
         return [log, *self._choose(event, request)]
@@ -56,12 +56,12 @@
             return self._endings.give_up(
                 event.now, request, refusals.answer_unusable(event.message)
             )
-        return self._attempts.again(
+        return self._attempts.retry(
             event.now,
             request,
             failure=event.failure,
             message=event.message,
-            failed_id=request.place(event.step).start.backend_id,
+            failed_id=request.booked_backend(event.step).start.backend_id,
             entropy=event.entropy,
         )
 
@@ -74,13 +74,13 @@
         broke = event.failure in (_RETRY.STREAM_BROKEN, _RETRY.STREAM_STALLED)
         return (
             broke
-            and request.resumes_from < event.tokens
+            and request.last_resume_offset < event.tokens
             and request.may_run_elsewhere
         )
 
     def _resume(self, event: events.StepEnded, request: Request) -> Effects:
         """Resume the stream where it broke, over a new connection."""
-        request.resumes_from = event.tokens
+        request.last_resume_offset = event.tokens
         request.kv = ''
         count = effects.CountRetry(reason=event.failure)
         resumed = decisions.StreamResumed(
@@ -97,7 +97,7 @@
             and event.failure is not _RETRY.KV_EVICTED
             and event.now - request.kv_at < request.kv_life_s
             and request.may_run_elsewhere
-            and not request.has_run_enough
+            and not request.has_used_up_runs
             and request.attempts < attempts.MAX_ATTEMPTS
             and self._attempts.held(event.now, request) is None
         )
--- a/dandeliongw/entry/refusals.py
+++ b/dandeliongw/entry/refusals.py
@@ -36,7 +36,7 @@
     return [effects.CountWaste(reason=named, tokens=tokens)]
 
 
-def keyed(refusal: verdict.Refusal) -> verdict.Refusal:
+def for_unclaimed_key(refusal: verdict.Refusal) -> verdict.Refusal:
     """Adapt the refusal of a call whose idempotency key was not claimed.
 
     Only the claim records whether an earlier send of the call has run. If a
@@ -57,7 +57,7 @@
     """The deadline of the client or the service's timeout has passed."""
     return verdict.Refusal(
         reason=_REASON.DEADLINE_PASSED,
-        verdict=request.known_when_stopped(),
+        verdict=request.verdict_if_aborted(),
         message=f'no answer within '
         f'{request.deadline_at - request.arrived_at:g} s',
     )
@@ -67,12 +67,12 @@
     """The client has disconnected; this refusal is only counted."""
     return verdict.Refusal(
         reason=_REASON.CALLER_GONE,
-        verdict=request.known_when_stopped(),
+        verdict=request.verdict_if_aborted(),
         message='the caller closed its connection',
     )
 
 
-def left_early() -> verdict.Refusal:
+def disconnected_early() -> verdict.Refusal:
     """The client disconnected before admission; this is only counted."""
     return verdict.Refusal(
         reason=_REASON.CALLER_GONE,
@@ -81,18 +81,18 @@
     )
 
 
-def cut_off(request: request_module.Request) -> verdict.Refusal:
+def shutdown_timeout(request: request_module.Request) -> verdict.Refusal:
     """The shutdown grace period ended before the request did."""
     return verdict.Refusal(
         reason=_REASON.DRAINING,
-        verdict=request.known_when_stopped(),
+        verdict=request.verdict_if_aborted(),
         message='this instance had to end before the request did; use '
         'another entry',
-        retry_after_s=admission.SOON_S,
+        retry_after_s=admission.TRANSIENT_RETRY_S,
     )
 
 
-def log_cut_off(request: request_module.Request) -> effects.Log:
+def log_shutdown_abort(request: request_module.Request) -> effects.Log:
     """Return the log line of a request that a shutdown aborts."""
     return effects.Log(
         message=f'shutdown grace period is over; aborting a request in phase '
@@ -111,7 +111,7 @@
         reason=_REASON.NO_OWNER,
         verdict=request.known,
         message=f'no instance owns cell {request.cell!r} just now',
-        retry_after_s=admission.SOON_S,
+        retry_after_s=admission.TRANSIENT_RETRY_S,
     )
 
 
@@ -143,7 +143,7 @@
         reason=_REASON.RETRIES_SPENT,
         verdict=request.known,
         message=f'{request.attempts} attempts failed, the last one: {message}',
-        retry_after_s=admission.SOON_S,
+        retry_after_s=admission.TRANSIENT_RETRY_S,
     )
 
 
@@ -196,12 +196,12 @@
                 message='an earlier send of this call may have run; its '
                 'outcome was lost, and it will not be run again',
             )
-    return keyed(
+    return for_unclaimed_key(
         admission.not_run(
             _REASON.CLAIMS_UNAVAILABLE,
             'too few instances with disks answer to make sure that this call '
             'runs at most once',
-            getattr(result, 'retry_after_s', admission.SOON_S),
+            getattr(result, 'retry_after_s', admission.TRANSIENT_RETRY_S),
         )
     )
 
--- a/dandeliongw/entry/relay.py
+++ b/dandeliongw/entry/relay.py
@@ -21,10 +21,10 @@
 from .. import engine
 from .. import events
 from .. import verdict
+from . import cancellations
 from . import outcome
-from . import spacing
-from . import step_ends
-from . import stops
+from . import step_results
+from . import token_gaps
 
 #: Lowest HTTP status that counts as a failure of the backend server. The call
 #: is then sent to another one, if it may be repeated.
@@ -115,7 +115,7 @@
         self._directives: queue.SimpleQueue[
             tuple[float, effects.Directive]
         ] = queue.SimpleQueue()
-        self._stops = stops.Stops()
+        self._cancellations = cancellations.Cancellations()
         self._text: list[str] = []
         self._offset = work.pieces_held
         # Offset in the answer at which the current engine starts counting.
@@ -123,14 +123,14 @@
         self._late_pieces = 0
         self._outcome: outcome.Outcome | None = None
         self._headers: tuple[tuple[str, str], ...] = ()
-        self._has_head = False
+        self._has_sent_head = False
         self._first_token_at: float | None = None
-        self._failed: engine.Reply | None = None
+        self._failed_reply: engine.Reply | None = None
 
     def give(self, directive: effects.Directive) -> None:
         """Accept a directive; called by the runtime, never blocks."""
         if isinstance(directive, effects.Abort):
-            self._stops.stop(directive.attempt_id)
+            self._cancellations.cancel(directive.attempt_id)
         else:
             self._directives.put((self._clock(), directive))
 
@@ -145,17 +145,17 @@
         """
         ended = False
         try:
-            yield from self._follow_directives()
+            yield from self._run_directives()
             ended = True
         finally:
             if not ended:
-                self._tell(events.CallerGone, request_id=self.request_id)
-            self._tell(events.RequestClosed, request_id=self.request_id)
+                self._post_event(events.CallerGone, request_id=self.request_id)
+            self._post_event(events.RequestClosed, request_id=self.request_id)
 
-    def _follow_directives(
+    def _run_directives(
         self,
     ) -> abc.Iterator[engine.Piece | Finished | verdict.Refusal]:
-        self._tell(
+        self._post_event(
             events.RequestArrived,
             request_id=self.request_id,
             call=self.call,
@@ -165,7 +165,7 @@
             given_at, directive = self._directives.get()
             match directive:
                 case effects.Refuse(refusal=refusal):
-                    yield self._last_failure(refusal)
+                    yield self._prefer_failed_reply(refusal)
                     return
                 case effects.Replay(outcome=recorded):
                     yield Finished(
@@ -181,7 +181,7 @@
                 case _:
                     yield from self._run(given_at, directive)
 
-    def _last_failure(
+    def _prefer_failed_reply(
         self, refusal: verdict.Refusal
     ) -> Finished | verdict.Refusal:
         """Return the last failure answer of a backend server, if any.
@@ -190,10 +190,14 @@
         no answer of a backend server is discarded. A refusal with the verdict
         "not run" is kept.
         """
-        if self._failed is None or refusal.verdict is verdict.Verdict.NOT_RUN:
+        if (
+            self._failed_reply is None
+            or refusal.verdict is verdict.Verdict.NOT_RUN
+        ):
             return refusal
         return Finished(
-            outcome=_outcome_of(self._failed), headers=self._failed.headers
+            outcome=_outcome_of(self._failed_reply),
+            headers=self._failed_reply.headers,
         )
 
     # Steps
@@ -210,39 +214,39 @@
         attempt_id = directive.attempt_id
         step = _STEP_BY_DIRECTIVE[type(directive)]
         try:
-            end = yield from self._do(given_at, directive)
+            end = yield from self._start_step(given_at, directive)
         except engine.EngineError as error:
-            end = step_ends.Failed(
+            end = step_results.Failed(
                 known=error.known,
-                failure=step_ends.failure_of(step, error),
+                failure=step_results.failure_of(step, error),
                 message=str(error),
                 is_cut=error.is_cut,
             )
         except (KeyError, TypeError, ValueError, LookupError) as error:
             logger.exception('could not parse an answer of a backend server')
-            end = step_ends.Failed(
+            end = step_results.Failed(
                 known=verdict.Verdict.MAY_HAVE_RUN,
-                failure=step_ends.GENERAL_FAILURES[step],
+                failure=step_results.GENERAL_FAILURES[step],
                 message=f'the answer was not understood: {error!r}',
             )
         finally:
-            self._stops.forget(attempt_id)
+            self._cancellations.forget(attempt_id)
         self._end_step(step, attempt_id, end)
 
-    def _do(
+    def _start_step(
         self, given_at: float, directive: typing.Any
-    ) -> abc.Generator[engine.Piece, None, step_ends.End]:
+    ) -> abc.Generator[engine.Piece, None, step_results.StepResult]:
         start_in_s = getattr(directive, 'start_in_s', 0.0)
-        stop = self._stops.event(directive.attempt_id)
+        stop = self._cancellations.event(directive.attempt_id)
         if stop.wait(start_in_s) or stop.is_set():
-            return step_ends.Failed.unstarted(
+            return step_results.Failed.unstarted(
                 'it was broken off before it started'
             )
         left_s = given_at + directive.deadline_in_s - self._clock()
         if left_s <= 0:
             # The process was suspended, or the machine is overloaded: the
             # client no longer waits for the result.
-            return step_ends.Failed.unstarted(
+            return step_results.Failed.unstarted(
                 'its deadline passed before it started'
             )
         match directive:
@@ -254,11 +258,11 @@
 
     def _prefill(
         self, directive: effects.RunPrefill, left_s: float
-    ) -> step_ends.Done:
+    ) -> step_results.Done:
         adapter = self._backends.model_engine(
             directive.url, directive.backend_id, self._offset
         )
-        with self._stops.watching(directive.attempt_id, adapter):
+        with self._cancellations.registered(directive.attempt_id, adapter):
             # When a decode engine failed mid-stream, the text that the
             # client already has becomes part of the prompt, and the new
             # engine counts tokens from the end of that text.
@@ -271,7 +275,7 @@
                 fence=directive.fence,
                 deadline_s=left_s,
             )
-        return step_ends.Done(
+        return step_results.Done(
             known=done.known,
             kv=done.kv,
             tokens=done.tokens,
@@ -280,12 +284,12 @@
 
     def _decode(
         self, directive: effects.RunDecode, left_s: float
-    ) -> abc.Generator[engine.Piece, None, step_ends.Done]:
+    ) -> abc.Generator[engine.Piece, None, step_results.Done]:
         adapter = self._backends.model_engine(
             directive.url, directive.backend_id, self._offset
         )
-        measure = spacing.Spacing()
-        with self._stops.watching(directive.attempt_id, adapter):
+        measure = token_gaps.TokenGapMeter()
+        with self._cancellations.registered(directive.attempt_id, adapter):
             if directive.kv or directive.reads:
                 self._import(adapter, directive, left_s)
             try:
@@ -297,14 +301,14 @@
                     or self._offset < self.call.max_tokens
                 )
                 if directive.kv or lacks_more:
-                    raise step_ends.StreamError(error) from error
+                    raise step_results.StreamError(error) from error
         self._outcome = outcome.Outcome(
             status=200,
             content_type='application/json',
             text=''.join(self._text),
             tokens=self._offset,
         )
-        return step_ends.Done(
+        return step_results.Done(
             outcome=self._outcome.to_bytes(),
             tokens=self._offset,
             # A resumed stream delivers at once the tokens that were generated
@@ -334,7 +338,7 @@
         adapter: engine.Engine,
         directive: effects.RunDecode,
         left_s: float,
-        measure: spacing.Spacing,
+        measure: token_gaps.TokenGapMeter,
     ) -> abc.Iterator[engine.Piece]:
         """Forward the missing pieces until the stream's end mark.
 
@@ -352,7 +356,7 @@
         with contextlib.closing(pieces):
             for piece in pieces:
                 if isinstance(piece, engine.Head):
-                    yield from self._first_head(piece)
+                    yield from self._forward_first_head(piece)
                     continue
                 if piece.attempt_id != directive.attempt_id:
                     self._late_pieces += 1
@@ -362,7 +366,7 @@
                     # Repeated after a resume; the client already has it.
                     continue
                 if offset != self._offset:
-                    raise _broken(f'token {self._offset} is missing')
+                    raise _stream_error(f'token {self._offset} is missing')
                 if piece.is_end:
                     return
                 measure.arrived(self._clock())
@@ -379,19 +383,21 @@
             is_cut=True,
         )
 
-    def _first_head(self, head: engine.Head) -> abc.Iterator[engine.Head]:
+    def _forward_first_head(
+        self, head: engine.Head
+    ) -> abc.Iterator[engine.Head]:
         """Forward the head of the first run and drop those of later runs."""
-        if not self._has_head:
-            self._has_head = True
+        if not self._has_sent_head:
+            self._has_sent_head = True
             yield head
 
     def _call(
         self, directive: effects.RunCall, left_s: float
-    ) -> step_ends.Done:
+    ) -> step_results.Done:
         adapter = self._backends.plain_service(
             directive.url, directive.backend_id, left_s
         )
-        with self._stops.watching(directive.attempt_id, adapter):
+        with self._cancellations.registered(directive.attempt_id, adapter):
             reply = adapter.call(
                 method=self.call.method,
                 path=self._work.path,
@@ -405,17 +411,17 @@
                 most_bytes=self._work.most_bytes,
             )
         if self._work.is_passed_on and reply.status >= FIRST_FAILURE_STATUS:
-            self._failed = reply
+            self._failed_reply = reply
             raise engine.EngineError(
                 f'the backend server answered {reply.status}',
                 known=verdict.Verdict.MAY_HAVE_RUN,
             )
         self._headers = reply.headers
         self._outcome = _outcome_of(reply)
-        return step_ends.Done(outcome=self._outcome.to_bytes())
+        return step_results.Done(outcome=self._outcome.to_bytes())
 
     def _end_step(
-        self, step: events.Step, attempt_id: str, end: step_ends.End
+        self, step: events.Step, attempt_id: str, end: step_results.StepResult
     ) -> None:
         late_pieces, self._late_pieces = self._late_pieces, 0
         fields = {
@@ -424,7 +430,7 @@
         }
         if step is events.Step.DECODE:
             fields['tokens'] = self._offset
-        self._tell(
+        self._post_event(
             events.StepEnded,
             request_id=self.request_id,
             attempt_id=attempt_id,
@@ -434,7 +440,7 @@
             **fields,
         )
 
-    def _tell(self, event_class: type, **fields: typing.Any) -> None:
+    def _post_event(self, event_class: type, **fields: typing.Any) -> None:
         self._post(functools.partial(event_class, **fields))
 
 
@@ -453,5 +459,5 @@
 }
 
 
-def _broken(message: str) -> engine.EngineError:
+def _stream_error(message: str) -> engine.EngineError:
     return engine.EngineError(message, known=verdict.Verdict.RAN)
--- a/dandeliongw/entry/replies.py
+++ b/dandeliongw/entry/replies.py
@@ -36,7 +36,9 @@
         self._attempts = attempts
         self._endings = endings
 
-    def take(self, event: parts.Received, request: Request | None) -> Effects:
+    def process(
+        self, event: parts.Received, request: Request | None
+    ) -> Effects:
         """Process an owner's message.
 
         :param request: the request that the message refers to, or ``None`` if
@@ -49,15 +51,15 @@
             and message.attempt_id == request.attempt_id
         )
         if not is_current:
-            return self._drop_late(event)
+            return self._release_late_booking(event)
         request.heard_at = event.now
         if not request.is_unowned and not isinstance(message, cells.NotOwner):
-            self._reservations.note_owner_heard(request.cell)
+            self._reservations.mark_owner_responsive(request.cell)
         match message:
             case cells.Booked():
-                return self._start(event, request)
+                return self._run_booked(event, request)
             case cells.Queued():
-                return self._wait(event, request)
+                return self._note_queued(event, request)
             case cells.Declined():
                 return self._declined(event, request)
             case cells.NotOwner():
@@ -66,7 +68,7 @@
                 return self._cancelled(event, request)
         return []
 
-    def _drop_late(self, event: parts.Received) -> Effects:
+    def _release_late_booking(self, event: parts.Received) -> Effects:
         """Release what was booked for an attempt that has ended.
 
         A reply can arrive after its attempt has ended. Applied to the current
@@ -75,7 +77,9 @@
         """
         message = event.message
         if not isinstance(message, cells.NotOwner):
-            self._reservations.note_heard_late(event.sender, message.cell)
+            self._reservations.process_unawaited_answer(
+                event.sender, message.cell
+            )
         late: Effects = [effects.CountLate(what=effects.Late.OWNER)]
         if not isinstance(message, cells.Booked | cells.Queued):
             return late
@@ -87,7 +91,7 @@
         )
         return [*late, parts.Send(to=event.sender, message=release)]
 
-    def _start(self, event: parts.Received, request: Request) -> Effects:
+    def _run_booked(self, event: parts.Received, request: Request) -> Effects:
         booked = event.message
         is_expected = (
             request.phase in UNPLACED and event.sender == request.owner
@@ -96,16 +100,16 @@
             # A duplicate, or the pair that a KV cache is moved away from.
             return []
         now = event.now
-        waited = _waited(now, request)
+        waited = _wait_time(now, request)
         request.booked = booked
         request.phase_at = now
         return [
             waited,
-            self._placed(now, request),
-            *self._begin(now, request),
+            self._placed_log(now, request),
+            *self._run_step(now, request),
         ]
 
-    def _placed(self, now: float, request: Request) -> effects.Log:
+    def _placed_log(self, now: float, request: Request) -> effects.Log:
         booked = request.booked
         return decisions.Placed(
             request_id=request.request_id,
@@ -118,9 +122,9 @@
             waited_ms=request.age_ms(now),
         ).log()
 
-    def _begin(self, now: float, request: Request) -> Effects:
+    def _run_step(self, now: float, request: Request) -> Effects:
         """Direct the request's thread to run the step that was booked."""
-        request.search_s = reservations.OWNER_LOST_S
+        request.search_timeout_s = reservations.OWNER_FAILOVER_S
         if request.stage is vocabulary.Stage.PLAIN:
             return steps.run_call(now, request)
         if request.stage is vocabulary.Stage.DECODE:
@@ -129,9 +133,9 @@
             return steps.run_decode(now, request, reads=True)
         return steps.run_prefill(now, request)
 
-    def _wait(self, event: parts.Received, request: Request) -> Effects:
+    def _note_queued(self, event: parts.Received, request: Request) -> Effects:
         if request.phase is Phase.BOOKING and event.sender == request.owner:
-            waited = _waited(event.now, request)
+            waited = _wait_time(event.now, request)
             request.phase = Phase.QUEUED
             request.phase_at = request.asked_at = event.now
             return [waited]
@@ -142,7 +146,7 @@
             return []
         declined = event.message
         if request.stage is vocabulary.Stage.DECODE:
-            return self._attempts.again(
+            return self._attempts.retry(
                 event.now,
                 request,
                 failure=_RETRY.IMPORT_REFUSED,
@@ -155,7 +159,7 @@
             message=declined.message,
             retry_after_s=declined.retry_after_s,
         )
-        told = decisions.Declined(
+        line = decisions.Declined(
             request_id=request.request_id,
             attempt_id=request.attempt_id,
             owner=request.owner,
@@ -165,8 +169,8 @@
             waited_ms=request.age_ms(event.now),
         )
         return [
-            _waited(event.now, request),
-            told.log(),
+            _wait_time(event.now, request),
+            line.log(),
             *self._endings.refuse(event.now, request, refusal),
         ]
 
@@ -176,10 +180,10 @@
             return []
         if request.phase is Phase.BOOKING:
             followed = self._reservations.follow(event.now, request, holder)
-            if followed or not self._reservations.may_stand_in:
+            if followed or not self._reservations.may_place_without_owner:
                 return followed
             # The cell has no owner at present.
-            return self._reservations.stand_in(event.now, request)
+            return self._reservations.place_without_owner(event.now, request)
         # A placed request is renewed at the owner that is known by the next
         # renewal. Following the redirection at once would loop for ever when
         # two instances that do not own the cell name each other.
@@ -196,7 +200,7 @@
             # From an earlier owner than the one that made the booking.
             return []
         if self._reservations.is_lost(request, event):
-            return self._lose_slot(event, request)
+            return self._abort_lost_slot(event, request)
         return self._reservations.reclaim(
             event.now,
             request.cell,
@@ -224,10 +228,12 @@
         out = self._reservations.reclaim(now, cell, placed, holder, epoch)
         for request in here:
             if request.phase in UNPLACED:
-                out += self._reservations.move_search(now, request, holder)
+                out += self._reservations.rebook(now, request, holder)
         return out
 
-    def _lose_slot(self, event: parts.Received, request: Request) -> Effects:
+    def _abort_lost_slot(
+        self, event: parts.Received, request: Request
+    ) -> Effects:
         """Abort the work in a slot that now belongs to another request."""
         request.is_held = False
         if request.phase is Phase.CALL:
@@ -235,8 +241,8 @@
             # would no longer be known whether they ran.
             return []
         return [
-            *self._endings.break_off(request),
-            *self._attempts.again(
+            *self._endings.abort(request),
+            *self._attempts.retry(
                 event.now,
                 request,
                 failure=_RETRY.OWNER_CHANGED,
@@ -245,8 +251,8 @@
         ]
 
 
-def _waited(now: float, request: Request) -> effects.Took:
+def _wait_time(now: float, request: Request) -> effects.Took:
     """Return the time that the request spent in booking or in the queue."""
     if request.phase is Phase.QUEUED:
-        return request.took(effects.Part.QUEUE, now - request.phase_at)
-    return request.took(effects.Part.BOOKING, now - request.asked_at)
+        return request.duration(effects.Part.QUEUE, now - request.phase_at)
+    return request.duration(effects.Part.BOOKING, now - request.asked_at)
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -41,7 +41,7 @@
 UNPLACED = (Phase.BOOKING, Phase.QUEUED)
 
 
-class Place(msgspec.Struct, frozen=True, kw_only=True):
+class BookedBackend(msgspec.Struct, frozen=True, kw_only=True):
     """The backend server that runs a step of a request."""
 
     start: presence.BackendStart
@@ -77,7 +77,7 @@
     phase: Phase
     phase_at: float
     stage: vocabulary.Stage
-    search_s: float
+    search_timeout_s: float
     known: verdict.Verdict = _NOT_RUN
     claim_key: str = ''
     attempts: int = 0
@@ -87,7 +87,7 @@
     #: Whether this entry booked itself, because the owner is unresponsive.
     is_unowned: bool = False
     asked: int = 0
-    hops: int = 0
+    redirects: int = 0
     heard_at: float = 0.0
     is_trial: bool = False
     is_held: bool = False
@@ -104,8 +104,8 @@
     #: Number of attempts that a backend server may have run.
     runs: int = 0
     #: When the client last got a piece; at first, when the request arrived.
-    served_at: float = 0.0
-    resumes_from: int = -1
+    last_piece_at: float = 0.0
+    last_resume_offset: int = -1
     caller_gone: bool = False
     is_ended: bool = False
     cancels_by_attempt: dict[str, tuple[cells.CancelStream, ...]] = (
@@ -132,7 +132,7 @@
         return not self.admitted.is_passed_on or self.may_run_again
 
     @property
-    def has_run_enough(self) -> bool:
+    def has_used_up_runs(self) -> bool:
         """Whether no further backend server may run it."""
         most = self.admitted.max_runs
         return most is not None and self.runs >= most
@@ -158,7 +158,7 @@
     def service(self) -> str:
         return self.admitted.service.name
 
-    def place(self, step: events.Step) -> Place:
+    def booked_backend(self, step: events.Step) -> BookedBackend:
         """Return the backend server that was booked for a step."""
         booked = self.booked
         match step:
@@ -184,9 +184,9 @@
         start = presence.BackendStart(
             backend_id=backend_id, incarnation=incarnation
         )
-        return Place(start=start, url=url)
+        return BookedBackend(start=start, url=url)
 
-    def took(self, part: effects.Part, seconds: float) -> effects.Took:
+    def duration(self, part: effects.Part, seconds: float) -> effects.Took:
         """Return the effect that records the duration of a part."""
         return effects.Took(part=part, service=self.service, seconds=seconds)
 
@@ -198,24 +198,24 @@
         """Return the milliseconds since it arrived."""
         return round((now - self.arrived_at) * 1000)
 
-    def patient_s(self, now: float) -> float:
+    def remaining_patience_s(self, now: float) -> float:
         """Return the seconds in which the client needs its next piece.
 
         If the request is placed later, the client has disconnected by then.
         """
         if self.admitted.patience_s is None:
             return self.left_s(now)
-        until = self.served_at + self.admitted.patience_s
+        until = self.last_piece_at + self.admitted.patience_s
         return max(0.0, min(self.deadline_at, until) - now)
 
-    def useful_s(self, now: float) -> float:
+    def placement_timeout_s(self, now: float) -> float:
         """Return the seconds within which it has to be placed."""
         if self.stage is not vocabulary.Stage.DECODE or not self.kv:
-            return self.patient_s(now)
+            return self.remaining_patience_s(now)
         kept_until = self.kv_at + self.kv_life_s
-        return max(0.0, min(self.patient_s(now), kept_until - now))
+        return max(0.0, min(self.remaining_patience_s(now), kept_until - now))
 
-    def known_when_stopped(self) -> verdict.Verdict:
+    def verdict_if_aborted(self) -> verdict.Verdict:
         """Return the verdict that is proved if it is aborted now."""
         if self.phase is Phase.RECORDING:
             return verdict.Verdict.RAN
@@ -223,7 +223,7 @@
             return verdict.Verdict.MAY_HAVE_RUN
         return self.known
 
-    def forget_kv(self) -> None:
+    def drop_kv(self) -> None:
         """Drop the prefill's result, which is lost or no longer of use."""
         self.kv = ''
         self.kv_id = ''
--- a/dandeliongw/entry/requests.py
+++ b/dandeliongw/entry/requests.py
@@ -15,21 +15,21 @@
 from .. import verdict
 from . import admission
 from . import attempts
-from . import breaks
 from ..cell import cells
 from ..cell import vocabulary
 from ..coordination import claim_messages as claims
 from ..coordination import parts
-from . import early
+from . import crash_detection
 from . import endings
 from . import holds as hold_module
+from . import idempotency
 from . import recovery
 from . import refusals
 from . import replies
 from . import request as request_module
-from . import resends
 from . import reservations
 from . import retries
+from . import startup_queue
 from . import steps
 from . import trials
 from .request import Phase
@@ -40,8 +40,8 @@
 # Re-exported, so that other packages need to import only this module.
 KV_LIFE_S = request_module.DEFAULT_KV_LIFE_S
 MAX_ATTEMPTS = attempts.MAX_ATTEMPTS
-CLAIM_TICKET = resends.CLAIM_TICKET
-FINISH_TICKET = resends.FINISH_TICKET
+CLAIM_TICKET = idempotency.CLAIM_TICKET
+FINISH_TICKET = idempotency.FINISH_TICKET
 TRIAL_TICKET = trials.TRIAL_TICKET
 
 _RETRY = verdict.RetryReason
@@ -77,7 +77,7 @@
         self._directory = directory
         self._gate = gate
         self.holds = holds
-        self._breaks = breaks.Breaks()
+        self._crashes = crash_detection.CrashDetector()
         self._most_claimed_s = most_claimed_s
         self._budgets = budgets
         self._reservations = reservations.Reservations(directory=directory)
@@ -97,7 +97,9 @@
             endings=self._endings,
         )
         self.requests_by_id: dict[str, Request] = {}
-        self._early = early.EarlyCalls(directory=directory, most_s=early_s)
+        self._startup_queue = startup_queue.StartupQueue(
+            directory=directory, startup_s=early_s
+        )
         self._trials = trials.Trials(
             holds=holds, attempts=self._attempts, endings=self._endings
         )
@@ -112,9 +114,9 @@
             case events.StepEnded():
                 return self._end_step(event)
             case events.BackendProbed():
-                return self._breaks.probed(event)
+                return self._crashes.process_probe(event)
             case events.CallerGone():
-                return self._leave(event.now, event.request_id)
+                return self._disconnect(event.now, event.request_id)
             case events.RequestClosed():
                 return self._close(event.now, event.request_id)
             case parts.Received():
@@ -124,9 +126,9 @@
         return []
 
     def _arrive(self, event: events.RequestArrived) -> Effects:
-        self._early.begin(event.now)
-        if self._early.must_wait(event):
-            self._early.add(event)
+        self._startup_queue.note_start(event.now)
+        if self._startup_queue.must_wait(event):
+            self._startup_queue.add(event)
             return []
         return self._admit(event.now, event)
 
@@ -134,12 +136,12 @@
         call = event.call
         admitted = self._gate.check(now, call, event.entropy)
         if isinstance(admitted, verdict.Refusal):
-            return _turn_away(event, admitted)
+            return _refuse_unadmitted(event, admitted)
         # A call that crashes the backend servers it runs on would crash
         # another one with each send, along with that server's other work.
         held = self.holds.refusal(now, event.request_id, call)
-        if held is not None and not held.may_be_tried:
-            return [held.line, *_turn_away(event, held.refusal)]
+        if held is not None and not held.may_be_trial:
+            return [held.line, *_refuse_unadmitted(event, held.refusal)]
         request = self._make_request(event, admitted)
         self.requests_by_id[event.request_id] = request
         self._gate.enter(admitted.account.name, admitted.streamed)
@@ -148,7 +150,7 @@
             return self._trials.ask(now, request)
         if call.idempotency_key is None:
             return self._attempts.begin(now, request)
-        return resends.begin(now, request)
+        return idempotency.begin(now, request)
 
     def _make_request(
         self, event: events.RequestArrived, admitted: admission.Admitted
@@ -170,20 +172,22 @@
             deadline_at=event.now + limit_s,
             phase=Phase.BOOKING,
             phase_at=event.now,
-            served_at=event.now,
+            last_piece_at=event.now,
             stage=vocabulary.Stage.PAIR
             if admitted.streamed
             else vocabulary.Stage.PLAIN,
-            search_s=reservations.OWNER_SEARCH_S,
+            search_timeout_s=reservations.OWNER_SEARCH_S,
         )
 
-    def _leave(self, now: float, request_id: str) -> Effects:
-        if self._early.forget(request_id):
-            return endings.turn_away(request_id, refusals.left_early())
+    def _disconnect(self, now: float, request_id: str) -> Effects:
+        if self._startup_queue.remove(request_id):
+            return endings.refuse_unadmitted(
+                request_id, refusals.disconnected_early()
+            )
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
             return []
-        return self._endings.leave(now, request)
+        return self._endings.disconnect(now, request)
 
     def _close(self, now: float, request_id: str) -> Effects:
         """Remove a request whose thread has ended.
@@ -192,7 +196,7 @@
         broke while a piece was written, the request is handled as one whose
         client has disconnected.
         """
-        out = self._leave(now, request_id)
+        out = self._disconnect(now, request_id)
         request = self.requests_by_id.pop(request_id, None)
         if request is None:
             return out
@@ -240,14 +244,14 @@
         out: Effects = []
         for request in list(self.requests_by_id.values()):
             if not request.is_ended:
-                out += self._endings.cut_off(now, request)
+                out += self._endings.abort_at_shutdown(now, request)
         return out
 
     # Messages of owners
 
     def _receive(self, event: parts.Received) -> Effects:
         request = self.requests_by_id.get(event.message.request_id)
-        return self._replies.take(event, request)
+        return self._replies.process(event, request)
 
     def reclaim_all(
         self, now: float, cell: str, holder: str, epoch: int
@@ -328,39 +332,41 @@
             and request.phase in WORKING
         )
         if not is_current:
-            return [*out, *self._let_go(event, request)]
+            return [*out, *self._end_stale_step(event, request)]
         if event.known is not _NOT_RUN:
             # Part of it ran; only a complete answer counts as "ran".
             request.known = _MAY_HAVE_RUN
             request.runs += 1
-            request.served_at = event.now
+            request.last_piece_at = event.now
         if event.is_cut:
-            out += self._breaks.add(
-                event.now, self._broken_run(event, request)
+            out += self._crashes.add(
+                event.now, self._interrupted_run(event, request)
             )
         if event.failure is not None:
-            return [*out, *self._recovery.after(event, request)]
+            return [*out, *self._recovery.recover(event, request)]
         if event.step is events.Step.PREFILL:
-            return [*out, *self._prefilled(event, request)]
-        return [*out, *self._answered(event, request)]
+            return [*out, *self._prefill_ended(event, request)]
+        return [*out, *self._answer_ended(event, request)]
 
-    def _broken_run(
+    def _interrupted_run(
         self, event: events.StepEnded, request: Request
-    ) -> breaks.BrokenRun:
-        place = request.place(event.step)
-        return breaks.BrokenRun(
+    ) -> crash_detection.InterruptedRun:
+        backend = request.booked_backend(event.step)
+        return crash_detection.InterruptedRun(
             request_id=request.request_id,
             fingerprint=self.holds.fingerprint(request.call),
             content=self.holds.content(request.call),
             service=request.service,
             caller=request.call.address or request.admitted.account.name,
-            start=place.start,
-            url=place.url,
+            start=backend.start,
+            url=backend.url,
             ran_s=event.now - request.phase_at,
             is_trial=request.is_trial,
         )
 
-    def _let_go(self, event: events.StepEnded, request: Request) -> Effects:
+    def _end_stale_step(
+        self, event: events.StepEnded, request: Request
+    ) -> Effects:
         """Process the end of a step that belongs to an aborted attempt.
 
         The first cancel may have reached the engine before the call that it
@@ -369,9 +375,11 @@
         """
         late = effects.CountLate(what=effects.Late.STEP)
         again = request.cancels_by_attempt.pop(event.attempt_id, ())
-        return [late, *again, *resends.record_late(event, request)]
+        return [late, *again, *idempotency.record_late_outcome(event, request)]
 
-    def _prefilled(self, event: events.StepEnded, request: Request) -> Effects:
+    def _prefill_ended(
+        self, event: events.StepEnded, request: Request
+    ) -> Effects:
         request.kv = event.kv
         request.kv_id = request.booked.prefill_id
         request.kv_source = request.booked.prefill_url
@@ -386,7 +394,7 @@
             cached_tokens=event.cached_tokens,
         )
         send = parts.Send(to=request.owner, message=done)
-        took = request.took(effects.Part.PREFILL, request.prefill_s)
+        took = request.duration(effects.Part.PREFILL, request.prefill_s)
         held = self._attempts.held(event.now, request)
         if held is not None:
             # Prefill alone is harmless; decoding would crash the engine.
@@ -396,9 +404,11 @@
             return [send, took, held.line, *stopped]
         return [send, took, *steps.run_decode(event.now, request)]
 
-    def _answered(self, event: events.StepEnded, request: Request) -> Effects:
+    def _answer_ended(
+        self, event: events.StepEnded, request: Request
+    ) -> Effects:
         release = [
-            *_times(event, request),
+            *_durations(event, request),
             *self.holds.succeeded(event.now, request),
             *self._reservations.release(
                 request,
@@ -413,19 +423,19 @@
             return [*release, *self._endings.end(request, complete)]
         request.phase = Phase.RECORDING
         request.phase_at = event.now
-        return [*release, resends.finish(event, request.claim_key)]
+        return [*release, idempotency.finish(event, request.claim_key)]
 
     # Time
 
     def _tick(self, now: float) -> Effects:
-        self._early.begin(now)
+        self._startup_queue.note_start(now)
         out: Effects = []
-        for event in self._early.take(now):
+        for event in self._startup_queue.pop_due(now):
             out += self._admit(now, event)
         for request in list(self.requests_by_id.values()):
             if not request.is_ended:
                 out.extend(self._tick_request(now, request))
-        out.extend(self._breaks.tick(now))
+        out.extend(self._crashes.tick(now))
         out.extend(self._reservations.renew(now, self.requests_by_id.values()))
         return out
 
@@ -435,8 +445,8 @@
             return self._endings.stop(
                 now, request, refusal, cells.Outcome.EXPIRED
             )
-        if _has_lost_cache(now, request):
-            return self._attempts.again(
+        if _has_expired_cache(now, request):
+            return self._attempts.retry(
                 now,
                 request,
                 failure=_RETRY.KV_EVICTED,
@@ -454,18 +464,18 @@
         return []
 
     def _tick_booking(self, now: float, request: Request) -> Effects:
-        if now - request.phase_at >= request.search_s:
+        if now - request.phase_at >= request.search_timeout_s:
             return self._endings.give_up(
                 now, request, refusals.no_owner(request)
             )
         waited_s = now - request.asked_at
         is_silent = waited_s >= reservations.OWNER_SILENT_S
-        if is_silent and self._reservations.may_stand_in:
-            return self._reservations.stand_in(now, request)
+        if is_silent and self._reservations.may_place_without_owner:
+            return self._reservations.place_without_owner(now, request)
         if waited_s < reservations.OWNER_ANSWER_S:
             return []
         asked = self._reservations.ask(now, request)
-        return self._attempts.unless_ownerless(now, request, asked)
+        return self._attempts.handle_no_owner(now, request, asked)
 
     def _tick_queued(self, now: float, request: Request) -> Effects:
         """Repeat the booking periodically, which also renews its queue entry.
@@ -474,24 +484,24 @@
         message would keep the slot reserved and the request waiting until
         its deadline.
         """
-        if now - request.heard_at >= reservations.QUEUE_SILENT_S:
-            if self._reservations.may_stand_in:
-                return self._reservations.stand_in(now, request)
+        if now - request.heard_at >= reservations.QUEUE_TIMEOUT_S:
+            if self._reservations.may_place_without_owner:
+                return self._reservations.place_without_owner(now, request)
             return self._attempts.search(now, request)
-        if now - request.asked_at < reservations.QUEUE_ASK_S:
+        if now - request.asked_at < reservations.QUEUE_RENEW_S:
             return []
-        return self._reservations.ask_again(now, request)
+        return self._reservations.repeat_booking(now, request)
 
 
-def _turn_away(
+def _refuse_unadmitted(
     event: events.RequestArrived, refusal: verdict.Refusal
 ) -> Effects:
     if event.call.idempotency_key is not None:
-        refusal = refusals.keyed(refusal)
-    return endings.turn_away(event.request_id, refusal)
+        refusal = refusals.for_unclaimed_key(refusal)
+    return endings.refuse_unadmitted(event.request_id, refusal)
 
 
-def _has_lost_cache(now: float, request: Request) -> bool:
+def _has_expired_cache(now: float, request: Request) -> bool:
     """Whether the KV cache of a request without a decode engine has expired.
 
     The owner cannot be relied on to report this: it may have failed while
@@ -504,17 +514,21 @@
     )
 
 
-def _times(event: events.StepEnded, request: Request) -> Effects:
+def _durations(event: events.StepEnded, request: Request) -> Effects:
     """Return the durations of the parts of a complete answer."""
     began_at, first_at = request.phase_at, event.first_piece_at
     if event.step is events.Step.CALL:
-        return [request.took(effects.Part.CALL, event.now - began_at)]
+        return [request.duration(effects.Part.CALL, event.now - began_at)]
     if first_at is None:
         # A resumed stream that lacked only its end mark.
         return []
-    out: Effects = [request.took(effects.Part.DECODE, event.now - first_at)]
+    out: Effects = [
+        request.duration(effects.Part.DECODE, event.now - first_at)
+    ]
     if request.booked.prefill_id:
-        out.append(request.took(effects.Part.TRANSFER, first_at - began_at))
+        out.append(
+            request.duration(effects.Part.TRANSFER, first_at - began_at)
+        )
     if request.admitted.is_passed_on and event.first_token_at is not None:
         out.append(
             effects.PassedStream(
--- a/dandeliongw/entry/reservations.py
+++ b/dandeliongw/entry/reservations.py
@@ -25,7 +25,7 @@
 #: the entry places requests itself.
 PROBE_S = 0.5
 #: Interval in seconds at which a queued request repeats its booking.
-QUEUE_ASK_S = 0.3
+QUEUE_RENEW_S = 0.3
 #: Timeout in seconds of a search for an owner; the request is then refused.
 #: It also holds for a request in an owner's queue: no work is lost with it,
 #: and with a longer search its client would disconnect without an answer.
@@ -33,15 +33,15 @@
 #: The same for a request that an owner had placed. It is longer because the
 #: next owner has to obtain a lease first, and because giving up would lose
 #: what has been computed.
-OWNER_LOST_S = 5.0
+OWNER_FAILOVER_S = 5.0
 #: Seconds without a message after which a queued request searches for another
 #: owner.
-QUEUE_SILENT_S = 0.75
+QUEUE_TIMEOUT_S = 0.75
 #: Redirections followed in one search. Without a limit, two instances that
 #: name each other as the owner would redirect a request for ever.
-MOST_HOPS = 3
+MAX_REDIRECTS = 3
 #: Times that one candidate owner is asked before the next one is.
-ASKS_PER_OWNER = 2
+TRIES_PER_OWNER = 2
 
 Effects = list[typing.Any]
 
@@ -67,7 +67,7 @@
         request.phase = request_module.Phase.BOOKING
         request.phase_at = now
         request.asked = 0
-        request.hops = 0
+        request.redirects = 0
         return self.ask(now, request)
 
     def ask(
@@ -84,15 +84,17 @@
         owners = self._directory.owners_of(request.cell)
         if not owners:
             return None
-        turn = request.asked // ASKS_PER_OWNER
+        turn = request.asked // TRIES_PER_OWNER
         return self._ask(now, request, owners[turn % len(owners)])
 
     @property
-    def may_stand_in(self) -> bool:
+    def may_place_without_owner(self) -> bool:
         """Whether this entry may place requests without the cell's owner."""
         return self._directory.places_alone
 
-    def stand_in(self, now: float, request: request_module.Request) -> Effects:
+    def place_without_owner(
+        self, now: float, request: request_module.Request
+    ) -> Effects:
         """Book at this instance for this request and subsequent ones."""
         self._probe_at_by_cell[request.cell] = now + PROBE_S
         silent = decisions.OwnerSilent(
@@ -106,14 +108,14 @@
         asked = self._ask(now, request, own_id, unowned=True)
         return [silent.log(), *asked]
 
-    def note_owner_heard(self, cell: str) -> None:
+    def mark_owner_responsive(self, cell: str) -> None:
         """Return to booking at a cell's owner, because it responded."""
         self._probe_at_by_cell.pop(cell, None)
 
-    def note_heard_late(self, sender: str, cell: str) -> None:
+    def process_unawaited_answer(self, sender: str, cell: str) -> None:
         """Process an answer that no request waits for, as after a probe."""
         if sender != self._directory.own_id:
-            self.note_owner_heard(cell)
+            self.mark_owner_responsive(cell)
 
     def _probe(self, now: float, request: request_module.Request) -> Effects:
         """Return the messages that probe the owner, if a probe is due.
@@ -139,11 +141,15 @@
     ) -> Effects:
         """Book at the owner that another instance named in ``NotOwner``."""
         # An instance that is not the owner is not asked a second time.
-        request.asked += request.asked % ASKS_PER_OWNER
-        if not holder or holder == request.owner or request.hops >= MOST_HOPS:
+        request.asked += request.asked % TRIES_PER_OWNER
+        if (
+            not holder
+            or holder == request.owner
+            or request.redirects >= MAX_REDIRECTS
+        ):
             # The cell has no owner at present; the tick asks again later.
             return []
-        request.hops += 1
+        request.redirects += 1
         return self._ask(now, request, holder)
 
     def _ask(
@@ -184,7 +190,7 @@
             prompt_tokens=call.prompt_tokens,
             max_tokens=call.max_tokens,
             prefix=call.prefix,
-            deadline_s=request.useful_s(now),
+            deadline_s=request.placement_timeout_s(now),
             exclude=request.exclude,
             stage=request.stage,
             expected_tokens=call.expected_tokens,
@@ -194,7 +200,7 @@
         )
         return parts.Send(to=request.owner, message=book)
 
-    def move_search(
+    def rebook(
         self, now: float, request: request_module.Request, holder: str
     ) -> Effects:
         """Book at a cell's new owner what the old one had not placed."""
@@ -202,7 +208,7 @@
         request.phase_at = now
         return self._ask(now, request, holder)
 
-    def ask_again(
+    def repeat_booking(
         self, now: float, request: request_module.Request
     ) -> Effects:
         """Repeat the booking at the same owner, which is idempotent."""
@@ -290,10 +296,10 @@
         for cell, held in held_by_cell.items():
             owners = self._directory.owners_of(cell)
             if owners:
-                out.extend(self.tell(now, cell, held, owners[0]))
+                out.extend(self.renew_at(now, cell, held, owners[0]))
         return out
 
-    def tell(
+    def renew_at(
         self,
         now: float,
         cell: str,
--- a/dandeliongw/entry/retries.py
+++ b/dandeliongw/entry/retries.py
@@ -5,8 +5,8 @@
 import msgspec
 
 
-FIRST_PAUSE_S = 0.02
-MOST_PAUSE_S = 1.0
+FIRST_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 1.0
 
 
 class RetryBudget(msgspec.Struct, kw_only=True):
@@ -37,7 +37,7 @@
         self.left -= 1.0
         return True
 
-    def limit(self, burst: float) -> None:
+    def set_burst(self, burst: float) -> None:
         """Set the upper bound of saved-up retries."""
         self.burst = burst
         self.left = min(self.left, burst)
@@ -90,7 +90,7 @@
             budget = RetryBudget(part=self._part, burst=share, left=share)
             self._budgets_by_service[service] = budget
         elif budget.burst != share:
-            budget.limit(share)
+            budget.set_burst(share)
         return budget
 
 
@@ -102,5 +102,5 @@
         reported the failure; the result is between half of the upper bound
         and all of it.
     """
-    bound_s = min(MOST_PAUSE_S, FIRST_PAUSE_S * 2 ** max(0, attempt - 2))
+    bound_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** max(0, attempt - 2))
     return bound_s * (0.5 + 0.5 * entropy / 2**64)
--- a/dandeliongw/entry/step_ends.py
+++ b/dandeliongw/entry/step_results.py
@@ -50,7 +50,7 @@
         )
 
 
-End = Done | Failed
+StepResult = Done | Failed
 
 
 class StreamError(engine.EngineError):
--- a/dandeliongw/entry/spacing.py
+++ b/dandeliongw/entry/token_gaps.py
@@ -3,10 +3,10 @@
 #: Upper bound for the fraction of an answer's duration during which a slow
 #: client held it up. The true gap can be that much smaller than the measured
 #: one.
-MOST_HELD = 0.1
+MAX_CLIENT_DELAY_FRACTION = 0.1
 
 
-class Spacing:
+class TokenGapMeter:
     """Measures the mean gap between the tokens of one stream.
 
     All times are in seconds of one monotonic clock. A slow client looks like
@@ -46,6 +46,9 @@
     def mean_s(self) -> float:
         """Return the mean gap in seconds; 0 if it was not measured."""
         whole_s = self._last_at - self._first_at
-        if self._gaps < 1 or self._held_s > whole_s * MOST_HELD:
+        if (
+            self._gaps < 1
+            or self._held_s > whole_s * MAX_CLIENT_DELAY_FRACTION
+        ):
             return 0.0
         return whole_s / self._gaps
--- a/dandeliongw/entry/trials.py
+++ b/dandeliongw/entry/trials.py
@@ -19,7 +19,7 @@
 #: Ticket prefix, by which the reducer routes the answers.
 TRIAL_TICKET = 'trial:'
 #: Timeout in seconds for the answer of the instance that grants trials.
-ANSWER_S = 0.3
+GRANT_TIMEOUT_S = 0.3
 
 Effects = list[typing.Any]
 
@@ -73,6 +73,6 @@
 
     def tick(self, now: float, request: Request) -> Effects:
         """End the wait of a request whose trial request timed out."""
-        if now - request.phase_at < ANSWER_S:
+        if now - request.phase_at < GRANT_TIMEOUT_S:
             return []
         return self._attempts.begin(now, request)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -112,7 +112,11 @@
                 {'priority': 'no such'},
             )
         ]
-        stale = (REASON.CONFIGURATION_STALE, NOT_RUN, admission.SOON_S)
+        stale = (
+            REASON.CONFIGURATION_STALE,
+            NOT_RUN,
+            admission.TRANSIENT_RETRY_S,
+        )
         self.assertEqual(
             [stale] * 6,
             [
--- a/tests/test_breaks.py
+++ b/tests/test_crash_detection.py
@@ -7,19 +7,19 @@
 from dandeliongw.coordination import presence
 from dandeliongw.coordination import quarantine
 from dandeliongw import effects
-from dandeliongw.entry import breaks
+from dandeliongw.entry import crash_detection
 from dandeliongw import events
 
 START = presence.BackendStart(backend_id='s1', incarnation=4)
 
 
-class BreaksTest(unittest.TestCase):
+class CrashDetectorTest(unittest.TestCase):
     def setUp(self):
-        self.breaks = breaks.Breaks()
+        self.detector = crash_detection.CrashDetector()
         self.now = 100.0
 
     def add(self, fingerprint='f1'):
-        run = breaks.BrokenRun(
+        run = crash_detection.InterruptedRun(
             request_id='r1',
             fingerprint=fingerprint,
             content='content',
@@ -29,10 +29,10 @@
             url='http://10.0.0.1:80',
             ran_s=0.25,
         )
-        return self.breaks.add(self.now, run)
+        return self.detector.add(self.now, run)
 
     def probed(self, is_refused):
-        return self.breaks.probed(
+        return self.detector.process_probe(
             events.BackendProbed(
                 now=self.now + 0.5, start=START, is_refused=is_refused
             )
@@ -40,11 +40,11 @@
 
     def tick(self, seconds):
         self.now += seconds
-        return self.breaks.tick(self.now)
+        return self.detector.tick(self.now)
 
     def test_a_refused_connection_is_evidence_for_all_runs_there(self):
-        (look,) = self.add('f1')
-        self.assertIsInstance(look, effects.ProbeBackend)
+        (probe,) = self.add('f1')
+        self.assertIsInstance(probe, effects.ProbeBackend)
         # One probe for all of them.
         self.assertEqual([], self.add('f2'))
         line, first, _, second = self.probed(is_refused=True)
@@ -71,15 +71,15 @@
         self.add()
         for after_s in (0.2, 0.4):
             self.assertEqual([], self.probed(is_refused=False))
-            (look,) = self.tick(after_s)
-            self.assertIsInstance(look, effects.ProbeBackend)
+            (probe,) = self.tick(after_s)
+            self.assertIsInstance(probe, effects.ProbeBackend)
         self.assertEqual([], self.probed(is_refused=False))
         self.assertEqual([], self.tick(10.0))
 
     @params(1, 2)
-    def test_the_listening_socket_may_close_last(self, open_looks):
+    def test_the_listening_socket_may_close_last(self, open_probes):
         self.add()
-        for _ in range(open_looks):
+        for _ in range(open_probes):
             self.probed(is_refused=False)
             self.tick(0.4)
         self.assertEqual(2, len(self.probed(is_refused=True)))
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -160,15 +160,15 @@
         request_id = self.entry.arrive('lookup')
         self.entry.book(request_id, plain_incarnation=7)
         self.end(request_id, is_cut=True)
-        look = self.entry.one(effects.ProbeBackend)
+        probe = self.entry.one(effects.ProbeBackend)
         self.assertEqual(
-            presence.BackendStart(backend_id='s1', incarnation=7), look.start
+            presence.BackendStart(backend_id='s1', incarnation=7), probe.start
         )
-        self.assertEqual('http://s1', look.url)
+        self.assertEqual('http://s1', probe.url)
         # The next attempt does not wait for the probe.
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
         self.entry.post(
-            events.BackendProbed, start=look.start, is_refused=True
+            events.BackendProbed, start=probe.start, is_refused=True
         )
         (ended,) = self.entry.dispatched(quarantine.Ended)
         self.assertEqual(self.fingerprint('lookup'), ended.fingerprint)
@@ -183,8 +183,8 @@
         request_id = self.entry.calling('lookup', key=None)
         self.learn('lookup', 'a')
         self.entry.answer(request_id)
-        (told,) = self.entry.dispatched(quarantine.Succeeded)
-        self.assertEqual(self.fingerprint('lookup'), told.fingerprint)
+        (found,) = self.entry.dispatched(quarantine.Succeeded)
+        self.assertEqual(self.fingerprint('lookup'), found.fingerprint)
 
     def test_without_evidence_nothing_is_reported(self):
         request_id = self.entry.calling('lookup', key=None)
@@ -271,9 +271,9 @@
             self.end(instance_id, f'portal-{number}', call)
             self.network.run(1.0)
         self.network.run(_trials.TRIAL_AFTER_S)
-        told = []
+        found = []
         for number, instance_id in enumerate(self.network.reducers_by_id):
-            told += self.network.post(
+            found += self.network.post(
                 instance_id,
                 events.RequestArrived(
                     now=self.network.now,
@@ -282,13 +282,13 @@
                     entropy=1,
                 ),
             )
-        lines = [each for each in told if isinstance(each, effects.Log)]
+        lines = [each for each in found if isinstance(each, effects.Log)]
         self.assertEqual(
             1, [each.message for each in lines].count(_TRIED), lines
         )
         refused = [
             each.refusal.reason
-            for each in told
+            for each in found
             if isinstance(each, effects.Refuse)
         ]
         self.assertEqual(2, refused.count(REASON.QUARANTINED))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -359,13 +359,13 @@
 
     @params(0, 1)
     def test_a_client_that_closes_early_is_reported(self, read):
-        told = []
+        posted = []
         carried = relay.Relay(
             request_id='r',
             call=entry_fake.call('completion'),
             work=relay.Work(),
             backends=Adapters(),
-            post=lambda make_event: told.append(make_event(now=0.0)),
+            post=lambda make_event: posted.append(make_event(now=0.0)),
         )
         with raw_server.serving(
             IMPORTED,
@@ -376,7 +376,7 @@
                 carried.give(run_decode(server.url))
                 next(pieces)
             pieces.close()
-        kinds = [type(each) for each in told]
+        kinds = [type(each) for each in posted]
         gone = [events.CallerGone, events.RequestClosed]
         self.assertEqual(kinds, [events.RequestArrived, *gone] if read else [])
 
@@ -409,20 +409,20 @@
 
 def paced(paced_engine, directive):
     """Return the end of one decode step, run in the test's own thread."""
-    told = []
+    posted = []
     carried = relay.Relay(
         request_id='r',
         call=entry_fake.call('completion'),
         work=relay.Work(),
         backends=paced_engine,
-        post=lambda make_event: told.append(make_event(now=0.0)),
+        post=lambda make_event: posted.append(make_event(now=0.0)),
         clock=lambda: paced_engine.now,
     )
     carried.give(directive)
     carried.give(effects.Complete(request_id='r'))
     for _ in carried.pieces():
         pass
-    (ended,) = [each for each in told if isinstance(each, events.StepEnded)]
+    (ended,) = [each for each in posted if isinstance(each, events.StepEnded)]
     return ended
 
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -546,7 +546,9 @@
         request_id = entry.prefilling()
         entry.prefill(request_id, failure=RETRY.PREFILL_FAILED)
         self.assertEqual(entry.refusal.reason, REASON.RETRIES_SPENT)
-        self.assertEqual(entry.refusal.retry_after_s, admission.SOON_S)
+        self.assertEqual(
+            entry.refusal.retry_after_s, admission.TRANSIENT_RETRY_S
+        )
         request_id = entry.calling('lookup', None)
         entry.answer(request_id, RETRY.STREAM_BROKEN, known=MAY_HAVE_RUN)
         self.assertEqual(len(entry.sent(cells.Book)), 1)
@@ -617,7 +619,7 @@
             message = cells.NotOwner(**entry.ids_of(request_id), holder=holder)
             entry.receive(message, sender)
             asked += len(entry.sent(cells.Book))
-        self.assertEqual(asked, reservations.MOST_HOPS)
+        self.assertEqual(asked, reservations.MAX_REDIRECTS)
 
     def test_a_cell_without_an_owner(self):
         entry = Entry()
@@ -640,7 +642,7 @@
         began_at = entry.now
         while not entry.found(effects.Refuse):
             entry.tick()
-        most_s = reservations.QUEUE_SILENT_S + reservations.OWNER_SEARCH_S
+        most_s = reservations.QUEUE_TIMEOUT_S + reservations.OWNER_SEARCH_S
         self.assertLess(entry.now - began_at, most_s + 0.25)
         self.assertEqual(entry.refusal.reason, REASON.NO_OWNER)
         self.assertEqual(entry.refusal.verdict, NOT_RUN)
@@ -675,7 +677,7 @@
         _queue(entry, request_id)
         old = entry.ids_of(request_id)['attempt_id']
         entry.directory.owners = (NEXT_OWNER,)
-        entry.tick(reservations.QUEUE_SILENT_S)
+        entry.tick(reservations.QUEUE_TIMEOUT_S)
         ((to, book),) = entry.sent(cells.Book)
         self.assertEqual(to, NEXT_OWNER)
         self.assertNotEqual(book.attempt_id, old)
@@ -689,10 +691,11 @@
         entry.tick(cells.PROGRESS_EVERY_S)
         ((to, reclaim),) = entry.sent(cells.Reclaim)
         self.assertEqual(to, NEXT_OWNER)
-        told = {each.request_id: each for each in reclaim.bookings}
-        self.assertEqual(set(told), set(held))
+        reclaimed = {each.request_id: each for each in reclaim.bookings}
+        self.assertEqual(set(reclaimed), set(held))
         self.assertEqual(
-            [told[each].prefill_done for each in held], [True, False, True]
+            [reclaimed[each].prefill_done for each in held],
+            [True, False, True],
         )
         ((_, progress),) = entry.sent(cells.Progress)
         self.assertEqual(len(progress.bookings), 3)
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -116,7 +116,7 @@
             **self.entry.ids_of(request_id), epoch=1, expected_in_s=0.5
         )
         self.entry.receive(queued)
-        self.entry.tick(reservations.QUEUE_SILENT_S)
+        self.entry.tick(reservations.QUEUE_TIMEOUT_S)
         self.assertEqual(self.books(), [(OWN, True)])
 
     def test_what_a_new_owner_took_over_is_given_back_to_both(self):
--- a/tests/test_early.py
+++ b/tests/test_startup_queue.py
@@ -10,7 +10,7 @@
 REASON = verdict.RefusalReason
 
 
-class EarlyCallsTest(unittest.TestCase):
+class StartupQueueTest(unittest.TestCase):
     """Guards against calls that are late or refused after a power failure.
 
     All instances start at once and open their ports some tenths of a second
--- a/tests/test_spacing.py
+++ b/tests/test_token_gaps.py
@@ -4,12 +4,12 @@
 
 from nose2.tools import params
 
-from dandeliongw.entry import spacing
+from dandeliongw.entry import token_gaps
 
 
 def measured(*times):
     """Return the mean gap for (arrived, taken) times in seconds."""
-    measure = spacing.Spacing()
+    measure = token_gaps.TokenGapMeter()
     for arrived_at, taken_at in times:
         measure.arrived(arrived_at)
         measure.taken(taken_at)
@@ -26,7 +26,7 @@
         self.assertEqual(measured(*times), 0.0)
 
     def test_the_first_arrival_is_known_once_there_is_one(self):
-        measure = spacing.Spacing()
+        measure = token_gaps.TokenGapMeter()
         self.assertIsNone(measure.first_at)
         measure.arrived(5.0)
         measure.arrived(6.0)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -91,7 +91,7 @@
     def test_an_unanswered_trial_request_times_out(self):
         self.hold(60.0)
         self.arrive()
-        self.entry.tick(trials.ANSWER_S + 0.01)
+        self.entry.tick(trials.GRANT_TIMEOUT_S + 0.01)
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual(NOT_RUN, self.entry.refusal.verdict)
         # The trial that is due may be granted to this client's next send.
@@ -106,7 +106,7 @@
     def test_a_late_grant_starts_nothing(self):
         self.hold(60.0)
         request_id = self.arrive()
-        self.entry.tick(trials.ANSWER_S + 0.01)
+        self.entry.tick(trials.GRANT_TIMEOUT_S + 0.01)
         self.assertEqual([], self.answer(request_id, is_granted=True))
 
     def test_a_duplicate_grant_starts_one_attempt(self):
@@ -135,8 +135,8 @@
     def test_a_successful_trial_clears_the_call(self):
         request_id = self.tried()
         self.entry.answer(request_id)
-        (told,) = self.entry.dispatched(quarantine.Succeeded)
-        self.entry.quarantine.handle(told)
+        (succeeded,) = self.entry.dispatched(quarantine.Succeeded)
+        self.entry.quarantine.handle(succeeded)
         self.arrive()
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
 
