--- a/dandeliongw/entry/replies.py
+++ b/dandeliongw/entry/replies.py
@@ -52,7 +52,7 @@
         )
         if not is_current:
             return self._release_late_booking(event)
-        request.heard_at = event.now
+        request.owner_replied_at = event.now
         if not request.is_unowned and not isinstance(message, cells.NotOwner):
             self._reservations.mark_owner_responsive(request.cell)
         match message:
@@ -212,7 +212,7 @@
     def reclaim_all(
         self,
         now: float,
-        here: abc.Sequence[Request],
+        open_requests: abc.Sequence[Request],
         cell: str,
         holder: str,
         epoch: int,
@@ -222,11 +222,11 @@
         The message is sent even without bookings, because the owner waits for
         it. Requests that the old owner had queued are booked anew.
 
-        :param here: requests of the cell that have not ended.
+        :param open_requests: requests of the cell that have not ended.
         """
-        placed = [each for each in here if each.is_placed]
+        placed = [each for each in open_requests if each.is_placed]
         out = self._reservations.reclaim(now, cell, placed, holder, epoch)
-        for request in here:
+        for request in open_requests:
             if request.phase in UNPLACED:
                 out += self._reservations.rebook(now, request, holder)
         return out
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -86,9 +86,9 @@
     asked_at: float = 0.0
     #: Whether this entry booked itself, because the owner is unresponsive.
     is_unowned: bool = False
-    asked: int = 0
+    tries: int = 0
     redirects: int = 0
-    heard_at: float = 0.0
+    owner_replied_at: float = 0.0
     is_trial: bool = False
     is_held: bool = False
     booked: cells.Booked | None = None
--- a/dandeliongw/entry/requests.py
+++ b/dandeliongw/entry/requests.py
@@ -147,7 +147,7 @@
         self._gate.enter(admitted.account.name, admitted.streamed)
         self._budgets.earn(request.service)
         if held is not None:
-            return self._trials.ask(now, request)
+            return self._trials.request_grant(now, request)
         if call.idempotency_key is None:
             return self._attempts.begin(now, request)
         return idempotency.begin(now, request)
@@ -205,8 +205,8 @@
             # without it, and then the thread ended. The claim stays, so that
             # a resend is answered with "may have run".
             out += self._reservations.release(request, cells.Outcome.FAILED)
-        for again in request.cancels_by_attempt.values():
-            out += again
+        for cancels in request.cancels_by_attempt.values():
+            out += cancels
         self._gate.leave(
             request.admitted.account.name, request.admitted.streamed
         )
@@ -257,12 +257,14 @@
         self, now: float, cell: str, holder: str, epoch: int
     ) -> Effects:
         """Send a cell's new owner every booking this entry holds there."""
-        here = [
+        open_requests = [
             request
             for request in self.requests_by_id.values()
             if request.cell == cell and not request.is_ended
         ]
-        return self._replies.reclaim_all(now, here, cell, holder, epoch)
+        return self._replies.reclaim_all(
+            now, open_requests, cell, holder, epoch
+        )
 
     # Answers to claims
 
@@ -374,8 +376,12 @@
         nothing more for this attempt.
         """
         late = effects.CountLate(what=effects.Late.STEP)
-        again = request.cancels_by_attempt.pop(event.attempt_id, ())
-        return [late, *again, *idempotency.record_late_outcome(event, request)]
+        cancels = request.cancels_by_attempt.pop(event.attempt_id, ())
+        return [
+            late,
+            *cancels,
+            *idempotency.record_late_outcome(event, request),
+        ]
 
     def _prefill_ended(
         self, event: events.StepEnded, request: Request
@@ -474,7 +480,7 @@
             return self._reservations.place_without_owner(now, request)
         if waited_s < reservations.OWNER_ANSWER_S:
             return []
-        asked = self._reservations.ask(now, request)
+        asked = self._reservations.book(now, request)
         return self._attempts.handle_no_owner(now, request, asked)
 
     def _tick_queued(self, now: float, request: Request) -> Effects:
@@ -484,7 +490,7 @@
         message would keep the slot reserved and the request waiting until
         its deadline.
         """
-        if now - request.heard_at >= reservations.QUEUE_TIMEOUT_S:
+        if now - request.owner_replied_at >= reservations.QUEUE_TIMEOUT_S:
             if self._reservations.may_place_without_owner:
                 return self._reservations.place_without_owner(now, request)
             return self._attempts.search(now, request)
--- a/dandeliongw/entry/reservations.py
+++ b/dandeliongw/entry/reservations.py
@@ -66,11 +66,11 @@
         request.reclaimed_at = None
         request.phase = request_module.Phase.BOOKING
         request.phase_at = now
-        request.asked = 0
+        request.tries = 0
         request.redirects = 0
-        return self.ask(now, request)
+        return self.book(now, request)
 
-    def ask(
+    def book(
         self, now: float, request: request_module.Request
     ) -> Effects | None:
         """Send a booking to the next candidate; ``None`` if there is none.
@@ -80,12 +80,12 @@
         if request.cell in self._probe_at_by_cell:
             own_id = self._directory.own_id
             probe = self._probe(now, request)
-            return [*probe, *self._ask(now, request, own_id, unowned=True)]
+            return [*probe, *self._book_at(now, request, own_id, unowned=True)]
         owners = self._directory.owners_of(request.cell)
         if not owners:
             return None
-        turn = request.asked // TRIES_PER_OWNER
-        return self._ask(now, request, owners[turn % len(owners)])
+        turn = request.tries // TRIES_PER_OWNER
+        return self._book_at(now, request, owners[turn % len(owners)])
 
     @property
     def may_place_without_owner(self) -> bool:
@@ -105,7 +105,7 @@
             silent_ms=round((now - request.asked_at) * 1000),
         )
         own_id = self._directory.own_id
-        asked = self._ask(now, request, own_id, unowned=True)
+        asked = self._book_at(now, request, own_id, unowned=True)
         return [silent.log(), *asked]
 
     def mark_owner_responsive(self, cell: str) -> None:
@@ -134,14 +134,14 @@
         ):
             return []
         self._probe_at_by_cell[request.cell] = now + PROBE_S
-        return self._ask(now, request, owners[0])
+        return self._book_at(now, request, owners[0])
 
     def follow(
         self, now: float, request: request_module.Request, holder: str
     ) -> Effects:
         """Book at the owner that another instance named in ``NotOwner``."""
         # An instance that is not the owner is not asked a second time.
-        request.asked += request.asked % TRIES_PER_OWNER
+        request.tries += request.tries % TRIES_PER_OWNER
         if (
             not holder
             or holder == request.owner
@@ -150,9 +150,9 @@
             # The cell has no owner at present; the tick asks again later.
             return []
         request.redirects += 1
-        return self._ask(now, request, holder)
+        return self._book_at(now, request, holder)
 
-    def _ask(
+    def _book_at(
         self,
         now: float,
         request: request_module.Request,
@@ -175,11 +175,13 @@
         request.owner = holder
         request.is_unowned = unowned
         request.asked_at = now
-        request.asked += 1
+        request.tries += 1
         request.is_held = True
-        return [*out, self._book(now, request)]
+        return [*out, self._book_message(now, request)]
 
-    def _book(self, now: float, request: request_module.Request) -> parts.Send:
+    def _book_message(
+        self, now: float, request: request_module.Request
+    ) -> parts.Send:
         call = request.call
         book = cells.Book(
             cell=request.cell,
@@ -206,14 +208,14 @@
         """Book at a cell's new owner what the old one had not placed."""
         request.phase = request_module.Phase.BOOKING
         request.phase_at = now
-        return self._ask(now, request, holder)
+        return self._book_at(now, request, holder)
 
     def repeat_booking(
         self, now: float, request: request_module.Request
     ) -> Effects:
         """Repeat the booking at the same owner, which is idempotent."""
         request.asked_at = now
-        return [self._book(now, request)]
+        return [self._book_message(now, request)]
 
     # Releasing
 
--- a/dandeliongw/entry/trials.py
+++ b/dandeliongw/entry/trials.py
@@ -38,7 +38,7 @@
         self._attempts = attempts
         self._endings = endings
 
-    def ask(self, now: float, request: Request) -> Effects:
+    def request_grant(self, now: float, request: Request) -> Effects:
         """Request a trial; see :meth:`answered`."""
         request.phase = Phase.ASKING
         request.phase_at = now
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,7 +21,7 @@
 
 RETRY = verdict.RetryReason
 NOT_RUN = verdict.Verdict.NOT_RUN
-PATIENCE_S = 20
+TIMEOUT_S = 20
 IMPORTED = raw_server.answer({'bytes': 1})
 PREFILLED = raw_server.answer({'kv': 'k', 'tokens': 5})
 
@@ -38,7 +38,7 @@
         )
 
 
-class Carried:
+class RelayThread:
     """A relay in a thread of its own; the test acts as its reducer."""
 
     def __init__(self, kind='completion', clock=lambda: 0.0, **changes):
@@ -70,10 +70,10 @@
             message='over',
         )
         self.relay.give(effects.Refuse(request_id='r', refusal=refusal))
-        self.thread.join(PATIENCE_S)
+        self.thread.join(TIMEOUT_S)
 
     def next(self, event_class=events.StepEnded):
-        event = self.events.get(timeout=PATIENCE_S)
+        event = self.events.get(timeout=TIMEOUT_S)
         assert isinstance(event, event_class), event
         return event
 
@@ -137,11 +137,11 @@
         connection must not count as the end of the answer.
         """
         with raw_server.serving(IMPORTED, broken) as server:
-            with Carried() as carried:
-                ended = carried.run(run_decode(server.url))
+            with RelayThread() as runner:
+                ended = runner.run(run_decode(server.url))
         self.assertEqual(ended.failure, RETRY.STREAM_BROKEN)
         self.assertEqual(ended.tokens, 1)
-        self.assertEqual(carried.text, 'a')
+        self.assertEqual(runner.text, 'a')
 
     def test_a_stream_resumes_at_the_first_missing_token(self):
         """Guards against a duplicate or missing token after a resume.
@@ -154,11 +154,11 @@
             piece('r.1', 1, 'b'), piece('r.1', 2, 'c'), end('r.1', 3)
         )
         with raw_server.serving(IMPORTED, first, again) as server:
-            with Carried() as carried:
-                carried.run(run_decode(server.url))
-                ended = carried.run(run_decode(server.url, kv=''))
+            with RelayThread() as runner:
+                runner.run(run_decode(server.url))
+                ended = runner.run(run_decode(server.url, kv=''))
         self.assertIsNone(ended.failure)
-        self.assertEqual(carried.text, 'abc')
+        self.assertEqual(runner.text, 'abc')
         self.assertEqual(server.bodies()[-1]['from_offset'], 2)
         self.assertEqual(outcome.from_bytes(ended.outcome).text, 'abc')
         connections = [path for path, _, _ in server.calls]
@@ -177,9 +177,9 @@
             end('r.1', 1),
         )
         with raw_server.serving(IMPORTED, mixed) as server:
-            with Carried() as carried:
-                ended = carried.run(run_decode(server.url))
-        self.assertEqual((carried.text, ended.late_pieces), ('a', 2))
+            with RelayThread() as runner:
+                ended = runner.run(run_decode(server.url))
+        self.assertEqual((runner.text, ended.late_pieces), ('a', 2))
         self.assertIsNone(ended.failure)
 
     def test_the_text_so_far_is_part_of_the_next_prompt(self):
@@ -194,26 +194,26 @@
         with raw_server.serving(
             IMPORTED, first, PREFILLED, IMPORTED, again
         ) as server:
-            with Carried() as carried:
-                carried.run(run_decode(server.url))
-                carried.run(run_prefill(server.url, 'r.2'))
-                ended = carried.run(run_decode(server.url, 'r.2'))
+            with RelayThread() as runner:
+                runner.run(run_decode(server.url))
+                runner.run(run_prefill(server.url, 'r.2'))
+                ended = runner.run(run_decode(server.url, 'r.2'))
         self.assertIsNone(ended.failure)
-        self.assertEqual((carried.text, ended.tokens), ('abc', 3))
+        self.assertEqual((runner.text, ended.tokens), ('abc', 3))
         self.assertEqual(server.bodies()[2]['prompt'], 'pab')
         last = server.bodies()[-1]
         self.assertEqual((last['from_offset'], last['max_tokens']), (0, 8))
         self.assertEqual(
-            [each.offset for each in carried.pieces[:3]], [0, 1, 2]
+            [each.offset for each in runner.pieces[:3]], [0, 1, 2]
         )
 
     def test_an_answer_without_its_end_mark_is_complete(self):
         pieces = [piece('r.1', at, 'a') for at in range(10)]
         with raw_server.serving(IMPORTED, stream(*pieces), stream()) as server:
-            with Carried(max_tokens=10) as carried:
-                ended = carried.run(run_decode(server.url))
+            with RelayThread(max_tokens=10) as runner:
+                ended = runner.run(run_decode(server.url))
                 self.assertEqual(ended.failure, RETRY.STREAM_BROKEN)
-                ended = carried.run(run_decode(server.url, kv=''))
+                ended = runner.run(run_decode(server.url, kv=''))
         self.assertIsNone(ended.failure)
         self.assertEqual(ended.tokens, 10)
 
@@ -224,8 +224,8 @@
     )
     def test_why_an_import_failed(self, body, failure):
         reply = raw_server.answer(body, '409 Conflict')
-        with raw_server.serving(reply) as server, Carried() as carried:
-            ended = carried.run(run_decode(server.url))
+        with raw_server.serving(reply) as server, RelayThread() as runner:
+            ended = runner.run(run_decode(server.url))
         self.assertEqual((ended.failure, ended.known), (failure, NOT_RUN))
 
 
@@ -248,8 +248,11 @@
     def test_which_failures_are_cuts(self, make, reply, cut):
         replies = (IMPORTED, reply) if make is run_decode else (reply,)
         kind = 'booking' if make is run_call else 'completion'
-        with raw_server.serving(*replies) as server, Carried(kind) as carried:
-            ended = carried.run(make(server.url))
+        with (
+            raw_server.serving(*replies) as server,
+            RelayThread(kind) as runner,
+        ):
+            ended = runner.run(make(server.url))
         self.assertIsNotNone(ended.failure)
         self.assertEqual(cut, ended.is_cut)
 
@@ -270,14 +273,14 @@
                 'waiting': run_prefill(server.url, start_in_s=60.0),
             }[step]
             kind = 'booking' if step == 'call' else 'completion'
-            with Carried(kind) as carried:
-                carried.relay.give(directive)
+            with RelayThread(kind) as runner:
+                runner.relay.give(directive)
                 if step != 'waiting':
-                    server.served.acquire(timeout=PATIENCE_S)
-                carried.relay.give(
+                    server.served.acquire(timeout=TIMEOUT_S)
+                runner.relay.give(
                     effects.Abort(request_id='r', attempt_id='r.1')
                 )
-                ended = carried.next()
+                ended = runner.next()
         self.assertIsNotNone(ended.failure)
         self.assertEqual(ended.known is NOT_RUN, step == 'waiting')
 
@@ -288,26 +291,26 @@
         before it has registered its adapter. It must not be lost.
         """
         with raw_server.serving(lambda c: server.hang()(c)) as server:
-            carried = Carried()
+            runner = RelayThread()
 
-            class Late(Adapters):
+            class LateAbort(Adapters):
                 def model_engine(self, url, backend_id, pieces_held):
-                    carried.relay.give(
+                    runner.relay.give(
                         effects.Abort(request_id='r', attempt_id='r.1')
                     )
                     return super().model_engine(url, backend_id, pieces_held)
 
-            carried.relay._backends = Late()
-            with carried:
-                ended = carried.run(run_prefill(server.url))
+            runner.relay._backends = LateAbort()
+            with runner:
+                ended = runner.run(run_prefill(server.url))
         self.assertEqual(ended.known, NOT_RUN)
         self.assertEqual(server.calls, [])
 
     def test_the_next_attempt_is_not_stopped_with_the_last(self):
-        with raw_server.serving(PREFILLED) as server, Carried() as carried:
-            carried.relay.give(effects.Abort(request_id='r', attempt_id='r.1'))
-            self.assertIsNotNone(carried.run(run_prefill(server.url)).failure)
-            ended = carried.run(run_prefill(server.url, 'r.2'))
+        with raw_server.serving(PREFILLED) as server, RelayThread() as runner:
+            runner.relay.give(effects.Abort(request_id='r', attempt_id='r.1'))
+            self.assertIsNotNone(runner.run(run_prefill(server.url)).failure)
+            ended = runner.run(run_prefill(server.url, 'r.2'))
         self.assertEqual((ended.failure, ended.kv), (None, 'k'))
 
     @params('prefill', 'decode', 'call')
@@ -324,8 +327,8 @@
                 'decode': run_decode(server.url),
                 'call': run_call(server.url),
             }[step]
-            with Carried(clock=lambda: next(times, 99.0)) as carried:
-                ended = carried.run(directive)
+            with RelayThread(clock=lambda: next(times, 99.0)) as runner:
+                ended = runner.run(directive)
         self.assertEqual(ended.known, NOT_RUN)
         self.assertIsNotNone(ended.failure)
         self.assertEqual(server.calls, [])
@@ -334,8 +337,8 @@
 class Ends(unittest.TestCase):
     def test_a_call_has_its_deadline_in_a_header(self):
         with raw_server.serving(raw_server.answer(b'ok')) as server:
-            with Carried('booking') as carried:
-                ended = carried.run(run_call(server.url, 2.5))
+            with RelayThread('booking') as runner:
+                ended = runner.run(run_call(server.url, 2.5))
         self.assertEqual(outcome.from_bytes(ended.outcome).body, b'ok')
         self.assertEqual(server.calls[0][1]['x-deadline-s'], '2.500')
         self.assertEqual(server.calls[0][1]['x-request-id'], 'r')
@@ -347,20 +350,20 @@
         end of the step to the reducer all the same.
         """
 
-        class Odd(Adapters):
+        class Raising(Adapters):
             def plain_service(self, url, backend_id, timeout_s):
                 raise KeyError('odd')
 
-        with Carried('booking') as carried:
-            carried.relay._backends = Odd()
-            ended = carried.run(run_call('http://x'))
+        with RelayThread('booking') as runner:
+            runner.relay._backends = Raising()
+            ended = runner.run(run_call('http://x'))
         self.assertEqual(ended.known, verdict.Verdict.MAY_HAVE_RUN)
         self.assertEqual(ended.failure, RETRY.STREAM_BROKEN)
 
     @params(0, 1)
     def test_a_client_that_closes_early_is_reported(self, read):
         posted = []
-        carried = relay.Relay(
+        runner = relay.Relay(
             request_id='r',
             call=entry_fake.call('completion'),
             work=relay.Work(),
@@ -371,9 +374,9 @@
             IMPORTED,
             lambda c: server.hang(STREAM_HEAD, piece('r.1', 0, 'a'))(c),
         ) as server:
-            pieces = carried.pieces()
+            pieces = runner.pieces()
             if read:
-                carried.give(run_decode(server.url))
+                runner.give(run_decode(server.url))
                 next(pieces)
             pieces.close()
         kinds = [type(each) for each in posted]
@@ -410,7 +413,7 @@
 def paced(paced_engine, directive):
     """Return the end of one decode step, run in the test's own thread."""
     posted = []
-    carried = relay.Relay(
+    runner = relay.Relay(
         request_id='r',
         call=entry_fake.call('completion'),
         work=relay.Work(),
@@ -418,9 +421,9 @@
         post=lambda make_event: posted.append(make_event(now=0.0)),
         clock=lambda: paced_engine.now,
     )
-    carried.give(directive)
-    carried.give(effects.Complete(request_id='r'))
-    for _ in carried.pieces():
+    runner.give(directive)
+    runner.give(effects.Complete(request_id='r'))
+    for _ in runner.pieces():
         pass
     (ended,) = [each for each in posted if isinstance(each, events.StepEnded)]
     return ended
