--- a/dandeliongw/entry/holds.py
+++ b/dandeliongw/entry/holds.py
@@ -20,7 +20,7 @@
     """The reason why a request is refused: its call is quarantined.
 
     :param line: log line with the evidence.
-    :param may_be_tried: whether this send may run as a trial, if no other
+    :param may_be_trial: whether this send may run as a trial, if no other
         trial is under way.
     """
 
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -56,11 +56,11 @@
     :param claim_key: set while this entry holds a claim for it.
     :param serial: numbers the attempt ids; grows faster than ``attempts``,
         because each owner that is asked gets an id of its own.
-    :param search_s: timeout in seconds of a search for an owner.
+    :param search_timeout_s: timeout in seconds of a search for an owner.
     :param is_trial: whether its call is quarantined, and this is the one send
         that runs as a trial.
     :param is_held: whether an owner may hold a reservation for it.
-    :param resumes_from: offset of the last resume, in pieces; a second
+    :param last_resume_offset: offset of the last resume, in pieces; a second
         interruption at the same offset means that resuming does not help.
     :param reclaimed_at: when the booking, made by an earlier owner, was first
         reclaimed at the present owner.
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -28,7 +28,7 @@
 _TRIED = decisions.CallTried.message
 
 
-class Held(unittest.TestCase):
+class HoldsTestCase(unittest.TestCase):
     """Base class: an entry with evidence against some of its calls."""
 
     def setUp(self):
@@ -61,7 +61,7 @@
         )
 
 
-class ArrivalTest(Held):
+class ArrivalTest(HoldsTestCase):
     def test_a_quarantined_call_is_refused_with_a_retry_time(self):
         self.hold('lookup')
         self.entry.arrive('lookup')
@@ -87,7 +87,7 @@
         self.assertEqual(MAY_HAVE_RUN, self.entry.refusal.verdict)
 
 
-class InFlightTest(Held):
+class InFlightTest(HoldsTestCase):
     """Requests in flight when their call is quarantined."""
 
     def test_a_request_without_a_slot_is_stopped(self):
@@ -120,7 +120,7 @@
         self.assertEqual(MAY_HAVE_RUN, self.entry.refusal.verdict)
 
 
-class StreamTest(Held):
+class StreamTest(HoldsTestCase):
     """Guards against a quarantined stream that crashes another engine."""
 
     def test_a_stream_is_not_decoded_after_its_prefill(self):
@@ -149,7 +149,7 @@
         )
 
 
-class EvidenceTest(Held):
+class EvidenceTest(HoldsTestCase):
     """The evidence that an entry derives from the ends of its steps."""
 
     def end(self, request_id, **changes):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -186,7 +186,7 @@
         """Guards against missing tokens after an engine has failed.
 
         After two tokens the engine fails. Another one prefills the prompt
-        with them and streams the rest. It must not be told to skip the two
+        with them and streams the rest. It must not be asked to skip the two
         tokens, which would be skipped twice.
         """
         first = stream(piece('r.1', 0, 'a'), piece('r.1', 1, 'b'))
@@ -380,8 +380,10 @@
                 next(pieces)
             pieces.close()
         kinds = [type(each) for each in posted]
-        gone = [events.CallerGone, events.RequestClosed]
-        self.assertEqual(kinds, [events.RequestArrived, *gone] if read else [])
+        disconnect = [events.CallerGone, events.RequestClosed]
+        self.assertEqual(
+            kinds, [events.RequestArrived, *disconnect] if read else []
+        )
 
 
 class PacedEngine:
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -18,7 +18,7 @@
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 
 
-class Trial(unittest.TestCase):
+class TrialTestCase(unittest.TestCase):
     """Base class: clients without an account, one call quarantined."""
 
     def setUp(self):
@@ -74,7 +74,7 @@
         return request_id
 
 
-class GrantTest(Trial):
+class GrantTest(TrialTestCase):
     def test_a_send_before_the_trial_is_due_gets_a_retry_time(self):
         self.hold(4.0)
         self.arrive()
@@ -131,7 +131,7 @@
         self.assertGreater(self.entry.refusal.retry_after_s, 60.0)
 
 
-class TrialTest(Trial):
+class TrialTest(TrialTestCase):
     def test_a_successful_trial_clears_the_call(self):
         request_id = self.tried()
         self.entry.answer(request_id)
