--- a/dandeliongw/entry/relay.py
+++ b/dandeliongw/entry/relay.py
@@ -223,7 +223,7 @@
                 is_cut=error.is_cut,
             )
         except (KeyError, TypeError, ValueError, LookupError) as error:
-            logger.exception('could not parse an answer of a backend server')
+            logger.exception('could not process backend server answer')
             end = step_results.Failed(
                 known=verdict.Verdict.MAY_HAVE_RUN,
                 failure=step_results.GENERAL_FAILURES[step],
