--- /dev/null
+++ b/dandeliongw/entry/crash_detection.py
@@ -0,0 +1,146 @@
+"""Detection of backend servers that crashed while running a call.
+
+To the entry, a reset connection, a broken link and the end of the server's
+process look alike. After the end of a process, its machine refuses
+connections to its address, so the address is probed when a connection breaks.
+The probe runs in the background: the call's next attempt does not wait for
+it.
+"""
+
+import typing
+
+import msgspec
+
+from .. import decisions
+from .. import effects
+from .. import events
+from ..coordination import presence
+from ..coordination import quarantine
+
+#: Seconds from the break to each probe of the address. The listening socket
+#: may be closed a moment after the connection; a supervisor restarts the
+#: process about a second later.
+PROBE_DELAYS_S = (0.0, 0.1, 0.4)
+
+Effects = list[typing.Any]
+
+
+class InterruptedRun(msgspec.Struct, frozen=True, kw_only=True):
+    """A run that was interrupted by a broken connection.
+
+    :param fingerprint: of the call.
+    :param content: fingerprint of the call's content, the same for all
+        clients.
+    :param caller: the client account, or the address it came from.
+    :param url: of the backend server.
+    :param ran_s: seconds from the start of the run until it broke off.
+    :param is_trial: whether it was the trial of a quarantined call.
+    """
+
+    request_id: str
+    fingerprint: str
+    content: str
+    service: str
+    caller: str
+    start: presence.BackendStart
+    url: str
+    ran_s: float
+    is_trial: bool = False
+
+
+class _Interruption(msgspec.Struct, kw_only=True):
+    """One start of a backend server on which runs were interrupted.
+
+    :param probes: number of probes of its address so far.
+    """
+
+    url: str
+    broke_at: float
+    runs_by_fingerprint: dict[str, InterruptedRun]
+    probes: int = 0
+    is_probing: bool = False
+
+
+class CrashDetector:
+    """Determines during which runs a backend server ended."""
+
+    def __init__(self) -> None:
+        self._interruptions_by_start: dict[
+            presence.BackendStart, _Interruption
+        ] = {}
+
+    def add(self, now: float, run: InterruptedRun) -> Effects:
+        """Record an interrupted run; return the probe of its server."""
+        interruption = self._interruptions_by_start.get(run.start)
+        if interruption is None:
+            interruption = _Interruption(
+                url=run.url, broke_at=now, runs_by_fingerprint={}
+            )
+            self._interruptions_by_start[run.start] = interruption
+        interruption.runs_by_fingerprint[run.fingerprint] = run
+        return self._probe(now, run.start, interruption)
+
+    def tick(self, now: float) -> Effects:
+        """Return the probes that are due."""
+        out: Effects = []
+        for start, interruption in self._interruptions_by_start.items():
+            out += self._probe(now, start, interruption)
+        return out
+
+    def _probe(
+        self,
+        now: float,
+        start: presence.BackendStart,
+        interruption: _Interruption,
+    ) -> Effects:
+        if (
+            interruption.is_probing
+            or now
+            < interruption.broke_at + PROBE_DELAYS_S[interruption.probes]
+        ):
+            return []
+        interruption.is_probing = True
+        interruption.probes += 1
+        return [effects.ProbeBackend(start=start, url=interruption.url)]
+
+    def process_probe(self, event: events.BackendProbed) -> Effects:
+        """Process the result of a probe of a server's address."""
+        interruption = self._interruptions_by_start.get(event.start)
+        if interruption is None:
+            return []
+        interruption.is_probing = False
+        if event.is_refused:
+            del self._interruptions_by_start[event.start]
+            return _report_ended(event, interruption)
+        if interruption.probes >= len(PROBE_DELAYS_S):
+            # Only the connection broke; the process did not end.
+            del self._interruptions_by_start[event.start]
+        return []
+
+
+def _report_ended(
+    event: events.BackendProbed, interruption: _Interruption
+) -> Effects:
+    out: Effects = []
+    for fingerprint, run in interruption.runs_by_fingerprint.items():
+        line = decisions.BackendEnded(
+            request_id=run.request_id,
+            call=fingerprint,
+            content=run.content,
+            service=run.service,
+            caller=run.caller,
+            backend_id=event.start.backend_id,
+            incarnation=event.start.incarnation,
+            ran_ms=round(run.ran_s * 1000),
+            calls_beside=len(interruption.runs_by_fingerprint) - 1,
+            is_trial=run.is_trial,
+        )
+        ended = quarantine.Ended(
+            now=event.now,
+            fingerprint=fingerprint,
+            start=event.start,
+            ended_at=interruption.broke_at,
+            is_trial=run.is_trial,
+        )
+        out += [line.log(), effects.Dispatch(event=ended)]
+    return out
--- a/dandeliongw/entry/recovery.py
+++ b/dandeliongw/entry/recovery.py
@@ -1,7 +1,8 @@
-"""After a step failed: the cheapest next step that meets the deadline.
+"""Recovery from a failed step, by the cheapest means within the deadline.
 
-In this order: resume the stream, move the KV cache, begin another attempt,
-give up. ``docs/REQUEST-LIFE.md`` says when each is tried.
+The options are, in this order: resume the stream, move the KV cache, begin
+another attempt, give up. ``docs/REQUEST-LIFE.md`` describes when each is
+used.
 """
 
 import typing
@@ -33,8 +34,8 @@
         self._attempts = attempts
         self._endings = endings
 
-    def after(self, event: events.StepEnded, request: Request) -> Effects:
-        """Take in that a step of the present attempt failed."""
+    def recover(self, event: events.StepEnded, request: Request) -> Effects:
+        """Process the failure of a step of the current attempt."""
         log = refusals.log_failure(event)
         return [log, *self._choose(event, request)]
 
@@ -55,31 +56,31 @@
             return self._endings.give_up(
                 event.now, request, refusals.answer_unusable(event.message)
             )
-        return self._attempts.again(
+        return self._attempts.retry(
             event.now,
             request,
             failure=event.failure,
             message=event.message,
-            failed_id=request.place(event.step).start.backend_id,
+            failed_id=request.booked_backend(event.step).start.backend_id,
             entropy=event.entropy,
         )
 
     def _may_resume(self, event: events.StepEnded, request: Request) -> bool:
-        """Whether the engine may hold the stream still.
+        """Whether the engine may still hold the stream.
 
-        It does when only the connection died. A second break at the same
-        token means that the engine itself is at fault.
+        It does if only the connection failed. A second interruption at the
+        same token means that the engine itself is at fault.
         """
         broke = event.failure in (_RETRY.STREAM_BROKEN, _RETRY.STREAM_STALLED)
         return (
             broke
-            and request.resumes_from < event.tokens
+            and request.last_resume_offset < event.tokens
             and request.may_run_elsewhere
         )
 
     def _resume(self, event: events.StepEnded, request: Request) -> Effects:
-        """Take the stream up where it broke, over a new connection."""
-        request.resumes_from = event.tokens
+        """Resume the stream where it broke, over a new connection."""
+        request.last_resume_offset = event.tokens
         request.kv = ''
         count = effects.CountRetry(reason=event.failure)
         resumed = decisions.StreamResumed(
@@ -96,16 +97,16 @@
             and event.failure is not _RETRY.KV_EVICTED
             and event.now - request.kv_at < request.kv_life_s
             and request.may_run_elsewhere
-            and not request.has_run_enough
+            and not request.has_used_up_runs
             and request.attempts < attempts.MAX_ATTEMPTS
             and self._attempts.held(event.now, request) is None
         )
 
     def _move(self, event: events.StepEnded, request: Request) -> Effects:
-        """Bring the KV cache to another decode engine before it is evicted.
+        """Move the KV cache to another decode engine before it is evicted.
 
-        The booking is changed, not given back: giving it back would cancel
-        the prefill's result, which is all that there is to move.
+        The booking is changed, not released: a release would discard the
+        prefill's result, which is what is to be moved.
         """
         booked = request.booked
         cancel = reservations.cancel_of(
--- a/dandeliongw/entry/relay.py
+++ b/dandeliongw/entry/relay.py
@@ -1,8 +1,9 @@
-"""The hands of one request: its thread does what the reducer directs.
+"""The worker of one request: runs the steps that the reducer directs.
 
-The reducer decides and never blocks; this module blocks and never decides.
-Tokens flow from the engine's connection to the caller's without passing the
-reducer, which hears only how each step ended.
+The reducer makes all decisions and never blocks. This module does the
+blocking I/O in the request's own thread and makes no decisions. Tokens flow
+from the engine's connection to the client's without passing through the
+reducer, which is notified only of how each step ended.
 """
 
 from collections import abc
@@ -20,24 +21,25 @@
 from .. import engine
 from .. import events
 from .. import verdict
+from . import cancellations
 from . import outcome
-from . import spacing
-from . import step_ends
-from . import stops
+from . import step_results
+from . import token_gaps
 
-#: From here on a status tells that the backend server failed; another one
-#: may do better if the call may be repeated.
+#: Lowest HTTP status that counts as a failure of the backend server. The call
+#: is then sent to another one, if it may be repeated.
 FIRST_FAILURE_STATUS = 500
-#: Headers of a caller's call that a plain service gets to see.
+#: Headers of the client's call that are forwarded to a plain service.
 PASSED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
 class Work(msgspec.Struct, frozen=True, kw_only=True):
-    """The parts of a caller's request that the reducer has no need of.
+    """The parts of a client's request that the reducer does not need.
 
-    :param is_passed_on: the answer goes back as it comes, and engines number
-        the pieces of a resumed stream on from where it broke.
-    :param pieces_held: of the stream, which the caller has already.
+    :param is_passed_on: the answer is forwarded unchanged, and when a stream
+        is resumed, the engine continues the numbering of its pieces.
+    :param most_bytes: upper bound for the body of a plain service's answer.
+    :param pieces_held: number of stream pieces that the client already has.
     """
 
     prompt: str = ''
@@ -51,9 +53,9 @@
 
 
 class Finished(msgspec.Struct, frozen=True, kw_only=True):
-    """The end of an answer that is whole.
+    """The end of a complete answer.
 
-    :param replayed: whether it was recorded by an earlier send.
+    :param replayed: whether the answer was recorded by an earlier send.
     :param headers: of a plain service's answer.
     """
 
@@ -63,14 +65,15 @@
 
 
 class Backends(typing.Protocol):
-    """Makes the adapters that a relay talks through."""
+    """Creates the adapters that connect a relay to backend servers."""
 
     def model_engine(
         self, url: str, backend_id: str, pieces_held: int
     ) -> engine.Engine:
-        """Return what sends the call to an engine.
+        """Return an adapter for an engine.
 
-        :param pieces_held: of the stream, which the caller has already.
+        :param pieces_held: number of stream pieces that the client already
+            has.
         """
         ...
 
@@ -80,16 +83,17 @@
 
 
 class Post(typing.Protocol):
-    """Hands an event to the reducer, from any thread."""
+    """Posts an event to the reducer; thread-safe."""
 
     def __call__(self, make_event: abc.Callable[..., typing.Any]) -> None: ...
 
 
 class Relay:
-    """Carries one request from its arrival to its answer's end.
+    """Runs one request from its arrival to the end of its answer.
 
-    :param post: where events go.
-    :param clock: monotonic seconds, as the reducer's.
+    :param backends: creates the adapters for backend servers.
+    :param post: posts events to the reducer.
+    :param clock: returns monotonic seconds; the same clock as the reducer's.
     """
 
     def __init__(
@@ -111,47 +115,47 @@
         self._directives: queue.SimpleQueue[
             tuple[float, effects.Directive]
         ] = queue.SimpleQueue()
-        self._stops = stops.Stops()
+        self._cancellations = cancellations.Cancellations()
         self._text: list[str] = []
         self._offset = work.pieces_held
-        # Where the present engine's count of tokens begins.
+        # Offset in the answer at which the current engine starts counting.
         self._base = 0
         self._late_pieces = 0
         self._outcome: outcome.Outcome | None = None
         self._headers: tuple[tuple[str, str], ...] = ()
-        self._has_head = False
+        self._has_sent_head = False
         self._first_token_at: float | None = None
-        self._failed: engine.Reply | None = None
+        self._failed_reply: engine.Reply | None = None
 
     def give(self, directive: effects.Directive) -> None:
-        """Take a directive; called by the runtime, never blocks."""
+        """Accept a directive; called by the runtime, never blocks."""
         if isinstance(directive, effects.Abort):
-            self._stops.stop(directive.attempt_id)
+            self._cancellations.cancel(directive.attempt_id)
         else:
             self._directives.put((self._clock(), directive))
 
     def pieces(
         self,
     ) -> abc.Iterator[engine.Head | engine.Piece | Finished | verdict.Refusal]:
-        """Yield the answer's text as it arrives, then how it ended.
+        """Yield the pieces of the answer as they arrive, then its end.
 
-        A stream that is passed on begins with its head. The last item is a
-        :class:`Finished` or a ``Refusal``. Closing the
-        iterator early tells the reducer that the caller has gone.
+        A stream that is forwarded unchanged begins with its head. The last
+        item is a :class:`Finished` or a ``Refusal``. Closing the iterator
+        early notifies the reducer that the client has disconnected.
         """
         ended = False
         try:
-            yield from self._follow_directives()
+            yield from self._run_directives()
             ended = True
         finally:
             if not ended:
-                self._tell(events.CallerGone, request_id=self.request_id)
-            self._tell(events.RequestClosed, request_id=self.request_id)
+                self._post_event(events.CallerGone, request_id=self.request_id)
+            self._post_event(events.RequestClosed, request_id=self.request_id)
 
-    def _follow_directives(
+    def _run_directives(
         self,
     ) -> abc.Iterator[engine.Piece | Finished | verdict.Refusal]:
-        self._tell(
+        self._post_event(
             events.RequestArrived,
             request_id=self.request_id,
             call=self.call,
@@ -161,7 +165,7 @@
             given_at, directive = self._directives.get()
             match directive:
                 case effects.Refuse(refusal=refusal):
-                    yield self._last_failure(refusal)
+                    yield self._prefer_failed_reply(refusal)
                     return
                 case effects.Replay(outcome=recorded):
                     yield Finished(
@@ -177,18 +181,23 @@
                 case _:
                     yield from self._run(given_at, directive)
 
-    def _last_failure(
+    def _prefer_failed_reply(
         self, refusal: verdict.Refusal
     ) -> Finished | verdict.Refusal:
-        """Return a backend server's own failure in place of ours.
+        """Return the last failure answer of a backend server, if any.
 
-        Its caller is told more by it, and nothing that a backend server
-        answered is thrown away. A refusal that says "not run" stays.
+        It replaces the refusal, because it gives the client more detail and
+        no answer of a backend server is discarded. A refusal with the verdict
+        "not run" is kept.
         """
-        if self._failed is None or refusal.verdict is verdict.Verdict.NOT_RUN:
+        if (
+            self._failed_reply is None
+            or refusal.verdict is verdict.Verdict.NOT_RUN
+        ):
             return refusal
         return Finished(
-            outcome=_outcome_of(self._failed), headers=self._failed.headers
+            outcome=_outcome_of(self._failed_reply),
+            headers=self._failed_reply.headers,
         )
 
     # Steps
@@ -196,47 +205,48 @@
     def _run(
         self, given_at: float, directive: typing.Any
     ) -> abc.Iterator[engine.Piece]:
-        """Do one step and tell how it ended, whatever comes in between.
+        """Run one step and report how it ended, also after an error.
 
-        An answer that no adapter foresaw must not end the thread: its caller
-        would get no verdict, and its slot would stay booked for seconds.
+        An answer that an adapter cannot parse must not end the thread.
+        Otherwise the client would get no verdict, and the slot would stay
+        booked for seconds.
         """
         attempt_id = directive.attempt_id
         step = _STEP_BY_DIRECTIVE[type(directive)]
         try:
-            end = yield from self._do(given_at, directive)
+            end = yield from self._start_step(given_at, directive)
         except engine.EngineError as error:
-            end = step_ends.Failed(
+            end = step_results.Failed(
                 known=error.known,
-                failure=step_ends.failure_of(step, error),
+                failure=step_results.failure_of(step, error),
                 message=str(error),
                 is_cut=error.is_cut,
             )
         except (KeyError, TypeError, ValueError, LookupError) as error:
-            logger.exception('a backend server was not understood')
-            end = step_ends.Failed(
+            logger.exception('could not process backend server answer')
+            end = step_results.Failed(
                 known=verdict.Verdict.MAY_HAVE_RUN,
-                failure=step_ends.GENERAL_FAILURES[step],
+                failure=step_results.GENERAL_FAILURES[step],
                 message=f'the answer was not understood: {error!r}',
             )
         finally:
-            self._stops.forget(attempt_id)
+            self._cancellations.forget(attempt_id)
         self._end_step(step, attempt_id, end)
 
-    def _do(
+    def _start_step(
         self, given_at: float, directive: typing.Any
-    ) -> abc.Generator[engine.Piece, None, step_ends.End]:
+    ) -> abc.Generator[engine.Piece, None, step_results.StepResult]:
         start_in_s = getattr(directive, 'start_in_s', 0.0)
-        stop = self._stops.event(directive.attempt_id)
+        stop = self._cancellations.event(directive.attempt_id)
         if stop.wait(start_in_s) or stop.is_set():
-            return step_ends.Failed.unstarted(
+            return step_results.Failed.unstarted(
                 'it was broken off before it started'
             )
         left_s = given_at + directive.deadline_in_s - self._clock()
         if left_s <= 0:
-            # The process was frozen, or the machine is overloaded: nobody
-            # waits for the result any more.
-            return step_ends.Failed.unstarted(
+            # The process was suspended, or the machine is overloaded: the
+            # client no longer waits for the result.
+            return step_results.Failed.unstarted(
                 'its deadline passed before it started'
             )
         match directive:
@@ -248,14 +258,14 @@
 
     def _prefill(
         self, directive: effects.RunPrefill, left_s: float
-    ) -> step_ends.Done:
+    ) -> step_results.Done:
         adapter = self._backends.model_engine(
             directive.url, directive.backend_id, self._offset
         )
-        with self._stops.watching(directive.attempt_id, adapter):
-            # After a decode engine died mid-stream, the text that the
-            # caller already has is part of the prompt, and the engine's
-            # count of tokens begins after it.
+        with self._cancellations.registered(directive.attempt_id, adapter):
+            # When a decode engine failed mid-stream, the text that the
+            # client already has becomes part of the prompt, and the new
+            # engine counts tokens from the end of that text.
             self._base = 0 if self._work.is_passed_on else self._offset
             done = adapter.prefill(
                 stream_id=self.request_id,
@@ -265,7 +275,7 @@
                 fence=directive.fence,
                 deadline_s=left_s,
             )
-        return step_ends.Done(
+        return step_results.Done(
             known=done.known,
             kv=done.kv,
             tokens=done.tokens,
@@ -274,34 +284,35 @@
 
     def _decode(
         self, directive: effects.RunDecode, left_s: float
-    ) -> abc.Generator[engine.Piece, None, step_ends.Done]:
+    ) -> abc.Generator[engine.Piece, None, step_results.Done]:
         adapter = self._backends.model_engine(
             directive.url, directive.backend_id, self._offset
         )
-        measure = spacing.Spacing()
-        with self._stops.watching(directive.attempt_id, adapter):
+        measure = token_gaps.TokenGapMeter()
+        with self._cancellations.registered(directive.attempt_id, adapter):
             if directive.kv or directive.reads:
                 self._import(adapter, directive, left_s)
             try:
                 yield from self._stream(adapter, directive, left_s, measure)
             except engine.EngineError as error:
-                # A whole answer that lacks only its end mark is whole.
+                # An answer that lacks only its end mark is complete.
                 lacks_more = (
                     self._work.is_passed_on
                     or self._offset < self.call.max_tokens
                 )
                 if directive.kv or lacks_more:
-                    raise step_ends.StreamError(error) from error
+                    raise step_results.StreamError(error) from error
         self._outcome = outcome.Outcome(
             status=200,
             content_type='application/json',
             text=''.join(self._text),
             tokens=self._offset,
         )
-        return step_ends.Done(
+        return step_results.Done(
             outcome=self._outcome.to_bytes(),
             tokens=self._offset,
-            # A resumed stream brings at once what came during the break.
+            # A resumed stream delivers at once the tokens that were generated
+            # during the interruption, so its gaps are not measured.
             token_gap_s=measure.mean_s() if directive.kv else 0.0,
             first_piece_at=measure.first_at,
             first_token_at=self._first_token_at,
@@ -327,13 +338,13 @@
         adapter: engine.Engine,
         directive: effects.RunDecode,
         left_s: float,
-        measure: spacing.Spacing,
+        measure: token_gaps.TokenGapMeter,
     ) -> abc.Iterator[engine.Piece]:
-        """Pass on what is missing; only the end mark ends a stream.
+        """Forward the missing pieces until the stream's end mark.
 
-        A connection that is closed early looks like an end to HTTP, so a
-        stream that just stops is an error: the caller would take half an
-        answer for the whole one.
+        To HTTP, a connection that is closed early can look like the regular
+        end of a body. So a stream without an end mark is an error; otherwise
+        the client would take a truncated answer for a complete one.
         """
         pieces = adapter.decode(
             stream_id=self.request_id,
@@ -345,17 +356,17 @@
         with contextlib.closing(pieces):
             for piece in pieces:
                 if isinstance(piece, engine.Head):
-                    yield from self._first_head(piece)
+                    yield from self._forward_first_head(piece)
                     continue
                 if piece.attempt_id != directive.attempt_id:
                     self._late_pieces += 1
                     continue
                 offset = piece.offset + self._base
                 if offset < self._offset and not piece.is_end:
-                    # Sent again after a resume; the caller has it.
+                    # Repeated after a resume; the client already has it.
                     continue
                 if offset != self._offset:
-                    raise _broken(f'token {self._offset} is missing')
+                    raise _stream_error(f'token {self._offset} is missing')
                 if piece.is_end:
                     return
                 measure.arrived(self._clock())
@@ -372,19 +383,21 @@
             is_cut=True,
         )
 
-    def _first_head(self, head: engine.Head) -> abc.Iterator[engine.Head]:
-        """Pass on the head of the first run; a later one's is not wanted."""
-        if not self._has_head:
-            self._has_head = True
+    def _forward_first_head(
+        self, head: engine.Head
+    ) -> abc.Iterator[engine.Head]:
+        """Forward the head of the first run and drop those of later runs."""
+        if not self._has_sent_head:
+            self._has_sent_head = True
             yield head
 
     def _call(
         self, directive: effects.RunCall, left_s: float
-    ) -> step_ends.Done:
+    ) -> step_results.Done:
         adapter = self._backends.plain_service(
             directive.url, directive.backend_id, left_s
         )
-        with self._stops.watching(directive.attempt_id, adapter):
+        with self._cancellations.registered(directive.attempt_id, adapter):
             reply = adapter.call(
                 method=self.call.method,
                 path=self._work.path,
@@ -398,17 +411,17 @@
                 most_bytes=self._work.most_bytes,
             )
         if self._work.is_passed_on and reply.status >= FIRST_FAILURE_STATUS:
-            self._failed = reply
+            self._failed_reply = reply
             raise engine.EngineError(
                 f'the backend server answered {reply.status}',
                 known=verdict.Verdict.MAY_HAVE_RUN,
             )
         self._headers = reply.headers
         self._outcome = _outcome_of(reply)
-        return step_ends.Done(outcome=self._outcome.to_bytes())
+        return step_results.Done(outcome=self._outcome.to_bytes())
 
     def _end_step(
-        self, step: events.Step, attempt_id: str, end: step_ends.End
+        self, step: events.Step, attempt_id: str, end: step_results.StepResult
     ) -> None:
         late_pieces, self._late_pieces = self._late_pieces, 0
         fields = {
@@ -417,7 +430,7 @@
         }
         if step is events.Step.DECODE:
             fields['tokens'] = self._offset
-        self._tell(
+        self._post_event(
             events.StepEnded,
             request_id=self.request_id,
             attempt_id=attempt_id,
@@ -427,7 +440,7 @@
             **fields,
         )
 
-    def _tell(self, event_class: type, **fields: typing.Any) -> None:
+    def _post_event(self, event_class: type, **fields: typing.Any) -> None:
         self._post(functools.partial(event_class, **fields))
 
 
@@ -446,5 +459,5 @@
 }
 
 
-def _broken(message: str) -> engine.EngineError:
+def _stream_error(message: str) -> engine.EngineError:
     return engine.EngineError(message, known=verdict.Verdict.RAN)
--- a/dandeliongw/entry/replies.py
+++ b/dandeliongw/entry/replies.py
@@ -1,4 +1,4 @@
-"""What the owners of cells answer, and what an entry makes of it."""
+"""Processing of the replies that cells' owners send to an entry."""
 
 from collections import abc
 import typing
@@ -23,7 +23,7 @@
 
 
 class Replies:
-    """Takes in the owners' messages for the requests of one entry."""
+    """Processes the owners' messages for the requests of one entry."""
 
     def __init__(
         self,
@@ -36,10 +36,13 @@
         self._attempts = attempts
         self._endings = endings
 
-    def take(self, event: parts.Received, request: Request | None) -> Effects:
-        """Take in an owner's message.
+    def process(
+        self, event: parts.Received, request: Request | None
+    ) -> Effects:
+        """Process an owner's message.
 
-        :param request: the one that it is about, or ``None`` if forgotten.
+        :param request: the request that the message refers to, or ``None`` if
+            it was removed already.
         """
         message = event.message
         is_current = (
@@ -48,15 +51,15 @@
             and message.attempt_id == request.attempt_id
         )
         if not is_current:
-            return self._drop_late(event)
-        request.heard_at = event.now
+            return self._release_late_booking(event)
+        request.owner_replied_at = event.now
         if not request.is_unowned and not isinstance(message, cells.NotOwner):
-            self._reservations.note_owner_heard(request.cell)
+            self._reservations.mark_owner_responsive(request.cell)
         match message:
             case cells.Booked():
-                return self._start(event, request)
+                return self._run_booked(event, request)
             case cells.Queued():
-                return self._wait(event, request)
+                return self._note_queued(event, request)
             case cells.Declined():
                 return self._declined(event, request)
             case cells.NotOwner():
@@ -65,16 +68,18 @@
                 return self._cancelled(event, request)
         return []
 
-    def _drop_late(self, event: parts.Received) -> Effects:
-        """Give back what was booked for an attempt that is over.
+    def _release_late_booking(self, event: parts.Received) -> Effects:
+        """Release what was booked for an attempt that has ended.
 
-        A reply can cross the end of its attempt. Taking it for the current
-        one would run the request twice; keeping silent would leave a slot
-        booked until its lease runs out.
+        A reply can arrive after its attempt has ended. Applied to the current
+        attempt, it would make the request run twice. Ignored, it would leave
+        a slot booked until its lease expires.
         """
         message = event.message
         if not isinstance(message, cells.NotOwner):
-            self._reservations.note_heard_late(event.sender, message.cell)
+            self._reservations.process_unawaited_answer(
+                event.sender, message.cell
+            )
         late: Effects = [effects.CountLate(what=effects.Late.OWNER)]
         if not isinstance(message, cells.Booked | cells.Queued):
             return late
@@ -86,25 +91,25 @@
         )
         return [*late, parts.Send(to=event.sender, message=release)]
 
-    def _start(self, event: parts.Received, request: Request) -> Effects:
+    def _run_booked(self, event: parts.Received, request: Request) -> Effects:
         booked = event.message
         is_expected = (
             request.phase in UNPLACED and event.sender == request.owner
         )
         if not is_expected or booked.decode_id in request.exclude:
-            # Told twice, or the pair that a KV cache is moving away from.
+            # A duplicate, or the pair that a KV cache is moved away from.
             return []
         now = event.now
-        waited = _waited(now, request)
+        waited = _wait_time(now, request)
         request.booked = booked
         request.phase_at = now
         return [
             waited,
-            self._placed(now, request),
-            *self._begin(now, request),
+            self._placed_log(now, request),
+            *self._run_step(now, request),
         ]
 
-    def _placed(self, now: float, request: Request) -> effects.Log:
+    def _placed_log(self, now: float, request: Request) -> effects.Log:
         booked = request.booked
         return decisions.Placed(
             request_id=request.request_id,
@@ -117,9 +122,9 @@
             waited_ms=request.age_ms(now),
         ).log()
 
-    def _begin(self, now: float, request: Request) -> Effects:
-        """Direct the request's thread to the work that was booked."""
-        request.search_s = reservations.OWNER_LOST_S
+    def _run_step(self, now: float, request: Request) -> Effects:
+        """Direct the request's thread to run the step that was booked."""
+        request.search_timeout_s = reservations.OWNER_FAILOVER_S
         if request.stage is vocabulary.Stage.PLAIN:
             return steps.run_call(now, request)
         if request.stage is vocabulary.Stage.DECODE:
@@ -128,9 +133,9 @@
             return steps.run_decode(now, request, reads=True)
         return steps.run_prefill(now, request)
 
-    def _wait(self, event: parts.Received, request: Request) -> Effects:
+    def _note_queued(self, event: parts.Received, request: Request) -> Effects:
         if request.phase is Phase.BOOKING and event.sender == request.owner:
-            waited = _waited(event.now, request)
+            waited = _wait_time(event.now, request)
             request.phase = Phase.QUEUED
             request.phase_at = request.asked_at = event.now
             return [waited]
@@ -141,7 +146,7 @@
             return []
         declined = event.message
         if request.stage is vocabulary.Stage.DECODE:
-            return self._attempts.again(
+            return self._attempts.retry(
                 event.now,
                 request,
                 failure=_RETRY.IMPORT_REFUSED,
@@ -154,7 +159,7 @@
             message=declined.message,
             retry_after_s=declined.retry_after_s,
         )
-        told = decisions.Declined(
+        line = decisions.Declined(
             request_id=request.request_id,
             attempt_id=request.attempt_id,
             owner=request.owner,
@@ -164,8 +169,8 @@
             waited_ms=request.age_ms(event.now),
         )
         return [
-            _waited(event.now, request),
-            told.log(),
+            _wait_time(event.now, request),
+            line.log(),
             *self._endings.refuse(event.now, request, refusal),
         ]
 
@@ -175,27 +180,27 @@
             return []
         if request.phase is Phase.BOOKING:
             followed = self._reservations.follow(event.now, request, holder)
-            if followed or not self._reservations.may_stand_in:
+            if followed or not self._reservations.may_place_without_owner:
                 return followed
-            # Nobody owns the cell just now.
-            return self._reservations.stand_in(event.now, request)
-        # For placed work, the next renewal goes to whoever is known then.
-        # Telling the named instance at once would go round for ever when
-        # two that don't own the cell name each other.
+            # The cell has no owner at present.
+            return self._reservations.place_without_owner(event.now, request)
+        # A placed request is renewed at the owner that is known by the next
+        # renewal. Following the redirection at once would loop for ever when
+        # two instances that do not own the cell name each other.
         return []
 
     def _cancelled(self, event: parts.Received, request: Request) -> Effects:
-        """An owner doesn't know this booking (any more)."""
+        """Process the message of an owner that has no such booking."""
         if request.phase is Phase.QUEUED:
             return self._attempts.search(event.now, request)
         if not request.is_placed:
             return []
         is_owner = event.sender == request.owner
         if not is_owner and event.message.epoch <= request.booked.epoch:
-            # From before the present owner's time.
+            # From an earlier owner than the one that made the booking.
             return []
         if self._reservations.is_lost(request, event):
-            return self._lose_slot(event, request)
+            return self._abort_lost_slot(event, request)
         return self._reservations.reclaim(
             event.now,
             request.cell,
@@ -207,35 +212,37 @@
     def reclaim_all(
         self,
         now: float,
-        here: abc.Sequence[Request],
+        open_requests: abc.Sequence[Request],
         cell: str,
         holder: str,
         epoch: int,
     ) -> Effects:
-        """Tell a cell's new owner all that this entry holds of it.
+        """Send a cell's new owner every booking this entry holds there.
 
-        It waits for this also when there is nothing. What the old owner had
-        queued is booked anew with the new one.
+        The message is sent even without bookings, because the owner waits for
+        it. Requests that the old owner had queued are booked anew.
 
-        :param here: requests of the cell that have not ended.
+        :param open_requests: requests of the cell that have not ended.
         """
-        placed = [each for each in here if each.is_placed]
+        placed = [each for each in open_requests if each.is_placed]
         out = self._reservations.reclaim(now, cell, placed, holder, epoch)
-        for request in here:
+        for request in open_requests:
             if request.phase in UNPLACED:
-                out += self._reservations.move_search(now, request, holder)
+                out += self._reservations.rebook(now, request, holder)
         return out
 
-    def _lose_slot(self, event: parts.Received, request: Request) -> Effects:
-        """Stop working on a slot that belongs to another request by now."""
+    def _abort_lost_slot(
+        self, event: parts.Received, request: Request
+    ) -> Effects:
+        """Abort the work in a slot that now belongs to another request."""
         request.is_held = False
         if request.phase is Phase.CALL:
-            # Calls of plain services are never broken off for a slot:
-            # whether they ran could not be told any more.
+            # Calls of plain services are not aborted for a lost slot: it
+            # would no longer be known whether they ran.
             return []
         return [
-            *self._endings.break_off(request),
-            *self._attempts.again(
+            *self._endings.abort(request),
+            *self._attempts.retry(
                 event.now,
                 request,
                 failure=_RETRY.OWNER_CHANGED,
@@ -244,8 +251,8 @@
         ]
 
 
-def _waited(now: float, request: Request) -> effects.Took:
-    """Return how long the owner took to answer, or to find a place."""
+def _wait_time(now: float, request: Request) -> effects.Took:
+    """Return the time that the request spent in booking or in the queue."""
     if request.phase is Phase.QUEUED:
-        return request.took(effects.Part.QUEUE, now - request.phase_at)
-    return request.took(effects.Part.BOOKING, now - request.asked_at)
+        return request.duration(effects.Part.QUEUE, now - request.phase_at)
+    return request.duration(effects.Part.BOOKING, now - request.asked_at)
--- a/dandeliongw/entry/requests.py
+++ b/dandeliongw/entry/requests.py
@@ -1,10 +1,11 @@
-"""The life of each request at the entry that its caller chose.
-
-A state machine: calls come in as events, answers of the cell's owner as
-messages, ends of steps from the request's own thread; directives to that
-thread and messages to the owner go out. Every request ends with exactly one
-of ``Refuse``, ``Replay`` or ``Complete``. ``docs/REQUEST-LIFE.md`` tells the
-same as a story.
+"""The life cycle of each request at its entry: the instance it arrived at.
+
+This is a state machine. Its inputs are calls from clients (events), replies
+of the cell's owner (messages) and the ends of steps, which the request's own
+thread reports. Its outputs are directives to that thread and messages to the
+owner. Every request ends with exactly one of ``Refuse``, ``Replay`` or
+``Complete``. ``docs/REQUEST-LIFE.md`` describes the whole course of a
+request.
 """
 
 import typing
@@ -14,21 +15,21 @@
 from .. import verdict
 from . import admission
 from . import attempts
-from . import breaks
 from ..cell import cells
 from ..cell import vocabulary
 from ..coordination import claim_messages as claims
 from ..coordination import parts
-from . import early
+from . import crash_detection
 from . import endings
 from . import holds as hold_module
+from . import idempotency
 from . import recovery
 from . import refusals
 from . import replies
 from . import request as request_module
-from . import resends
 from . import reservations
 from . import retries
+from . import startup_queue
 from . import steps
 from . import trials
 from .request import Phase
@@ -36,11 +37,11 @@
 from .request import UNPLACED
 from .request import WORKING
 
-# What others need to know of a request's life, by one name.
+# Re-exported, so that other packages need to import only this module.
 KV_LIFE_S = request_module.DEFAULT_KV_LIFE_S
 MAX_ATTEMPTS = attempts.MAX_ATTEMPTS
-CLAIM_TICKET = resends.CLAIM_TICKET
-FINISH_TICKET = resends.FINISH_TICKET
+CLAIM_TICKET = idempotency.CLAIM_TICKET
+FINISH_TICKET = idempotency.FINISH_TICKET
 TRIAL_TICKET = trials.TRIAL_TICKET
 
 _RETRY = verdict.RetryReason
@@ -51,15 +52,16 @@
 
 
 class Requests:
-    """All requests of this entry.
-
-    :param directory: what is known of the system, see ``admission``.
-    :param holds: calls that are not to be sent to backend servers.
-    :param budgets: bound the attempts after the first, by service.
-    :param most_claimed_s: longest time that a call with a claim may take;
-        claims are kept for a limited time only.
-    :param early_s: seconds after the start in which calls wait for the first
-        configuration; by default they are refused at once.
+    """All requests in flight at this entry.
+
+    :param directory: the instance's view of the system, see ``admission``.
+    :param gate: admission control.
+    :param holds: quarantined calls, which are not sent to backend servers.
+    :param budgets: retry budgets by service.
+    :param most_claimed_s: upper bound in seconds for the deadline of a call
+        with a claim, because claims are retained for a limited time only.
+    :param early_s: seconds after the start during which calls wait for the
+        first configuration; by default they are refused at once.
     """
 
     def __init__(
@@ -75,7 +77,7 @@
         self._directory = directory
         self._gate = gate
         self.holds = holds
-        self._breaks = breaks.Breaks()
+        self._crashes = crash_detection.CrashDetector()
         self._most_claimed_s = most_claimed_s
         self._budgets = budgets
         self._reservations = reservations.Reservations(directory=directory)
@@ -95,7 +97,9 @@
             endings=self._endings,
         )
         self.requests_by_id: dict[str, Request] = {}
-        self._early = early.EarlyCalls(directory=directory, most_s=early_s)
+        self._startup_queue = startup_queue.StartupQueue(
+            directory=directory, startup_s=early_s
+        )
         self._trials = trials.Trials(
             holds=holds, attempts=self._attempts, endings=self._endings
         )
@@ -103,16 +107,16 @@
     # Events
 
     def handle(self, event: typing.Any) -> Effects:
-        """Take in an event of this module's, or an owner's message."""
+        """Process a request event or an owner's message."""
         match event:
             case events.RequestArrived():
                 return self._arrive(event)
             case events.StepEnded():
                 return self._end_step(event)
             case events.BackendProbed():
-                return self._breaks.probed(event)
+                return self._crashes.process_probe(event)
             case events.CallerGone():
-                return self._leave(event.now, event.request_id)
+                return self._disconnect(event.now, event.request_id)
             case events.RequestClosed():
                 return self._close(event.now, event.request_id)
             case parts.Received():
@@ -122,9 +126,9 @@
         return []
 
     def _arrive(self, event: events.RequestArrived) -> Effects:
-        self._early.begin(event.now)
-        if self._early.must_wait(event):
-            self._early.add(event)
+        self._startup_queue.note_start(event.now)
+        if self._startup_queue.must_wait(event):
+            self._startup_queue.add(event)
             return []
         return self._admit(event.now, event)
 
@@ -132,21 +136,21 @@
         call = event.call
         admitted = self._gate.check(now, call, event.entropy)
         if isinstance(admitted, verdict.Refusal):
-            return _turn_away(event, admitted)
-        # A call that ends the servers which run it would end more of them at
-        # each send, with all that they run for others.
+            return _refuse_unadmitted(event, admitted)
+        # A call that crashes the backend servers it runs on would crash
+        # another one with each send, along with that server's other work.
         held = self.holds.refusal(now, event.request_id, call)
-        if held is not None and not held.may_be_tried:
-            return [held.line, *_turn_away(event, held.refusal)]
+        if held is not None and not held.may_be_trial:
+            return [held.line, *_refuse_unadmitted(event, held.refusal)]
         request = self._make_request(event, admitted)
         self.requests_by_id[event.request_id] = request
         self._gate.enter(admitted.account.name, admitted.streamed)
         self._budgets.earn(request.service)
         if held is not None:
-            return self._trials.ask(now, request)
+            return self._trials.request_grant(now, request)
         if call.idempotency_key is None:
             return self._attempts.begin(now, request)
-        return resends.begin(now, request)
+        return idempotency.begin(now, request)
 
     def _make_request(
         self, event: events.RequestArrived, admitted: admission.Admitted
@@ -168,46 +172,52 @@
             deadline_at=event.now + limit_s,
             phase=Phase.BOOKING,
             phase_at=event.now,
-            served_at=event.now,
+            last_piece_at=event.now,
             stage=vocabulary.Stage.PAIR
             if admitted.streamed
             else vocabulary.Stage.PLAIN,
-            search_s=reservations.OWNER_SEARCH_S,
+            search_timeout_s=reservations.OWNER_SEARCH_S,
         )
 
-    def _leave(self, now: float, request_id: str) -> Effects:
-        if self._early.forget(request_id):
-            return endings.turn_away(request_id, refusals.left_early())
+    def _disconnect(self, now: float, request_id: str) -> Effects:
+        if self._startup_queue.remove(request_id):
+            return endings.refuse_unadmitted(
+                request_id, refusals.disconnected_early()
+            )
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
             return []
-        return self._endings.leave(now, request)
+        return self._endings.disconnect(now, request)
 
     def _close(self, now: float, request_id: str) -> Effects:
-        """Forget a request whose thread has ended.
+        """Remove a request whose thread has ended.
 
-        A thread that ended without an answer (its caller's connection broke
-        while a piece was written) counts as a caller who has gone.
+        If the thread ended without an answer, because the client's connection
+        broke while a piece was written, the request is handled as one whose
+        client has disconnected.
         """
-        out = self._leave(now, request_id)
+        out = self._disconnect(now, request_id)
         request = self.requests_by_id.pop(request_id, None)
         if request is None:
             return out
         if not request.is_ended:
-            # Its thread died in a call that is left to end. The claim
-            # stays, and tells a resend that the call may have run.
+            # The client disconnected during a claimed call, which runs on
+            # without it, and then the thread ended. The claim stays, so that
+            # a resend is answered with "may have run".
             out += self._reservations.release(request, cells.Outcome.FAILED)
-        for again in request.cancels_by_attempt.values():
-            out += again
+        for cancels in request.cancels_by_attempt.values():
+            out += cancels
         self._gate.leave(
             request.admitted.account.name, request.admitted.streamed
         )
         return out
 
     def hold(self, now: float, fingerprint: str) -> Effects:
-        """Stop what was to be sent of a call that is held back by now.
+        """Stop the pending requests of a call that is now quarantined.
+
+        Requests that a backend server is already running are not aborted.
 
-        What a backend server is running already is left to it.
+        :param fingerprint: of the quarantined call.
         """
         out: Effects = []
         for request in list(self.requests_by_id.values()):
@@ -226,43 +236,45 @@
         return out
 
     def retries_left_by_service(self) -> dict[str, float]:
-        """Return what is left of the budgets; callable in any thread."""
+        """Return the remaining retry budgets; thread-safe."""
         return self._budgets.left_by_service()
 
     def cut_off(self, now: float) -> Effects:
-        """Break off all that is left when a shutdown's time is over."""
+        """Abort all remaining requests when the shutdown grace period ends."""
         out: Effects = []
         for request in list(self.requests_by_id.values()):
             if not request.is_ended:
-                out += self._endings.cut_off(now, request)
+                out += self._endings.abort_at_shutdown(now, request)
         return out
 
     # Messages of owners
 
     def _receive(self, event: parts.Received) -> Effects:
         request = self.requests_by_id.get(event.message.request_id)
-        return self._replies.take(event, request)
+        return self._replies.process(event, request)
 
     def reclaim_all(
         self, now: float, cell: str, holder: str, epoch: int
     ) -> Effects:
-        """Tell a cell's new owner all that this entry holds of it."""
-        here = [
+        """Send a cell's new owner every booking this entry holds there."""
+        open_requests = [
             request
             for request in self.requests_by_id.values()
             if request.cell == cell and not request.is_ended
         ]
-        return self._replies.reclaim_all(now, here, cell, holder, epoch)
+        return self._replies.reclaim_all(
+            now, open_requests, cell, holder, epoch
+        )
 
     # Answers to claims
 
     def claim_answered(
         self, now: float, request_id: str, result: typing.Any
     ) -> Effects:
-        """Take the answer to a claim's begin."""
+        """Process the answer to the ``Begin`` of a claim."""
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
-            # The caller left while the claim was on its way.
+            # The client disconnected while the claim was in progress.
             return []
         if isinstance(result, claims.Granted):
             request.known = _NOT_RUN
@@ -282,10 +294,11 @@
     def finish_answered(
         self, now: float, request_id: str, result: typing.Any
     ) -> Effects:
-        """Take the answer to a claim's finish.
+        """Process the answer to the ``Finish`` of a claim.
 
-        Recorded or not, the caller gets the whole answer: it ran, and a
-        resend will be told at worst that the outcome is not known.
+        The client gets the complete answer even if it was not recorded: the
+        call ran, and in the worst case a resend is refused with an unknown
+        outcome.
         """
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
@@ -298,7 +311,7 @@
     def trial_answered(
         self, now: float, request_id: str, is_granted: bool
     ) -> Effects:
-        """Take the answer to a trial that was asked for."""
+        """Process the answer to a request for a trial."""
         request = self.requests_by_id.get(request_id)
         if request is None or request.is_ended:
             return []
@@ -316,54 +329,63 @@
         is_current = (
             not request.is_ended
             and event.attempt_id == request.attempt_id
-            # An attempt that was broken off keeps its id while the next one
-            # waits its turn.
+            # An aborted attempt keeps its id while the next one is in
+            # backoff.
             and request.phase in WORKING
         )
         if not is_current:
-            return [*out, *self._let_go(event, request)]
+            return [*out, *self._end_stale_step(event, request)]
         if event.known is not _NOT_RUN:
-            # Part of it ran; only a whole answer is told as having run.
+            # Part of it ran; only a complete answer counts as "ran".
             request.known = _MAY_HAVE_RUN
             request.runs += 1
-            request.served_at = event.now
+            request.last_piece_at = event.now
         if event.is_cut:
-            out += self._breaks.add(
-                event.now, self._broken_run(event, request)
+            out += self._crashes.add(
+                event.now, self._interrupted_run(event, request)
             )
         if event.failure is not None:
-            return [*out, *self._recovery.after(event, request)]
+            return [*out, *self._recovery.recover(event, request)]
         if event.step is events.Step.PREFILL:
-            return [*out, *self._prefilled(event, request)]
-        return [*out, *self._answered(event, request)]
+            return [*out, *self._prefill_ended(event, request)]
+        return [*out, *self._answer_ended(event, request)]
 
-    def _broken_run(
+    def _interrupted_run(
         self, event: events.StepEnded, request: Request
-    ) -> breaks.BrokenRun:
-        place = request.place(event.step)
-        return breaks.BrokenRun(
+    ) -> crash_detection.InterruptedRun:
+        backend = request.booked_backend(event.step)
+        return crash_detection.InterruptedRun(
             request_id=request.request_id,
             fingerprint=self.holds.fingerprint(request.call),
             content=self.holds.content(request.call),
             service=request.service,
             caller=request.call.address or request.admitted.account.name,
-            start=place.start,
-            url=place.url,
+            start=backend.start,
+            url=backend.url,
             ran_s=event.now - request.phase_at,
             is_trial=request.is_trial,
         )
 
-    def _let_go(self, event: events.StepEnded, request: Request) -> Effects:
-        """The thread has left an attempt that was broken off.
+    def _end_stale_step(
+        self, event: events.StepEnded, request: Request
+    ) -> Effects:
+        """Process the end of a step that belongs to an aborted attempt.
 
         The first cancel may have reached the engine before the call that it
-        was for; it goes out again, now that nothing more can follow it.
+        was meant for. It is sent again here, since the thread can send
+        nothing more for this attempt.
         """
         late = effects.CountLate(what=effects.Late.STEP)
-        again = request.cancels_by_attempt.pop(event.attempt_id, ())
-        return [late, *again, *resends.record_late(event, request)]
+        cancels = request.cancels_by_attempt.pop(event.attempt_id, ())
+        return [
+            late,
+            *cancels,
+            *idempotency.record_late_outcome(event, request),
+        ]
 
-    def _prefilled(self, event: events.StepEnded, request: Request) -> Effects:
+    def _prefill_ended(
+        self, event: events.StepEnded, request: Request
+    ) -> Effects:
         request.kv = event.kv
         request.kv_id = request.booked.prefill_id
         request.kv_source = request.booked.prefill_url
@@ -378,19 +400,21 @@
             cached_tokens=event.cached_tokens,
         )
         send = parts.Send(to=request.owner, message=done)
-        took = request.took(effects.Part.PREFILL, request.prefill_s)
+        took = request.duration(effects.Part.PREFILL, request.prefill_s)
         held = self._attempts.held(event.now, request)
         if held is not None:
-            # Only its prompt was read; the engine that ran it would end.
+            # Prefill alone is harmless; decoding would crash the engine.
             stopped = self._endings.stop(
                 event.now, request, held.refusal, cells.Outcome.CANCELLED
             )
             return [send, took, held.line, *stopped]
         return [send, took, *steps.run_decode(event.now, request)]
 
-    def _answered(self, event: events.StepEnded, request: Request) -> Effects:
+    def _answer_ended(
+        self, event: events.StepEnded, request: Request
+    ) -> Effects:
         release = [
-            *_times(event, request),
+            *_durations(event, request),
             *self.holds.succeeded(event.now, request),
             *self._reservations.release(
                 request,
@@ -405,19 +429,19 @@
             return [*release, *self._endings.end(request, complete)]
         request.phase = Phase.RECORDING
         request.phase_at = event.now
-        return [*release, resends.finish(event, request.claim_key)]
+        return [*release, idempotency.finish(event, request.claim_key)]
 
     # Time
 
     def _tick(self, now: float) -> Effects:
-        self._early.begin(now)
+        self._startup_queue.note_start(now)
         out: Effects = []
-        for event in self._early.take(now):
+        for event in self._startup_queue.pop_due(now):
             out += self._admit(now, event)
         for request in list(self.requests_by_id.values()):
             if not request.is_ended:
                 out.extend(self._tick_request(now, request))
-        out.extend(self._breaks.tick(now))
+        out.extend(self._crashes.tick(now))
         out.extend(self._reservations.renew(now, self.requests_by_id.values()))
         return out
 
@@ -427,8 +451,8 @@
             return self._endings.stop(
                 now, request, refusal, cells.Outcome.EXPIRED
             )
-        if _has_lost_cache(now, request):
-            return self._attempts.again(
+        if _has_expired_cache(now, request):
+            return self._attempts.retry(
                 now,
                 request,
                 failure=_RETRY.KV_EVICTED,
@@ -446,46 +470,48 @@
         return []
 
     def _tick_booking(self, now: float, request: Request) -> Effects:
-        if now - request.phase_at >= request.search_s:
+        if now - request.phase_at >= request.search_timeout_s:
             return self._endings.give_up(
                 now, request, refusals.no_owner(request)
             )
         waited_s = now - request.asked_at
         is_silent = waited_s >= reservations.OWNER_SILENT_S
-        if is_silent and self._reservations.may_stand_in:
-            return self._reservations.stand_in(now, request)
+        if is_silent and self._reservations.may_place_without_owner:
+            return self._reservations.place_without_owner(now, request)
         if waited_s < reservations.OWNER_ANSWER_S:
             return []
-        asked = self._reservations.ask(now, request)
-        return self._attempts.unless_ownerless(now, request, asked)
+        asked = self._reservations.book(now, request)
+        return self._attempts.handle_no_owner(now, request, asked)
 
     def _tick_queued(self, now: float, request: Request) -> Effects:
-        """Ask again now and then, which also renews the place in the queue.
+        """Repeat the booking periodically, which also renews its queue entry.
 
-        The owner says only once that a slot is free. With that lost, the
-        owner would hold the slot, and the request wait, until its deadline.
+        The owner sends ``Booked`` only once. Without the repetition, a lost
+        message would keep the slot reserved and the request waiting until
+        its deadline.
         """
-        if now - request.heard_at >= reservations.QUEUE_SILENT_S:
-            if self._reservations.may_stand_in:
-                return self._reservations.stand_in(now, request)
+        if now - request.owner_replied_at >= reservations.QUEUE_TIMEOUT_S:
+            if self._reservations.may_place_without_owner:
+                return self._reservations.place_without_owner(now, request)
             return self._attempts.search(now, request)
-        if now - request.asked_at < reservations.QUEUE_ASK_S:
+        if now - request.asked_at < reservations.QUEUE_RENEW_S:
             return []
-        return self._reservations.ask_again(now, request)
+        return self._reservations.repeat_booking(now, request)
 
 
-def _turn_away(
+def _refuse_unadmitted(
     event: events.RequestArrived, refusal: verdict.Refusal
 ) -> Effects:
     if event.call.idempotency_key is not None:
-        refusal = refusals.keyed(refusal)
-    return endings.turn_away(event.request_id, refusal)
+        refusal = refusals.for_unclaimed_key(refusal)
+    return endings.refuse_unadmitted(event.request_id, refusal)
 
 
-def _has_lost_cache(now: float, request: Request) -> bool:
-    """Whether a KV cache that looks for an engine is kept no longer.
+def _has_expired_cache(now: float, request: Request) -> bool:
+    """Whether the KV cache of a request without a decode engine has expired.
 
-    Its owner may have died while it was queued there.
+    The owner cannot be relied on to report this: it may have failed while
+    the request was in its queue.
     """
     return (
         request.stage is vocabulary.Stage.DECODE
@@ -494,17 +520,21 @@
     )
 
 
-def _times(event: events.StepEnded, request: Request) -> Effects:
-    """Return how long the parts of a whole answer took."""
+def _durations(event: events.StepEnded, request: Request) -> Effects:
+    """Return the durations of the parts of a complete answer."""
     began_at, first_at = request.phase_at, event.first_piece_at
     if event.step is events.Step.CALL:
-        return [request.took(effects.Part.CALL, event.now - began_at)]
+        return [request.duration(effects.Part.CALL, event.now - began_at)]
     if first_at is None:
-        # Nothing was missing but the end.
+        # A resumed stream that lacked only its end mark.
         return []
-    out: Effects = [request.took(effects.Part.DECODE, event.now - first_at)]
+    out: Effects = [
+        request.duration(effects.Part.DECODE, event.now - first_at)
+    ]
     if request.booked.prefill_id:
-        out.append(request.took(effects.Part.TRANSFER, first_at - began_at))
+        out.append(
+            request.duration(effects.Part.TRANSFER, first_at - began_at)
+        )
     if request.admitted.is_passed_on and event.first_token_at is not None:
         out.append(
             effects.PassedStream(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who may have what served, before any owner is asked."""
+"""Admission control at the entry, before a cell's owner is involved."""
 
 import unittest
 
@@ -24,11 +24,10 @@
         is_refusal = isinstance(result, verdict.Refusal)
         return result.reason if is_refusal else None
 
-    def test_streams_never_take_the_threads_of_lookups(self):
-        """Symptom: press operators stall at the job board.
+    def test_streams_leave_threads_for_lookups(self):
+        """Guards against lookups that are blocked by long prompts.
 
-        Sequence: as many long prompts come in as the instance takes.
-        Cause: one limit for all.
+        With a single limit for all calls, streams could take all threads.
         """
         for _ in range(3):
             self.gate.enter('studio-1', True)
@@ -48,11 +47,11 @@
         ({'method': 'DELETE'}, REASON.UNKNOWN_ROUTE),
         ({'priority': 'no such'}, REASON.BAD_REQUEST),
     )
-    def test_what_is_not_in_the_document(self, changes, reason):
+    def test_calls_that_the_document_does_not_allow(self, changes, reason):
         self.assertEqual(self.check(**changes), reason)
 
-    def test_what_an_account_may_have_counts_at_each_entry(self):
-        """One entry keeps the limit; it knows nothing of the others'."""
+    def test_account_limits_apply_at_each_entry(self):
+        """Each entry applies the limit without the counts of the others."""
         account = entry_fake.Directory().document.accounts[0]
         other = admission.Admission(
             directory=entry_fake.Directory(),
@@ -71,7 +70,7 @@
         admitted = other.check(100.0, entry_fake.call())
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_an_account_that_sends_too_fast_is_told_when(self):
+    def test_an_account_over_its_rate_gets_a_retry_time(self):
         refused = None
         while refused is None or not isinstance(refused, verdict.Refusal):
             refused = self.gate.check(100.0, entry_fake.call())
@@ -81,12 +80,12 @@
 
 
 class UnconfirmedTest(unittest.TestCase):
-    """Callers got 404 for a route that an operator had added 2.5 s before.
+    """Guards against a 404 for a route that was added 2.5 s before.
 
-    An entry that hears no majority goes on with its last document, so that
-    calls are served while all voters are away. It refused what that document
-    doesn't have as if it were the latest one. A caller takes "no such route"
-    or "no such account" as final and does not come back.
+    An entry without contact to a majority goes on with its last document, so
+    that calls are served while all voters are unreachable. Refusals for what
+    that document lacks must be retryable, because clients take "no such
+    route" or "no such account" as final.
     """
 
     def setUp(self):
@@ -100,8 +99,8 @@
     def check(self, **changes):
         return self.gate.check(100.0, entry_fake.call(**changes))
 
-    def test_what_a_later_document_may_have_is_not_refused_for_good(self):
-        """Each of these was final: 404, 401, 403 or 400."""
+    def test_refusals_under_an_unconfirmed_document_are_retryable(self):
+        """Under a confirmed document, these are 404, 401, 403 or 400."""
         refusals = [
             self.check(**changes)
             for changes in (
@@ -113,7 +112,11 @@
                 {'priority': 'no such'},
             )
         ]
-        stale = (REASON.CONFIGURATION_STALE, NOT_RUN, admission.SOON_S)
+        stale = (
+            REASON.CONFIGURATION_STALE,
+            NOT_RUN,
+            admission.TRANSIENT_RETRY_S,
+        )
         self.assertEqual(
             [stale] * 6,
             [
@@ -122,11 +125,11 @@
             ],
         )
 
-    def test_what_the_document_has_is_served(self):
+    def test_calls_of_an_unconfirmed_document_are_admitted(self):
         admitted = self.check(host='a.example', path='/plain/x')
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_the_refusal_tells_how_old_the_document_is(self):
+    def test_the_refusal_has_the_age_of_the_document(self):
         self.assertIn(
             'revision 1, number 1, confirmed 9.00 s ago',
             self.check(host='a.example', path='/new/x').message,
--- a/tests/test_fallback.py
+++ b/tests/test_fallback.py
@@ -118,7 +118,7 @@
             **self.entry.ids_of(request_id), epoch=1, expected_in_s=0.5
         )
         self.entry.receive(queued)
-        self.entry.tick(reservations.QUEUE_SILENT_S)
+        self.entry.tick(reservations.QUEUE_TIMEOUT_S)
         self.assertEqual(self.books(), [(OWN, True)])
 
     def test_the_end_of_a_reclaimed_call_is_sent_to_both(self):
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""Calls that are held back at an entry: what is stopped, and what is told."""
+"""Quarantined calls at an entry: which requests stop, what is reported."""
 
 import itertools
 import json
@@ -28,8 +28,8 @@
 _TRIED = decisions.CallTried.message
 
 
-class Held(unittest.TestCase):
-    """The base: an entry that learns of ends under its calls."""
+class HoldsTestCase(unittest.TestCase):
+    """Base class: an entry with evidence against some of its calls."""
 
     def setUp(self):
         self.entry = entry_fake.Entry()
@@ -38,7 +38,10 @@
         return self.entry.holds.fingerprint(entry_fake.call(kind))
 
     def learn(self, kind, *backend_ids):
-        """Let backend servers end under a kind of call, one a second."""
+        """Report that backend servers ended under a kind of call.
+
+        The ends are one second apart.
+        """
         for number, backend_id in enumerate(backend_ids):
             start = presence.BackendStart(backend_id=backend_id, incarnation=1)
             self.entry.quarantine.handle(
@@ -51,15 +54,15 @@
             )
 
     def hold(self, kind):
-        """Hold a kind of call back; return what that stopped."""
+        """Quarantine a kind of call; return the resulting effects."""
         self.learn(kind, 'a', 'b', 'c')
         return self.entry.take(
             self.entry.requests.hold(self.entry.now, self.fingerprint(kind))
         )
 
 
-class ArrivalTest(Held):
-    def test_it_is_refused_at_once_and_told_for_how_long(self):
+class ArrivalTest(HoldsTestCase):
+    def test_a_quarantined_call_is_refused_with_a_retry_time(self):
         self.hold('lookup')
         self.entry.arrive('lookup')
         refusal = self.entry.refusal
@@ -78,22 +81,22 @@
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
 
     def test_a_call_with_a_key_may_have_run_before(self):
-        """Only its claim tells whether an earlier send has run."""
+        """Only its claim records whether an earlier send has run."""
         self.hold('booking')
         self.entry.arrive('booking', 'k')
         self.assertEqual(MAY_HAVE_RUN, self.entry.refusal.verdict)
 
 
-class InFlightTest(Held):
-    """What an entry has in hand when a call is held back."""
+class InFlightTest(HoldsTestCase):
+    """Requests in flight when their call is quarantined."""
 
-    def test_what_waits_for_a_place_is_stopped(self):
+    def test_a_request_without_a_slot_is_stopped(self):
         self.entry.arrive('lookup')
         self.hold('lookup')
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual(1, len(self.entry.sent(cells.Release)))
 
-    def test_what_runs_is_left_to_its_backend_server(self):
+    def test_a_running_request_is_not_stopped(self):
         self.entry.calling('lookup', key=None)
         self.assertEqual([], self.hold('lookup'))
 
@@ -104,7 +107,7 @@
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
         self.assertEqual(NOT_RUN, self.entry.refusal.verdict)
 
-    def test_it_is_not_tried_again(self):
+    def test_a_quarantined_call_is_not_retried(self):
         request_id = self.entry.calling('lookup', key=None)
         self.learn('lookup', 'a', 'b', 'c')
         self.entry.answer(
@@ -117,25 +120,25 @@
         self.assertEqual(MAY_HAVE_RUN, self.entry.refusal.verdict)
 
 
-class StreamTest(Held):
-    """Guards against a held stream that ends one decode engine more."""
+class StreamTest(HoldsTestCase):
+    """Guards against a quarantined stream that crashes another engine."""
 
-    def test_one_whose_prompt_was_read_is_not_run(self):
+    def test_a_stream_is_not_decoded_after_its_prefill(self):
         request_id = self.entry.prefilling()
         self.learn('completion', 'a', 'b', 'c')
         self.entry.prefill(request_id)
         self.assertEqual([], self.entry.found(effects.RunDecode))
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
 
-    def test_it_is_not_moved_to_another_engine(self):
+    def test_a_stream_is_not_moved_to_another_engine(self):
         request_id = self.entry.decoding()
         self.learn('completion', 'a', 'b', 'c')
         self.entry.decode(request_id, RETRY.CONNECT_REFUSED, known=NOT_RUN)
         self.assertEqual([], self.entry.sent(cells.Book))
         self.assertEqual(REASON.QUARANTINED, self.entry.refusal.reason)
 
-    def test_one_that_looks_for_another_engine_is_stopped(self):
-        """Guards against an error that ends the handling of the hold."""
+    def test_a_stream_that_searches_for_another_engine_is_stopped(self):
+        """Guards against an exception while the quarantine is applied."""
         request_id = self.entry.decoding()
         self.entry.decode(request_id, RETRY.CONNECT_REFUSED, known=NOT_RUN)
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
@@ -146,51 +149,51 @@
         )
 
 
-class EvidenceTest(Held):
-    """What an entry makes of the ends of its steps."""
+class EvidenceTest(HoldsTestCase):
+    """The evidence that an entry derives from the ends of its steps."""
 
     def end(self, request_id, **changes):
         fields = {'failure': RETRY.STREAM_BROKEN, 'known': MAY_HAVE_RUN}
         return self.entry.answer(request_id, **{**fields, **changes})
 
-    def test_a_cut_connection_is_looked_into(self):
+    def test_a_broken_connection_causes_a_probe(self):
         request_id = self.entry.arrive('lookup')
         self.entry.book(request_id, plain_incarnation=7)
         self.end(request_id, is_cut=True)
-        look = self.entry.one(effects.ProbeBackend)
+        probe = self.entry.one(effects.ProbeBackend)
         self.assertEqual(
-            presence.BackendStart(backend_id='s1', incarnation=7), look.start
+            presence.BackendStart(backend_id='s1', incarnation=7), probe.start
         )
-        self.assertEqual('http://s1', look.url)
-        # The next attempt does not wait for the answer.
+        self.assertEqual('http://s1', probe.url)
+        # The next attempt does not wait for the probe.
         self.assertEqual(1, len(self.entry.sent(cells.Book)))
         self.entry.post(
-            events.BackendProbed, start=look.start, is_refused=True
+            events.BackendProbed, start=probe.start, is_refused=True
         )
         (ended,) = self.entry.dispatched(quarantine.Ended)
         self.assertEqual(self.fingerprint('lookup'), ended.fingerprint)
 
     @params({'is_cut': False}, {'is_cut': False, 'known': NOT_RUN})
-    def test_other_failures_are_none(self, changes):
+    def test_other_failures_cause_no_probe(self, changes):
         request_id = self.entry.calling('lookup', key=None)
         self.end(request_id, **changes)
         self.assertEqual([], self.entry.found(effects.ProbeBackend))
 
-    def test_a_whole_answer_tells_for_a_call_that_is_suspected(self):
+    def test_a_complete_answer_is_reported_for_a_suspected_call(self):
         request_id = self.entry.calling('lookup', key=None)
         self.learn('lookup', 'a')
         self.entry.answer(request_id)
-        (told,) = self.entry.dispatched(quarantine.Succeeded)
-        self.assertEqual(self.fingerprint('lookup'), told.fingerprint)
+        (found,) = self.entry.dispatched(quarantine.Succeeded)
+        self.assertEqual(self.fingerprint('lookup'), found.fingerprint)
 
-    def test_without_evidence_nothing_is_told(self):
+    def test_without_evidence_nothing_is_reported(self):
         request_id = self.entry.calling('lookup', key=None)
         self.entry.answer(request_id)
         self.assertEqual([], self.entry.dispatched(quarantine.Succeeded))
 
 
 class TogetherTest(unittest.TestCase):
-    """What whole instances make of evidence."""
+    """Evidence that is shared between complete instances."""
 
     def setUp(self):
         self.network = network.Network(count=3)
@@ -224,7 +227,7 @@
         found = [each for each in out if isinstance(each, effects.Refuse)]
         return found[0].refusal.reason if found else None
 
-    def test_one_end_at_each_entry_stops_it_at_all(self):
+    def test_one_crash_at_each_entry_quarantines_at_all(self):
         for number in (1, 2, 3):
             self.assertNotEqual(
                 REASON.QUARANTINED, self.refusal_at(f'gw-{number}')
@@ -237,9 +240,9 @@
             )
 
     def test_copies_from_several_addresses_are_one_call(self):
-        """Guards against three ends for each address that a call comes from.
+        """Guards against three crashed servers for each client address.
 
-        Callers without an account share addresses and change them.
+        Clients without an account share addresses and change them.
         """
         entries = itertools.cycle(self.network.reducers_by_id)
         ended = 0
@@ -257,8 +260,8 @@
             self.network.run(1.0)
         self.assertEqual(3, ended)
 
-    def test_one_send_of_all_entries_is_tried(self):
-        """Guards against a herd of held calls when the first trial is due."""
+    def test_one_trial_among_all_entries(self):
+        """Guards against a thundering herd when the first trial is due."""
         routes = document.document_bytes(test_passed_on.described())
         self.network.apply('gw-1', json.loads(routes), 'routes')
         call = entry_fake.call(
@@ -268,9 +271,9 @@
             self.end(instance_id, f'portal-{number}', call)
             self.network.run(1.0)
         self.network.run(_trials.TRIAL_AFTER_S)
-        told = []
+        found = []
         for number, instance_id in enumerate(self.network.reducers_by_id):
-            told += self.network.post(
+            found += self.network.post(
                 instance_id,
                 events.RequestArrived(
                     now=self.network.now,
@@ -279,19 +282,19 @@
                     entropy=1,
                 ),
             )
-        lines = [each for each in told if isinstance(each, effects.Log)]
+        lines = [each for each in found if isinstance(each, effects.Log)]
         self.assertEqual(
             1, [each.message for each in lines].count(_TRIED), lines
         )
         refused = [
             each.refusal.reason
-            for each in told
+            for each in found
             if isinstance(each, effects.Refuse)
         ]
         self.assertEqual(2, refused.count(REASON.QUARANTINED))
 
-    def test_servers_that_said_they_would_leave_are_no_evidence(self):
-        """Failure: calls are held back after machines are taken away."""
+    def test_servers_that_announced_their_departure_are_no_evidence(self):
+        """Guards against a quarantine caused by servers that shut down."""
         for number in (1, 2, 3):
             backend_id = f'portal-{number}'
             self.network.post(
@@ -309,7 +312,7 @@
             self.assertIn('announced', line.message)
         self.assertNotEqual(REASON.QUARANTINED, self.refusal_at('gw-2'))
 
-    def test_a_lift_lets_it_through_everywhere(self):
+    def test_a_lift_applies_at_all_entries(self):
         for number in (1, 2, 3):
             self.end('gw-1', f'portal-{number}')
             self.network.run(1.0)
--- a/tests/test_passed_on.py
+++ b/tests/test_passed_on.py
@@ -1,4 +1,4 @@
-"""The life of calls that are passed on: what counts as a run, and what not."""
+"""Calls that are forwarded unchanged: what counts as a run of them."""
 
 import json
 import unittest
@@ -41,9 +41,9 @@
 
 
 class PassedOn(unittest.TestCase):
-    """The base: an entry whose document has host routes.
+    """Base class: an entry whose document has host routes.
 
-    :cvar route: what is particular to the routes.
+    :cvar route: fields of the routes that differ from the default.
     """
 
     route: dict = {}
@@ -62,7 +62,7 @@
         return self.entry.arrive('completion', **fields)
 
     def prefilled(self, **changes):
-        """Return the id of a call whose prompt was read."""
+        """Return the id of a call whose prefill has ended."""
         request_id = self.arrive('/model/x', **changes)
         self.entry.book(request_id)
         self.entry.prefill(request_id, known=NOT_RUN)
@@ -84,12 +84,11 @@
         self.arrive(path, host=host)
         self.assertEqual(self.entry.refusal.reason, REASON.UNKNOWN_ROUTE)
 
-    def test_an_instance_that_knows_no_routes_says_come_back(self):
-        """Symptom: callers are told for good that there is no such route.
+    def test_an_instance_without_routes_refuses_with_a_retry_time(self):
+        """Guards against a final "no such route" while an instance starts.
 
-        Sequence: an instance starts; a call arrives before it has heard of
-        any configuration.
-        Cause: nothing known would be taken for nothing there.
+        A call may arrive before the instance has a configuration. Having no
+        routes yet must not be taken for a document without the route.
         """
         self.entry.directory.document = document.EMPTY
         self.arrive('/model/x')
@@ -98,7 +97,7 @@
         self.assertIsNotNone(refusal.retry_after_s)
 
     @params((14.0, False), (9.0, True), (None, False))
-    def test_who_came_before(self, deadline_s, resent):
+    def test_a_short_deadline_marks_a_resend(self, deadline_s, resent):
         self.arrive('/model/x', deadline_s=deadline_s)
         ((_, book),) = self.entry.sent(cells.Book)
         self.assertEqual(book.resent, resent)
@@ -109,12 +108,11 @@
 
     route = {'repeat': 'never', 'max_runs': 3}
 
-    def test_reading_the_prompt_runs_nothing(self):
-        """Symptom: callers are told "may have run" of what has not.
+    def test_a_prefill_is_not_a_run(self):
+        """Guards against "may have run" for a call that has not run.
 
-        Sequence: the prompt is read; the decode engine refuses; no other
-        engine is found.
-        Cause: a prompt that was read would count as a run.
+        The prefill succeeds, the decode engine refuses the call, and there
+        is no other engine. The prefill alone must not count as a run.
         """
         request_id = self.prefilled()
         self.entry.decode(
@@ -126,19 +124,19 @@
         self.entry.tick(20.0)
         self.assertEqual(self.entry.refusal.verdict, NOT_RUN)
 
-    def test_a_caller_who_leaves_while_it_is_read(self):
+    def test_a_disconnect_during_the_prefill(self):
         request_id = self.arrive('/model/x')
         self.entry.book(request_id)
         self.entry.leave(request_id)
         self.assertEqual(self.entry.refusal.verdict, NOT_RUN)
 
     @params(RETRY.STREAM_BROKEN, RETRY.STREAM_STALLED, RETRY.IMPORT_REFUSED)
-    def test_a_stream_that_may_have_run_goes_nowhere_else(self, failure):
-        """Symptom: a quote is billed twice.
+    def test_a_stream_that_may_have_run_is_not_sent_again(self, failure):
+        """Guards against a quote that is billed twice.
 
-        Sequence: a decode engine takes the call and falls silent.
-        Cause: a stream of ours may resume anywhere, since it runs once;
-        each send of a call that is passed on is a run.
+        A decode engine accepts the call and stops responding. Other streams
+        may resume on any engine, as they run once. But each send of a call
+        that is forwarded unchanged is a run.
         """
         request_id = self.prefilled()
         self.entry.decode(request_id, failure=failure, known=MAY_HAVE_RUN)
@@ -148,11 +146,11 @@
 
 
 class ResumeTest(PassedOn):
-    """A stream that may go on elsewhere."""
+    """A stream that may continue on another engine."""
 
     route = {'repeat': 'resume', 'max_runs': 2}
 
-    def test_it_runs_on_no_more_backend_servers_than_it_may(self):
+    def test_a_stream_runs_on_at_most_max_runs_backend_servers(self):
         request_id = self.prefilled()
         broken = {'failure': RETRY.CONNECT_REFUSED, 'known': MAY_HAVE_RUN}
         self.entry.decode(request_id, **broken)
@@ -161,7 +159,7 @@
         self.assertEqual(self.entry.sent(cells.Book), [])
         self.assertEqual(self.entry.refusal.reason, REASON.RETRIES_SPENT)
 
-    def test_refusals_are_no_runs(self):
+    def test_refused_sends_are_not_runs(self):
         request_id = self.prefilled()
         for _ in range(attempts.MAX_ATTEMPTS - 1):
             self.entry.decode(
@@ -171,7 +169,7 @@
             self.entry.book(request_id, decode_id=f'd{self.entry.now}')
             self.entry.now += 0.01
 
-    def test_without_a_reader_the_decode_engine_reads(self):
+    def test_without_a_prefill_engine_the_decode_engine_prefills(self):
         request_id = self.arrive('/model/x')
         self.entry.book(request_id, prefill_id='', prefill_url='')
         run = self.entry.one(effects.RunDecode)
@@ -180,7 +178,7 @@
         self.entry.decode(request_id)
         self.assertEqual(len(self.entry.found(effects.Complete)), 1)
 
-    def test_an_engine_that_is_down_is_told_to_its_owner(self):
+    def test_an_engine_that_is_down_is_reported_to_its_owner(self):
         request_id = self.arrive('/model/x')
         self.entry.book(request_id)
         self.entry.prefill(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The hands of a request against engines that answer anything."""
+"""The relay of a request, with engines that send arbitrary answers."""
 
 import queue
 import threading
@@ -21,7 +21,7 @@
 
 RETRY = verdict.RetryReason
 NOT_RUN = verdict.Verdict.NOT_RUN
-PATIENCE_S = 20
+TIMEOUT_S = 20
 IMPORTED = raw_server.answer({'bytes': 1})
 PREFILLED = raw_server.answer({'kv': 'k', 'tokens': 5})
 
@@ -38,8 +38,8 @@
         )
 
 
-class Carried:
-    """A relay on a thread of its own; the test is its reducer."""
+class RelayThread:
+    """A relay in a thread of its own; the test acts as its reducer."""
 
     def __init__(self, kind='completion', clock=lambda: 0.0, **changes):
         self.events = queue.Queue()
@@ -70,10 +70,10 @@
             message='over',
         )
         self.relay.give(effects.Refuse(request_id='r', refusal=refusal))
-        self.thread.join(PATIENCE_S)
+        self.thread.join(TIMEOUT_S)
 
     def next(self, event_class=events.StepEnded):
-        event = self.events.get(timeout=PATIENCE_S)
+        event = self.events.get(timeout=TIMEOUT_S)
         assert isinstance(event, event_class), event
         return event
 
@@ -131,44 +131,44 @@
         stream(piece('r.1', 0, 'a'), end('r.1', 0)),
     )
     def test_only_the_right_end_mark_ends_a_stream(self, broken):
-        """Symptom: half a summary is printed as if it were all.
+        """Guards against a truncated answer that is taken for a complete one.
 
-        Sequence: the engine's answer ends well formed, or loses a token.
-        Cause: the end of the connection would be the end of the answer.
+        The HTTP body ends regularly, or a token is missing. The end of the
+        connection must not count as the end of the answer.
         """
         with raw_server.serving(IMPORTED, broken) as server:
-            with Carried() as carried:
-                ended = carried.run(run_decode(server.url))
+            with RelayThread() as runner:
+                ended = runner.run(run_decode(server.url))
         self.assertEqual(ended.failure, RETRY.STREAM_BROKEN)
         self.assertEqual(ended.tokens, 1)
-        self.assertEqual(carried.text, 'a')
+        self.assertEqual(runner.text, 'a')
 
     def test_a_stream_resumes_at_the_first_missing_token(self):
-        """Symptom: a token twice, or one lost, in the caller's text.
+        """Guards against a duplicate or missing token after a resume.
 
-        Sequence: the connection breaks; the resumed one repeats a piece.
-        Cause: a resume from where the engine was, not the caller.
+        After a broken connection, the engine repeats a piece. The stream has
+        to resume at the client's offset, not at the engine's.
         """
         first = stream(piece('r.1', 0, 'a'), piece('r.1', 1, 'b'))
         again = stream(
             piece('r.1', 1, 'b'), piece('r.1', 2, 'c'), end('r.1', 3)
         )
         with raw_server.serving(IMPORTED, first, again) as server:
-            with Carried() as carried:
-                carried.run(run_decode(server.url))
-                ended = carried.run(run_decode(server.url, kv=''))
+            with RelayThread() as runner:
+                runner.run(run_decode(server.url))
+                ended = runner.run(run_decode(server.url, kv=''))
         self.assertIsNone(ended.failure)
-        self.assertEqual(carried.text, 'abc')
+        self.assertEqual(runner.text, 'abc')
         self.assertEqual(server.bodies()[-1]['from_offset'], 2)
         self.assertEqual(outcome.from_bytes(ended.outcome).text, 'abc')
         connections = [path for path, _, _ in server.calls]
         self.assertEqual(connections.count('/v1/decode'), 2)
 
     def test_pieces_of_another_attempt_are_dropped_and_counted(self):
-        """Symptom: another attempt's text in the middle of an answer.
+        """Guards against text of another attempt in an answer.
 
-        Sequence: the first attempt answers after the second has begun.
-        Cause: the stream's id alone would be looked at.
+        The first attempt answers after the second has begun. The stream id
+        is the same for both, so the attempt id has to be checked.
         """
         mixed = stream(
             piece('r.0', 0, 'x'),
@@ -177,43 +177,43 @@
             end('r.1', 1),
         )
         with raw_server.serving(IMPORTED, mixed) as server:
-            with Carried() as carried:
-                ended = carried.run(run_decode(server.url))
-        self.assertEqual((carried.text, ended.late_pieces), ('a', 2))
+            with RelayThread() as runner:
+                ended = runner.run(run_decode(server.url))
+        self.assertEqual((runner.text, ended.late_pieces), ('a', 2))
         self.assertIsNone(ended.failure)
 
-    def test_what_was_answered_is_part_of_the_next_prompt(self):
-        """Symptom: an answer with a hole where an engine died.
+    def test_the_text_so_far_is_part_of_the_next_prompt(self):
+        """Guards against missing tokens after an engine has failed.
 
-        Sequence: two tokens; the engine dies; another one computes the
-        prompt with them and streams what follows.
-        Cause: the new engine would be asked to skip two tokens again.
+        After two tokens the engine fails. Another one prefills the prompt
+        with them and streams the rest. It must not be asked to skip the two
+        tokens, which would be skipped twice.
         """
         first = stream(piece('r.1', 0, 'a'), piece('r.1', 1, 'b'))
         again = stream(piece('r.2', 0, 'c'), end('r.2', 1))
         with raw_server.serving(
             IMPORTED, first, PREFILLED, IMPORTED, again
         ) as server:
-            with Carried() as carried:
-                carried.run(run_decode(server.url))
-                carried.run(run_prefill(server.url, 'r.2'))
-                ended = carried.run(run_decode(server.url, 'r.2'))
+            with RelayThread() as runner:
+                runner.run(run_decode(server.url))
+                runner.run(run_prefill(server.url, 'r.2'))
+                ended = runner.run(run_decode(server.url, 'r.2'))
         self.assertIsNone(ended.failure)
-        self.assertEqual((carried.text, ended.tokens), ('abc', 3))
+        self.assertEqual((runner.text, ended.tokens), ('abc', 3))
         self.assertEqual(server.bodies()[2]['prompt'], 'pab')
         last = server.bodies()[-1]
         self.assertEqual((last['from_offset'], last['max_tokens']), (0, 8))
         self.assertEqual(
-            [each.offset for each in carried.pieces[:3]], [0, 1, 2]
+            [each.offset for each in runner.pieces[:3]], [0, 1, 2]
         )
 
-    def test_a_whole_answer_without_its_end_mark_is_whole(self):
+    def test_an_answer_without_its_end_mark_is_complete(self):
         pieces = [piece('r.1', at, 'a') for at in range(10)]
         with raw_server.serving(IMPORTED, stream(*pieces), stream()) as server:
-            with Carried(max_tokens=10) as carried:
-                ended = carried.run(run_decode(server.url))
+            with RelayThread(max_tokens=10) as runner:
+                ended = runner.run(run_decode(server.url))
                 self.assertEqual(ended.failure, RETRY.STREAM_BROKEN)
-                ended = carried.run(run_decode(server.url, kv=''))
+                ended = runner.run(run_decode(server.url, kv=''))
         self.assertIsNone(ended.failure)
         self.assertEqual(ended.tokens, 10)
 
@@ -224,13 +224,13 @@
     )
     def test_why_an_import_failed(self, body, failure):
         reply = raw_server.answer(body, '409 Conflict')
-        with raw_server.serving(reply) as server, Carried() as carried:
-            ended = carried.run(run_decode(server.url))
+        with raw_server.serving(reply) as server, RelayThread() as runner:
+            ended = runner.run(run_decode(server.url))
         self.assertEqual((ended.failure, ended.known), (failure, NOT_RUN))
 
 
 class CutTest(unittest.TestCase):
-    """A step tells whether its connection ended before the answer."""
+    """A step reports whether its connection broke before the answer's end."""
 
     @params(
         (run_prefill, b'', True),
@@ -248,8 +248,11 @@
     def test_which_failures_are_cuts(self, make, reply, cut):
         replies = (IMPORTED, reply) if make is run_decode else (reply,)
         kind = 'booking' if make is run_call else 'completion'
-        with raw_server.serving(*replies) as server, Carried(kind) as carried:
-            ended = carried.run(make(server.url))
+        with (
+            raw_server.serving(*replies) as server,
+            RelayThread(kind) as runner,
+        ):
+            ended = runner.run(make(server.url))
         self.assertIsNotNone(ended.failure)
         self.assertEqual(cut, ended.is_cut)
 
@@ -257,10 +260,10 @@
 class Stops(unittest.TestCase):
     @params('prefill', 'decode', 'call', 'waiting')
     def test_a_stop_wakes_the_thread(self, step):
-        """Symptom: threads and engines work for a caller who left.
+        """Guards against work that goes on for a disconnected client.
 
-        Sequence: the caller leaves while an engine says nothing.
-        Cause: the thread would wait for the engine's next byte.
+        The client disconnects while an engine sends nothing, so the thread
+        is blocked until the engine's next byte.
         """
         with raw_server.serving(lambda c: server.hang()(c)) as server:
             directive = {
@@ -270,53 +273,52 @@
                 'waiting': run_prefill(server.url, start_in_s=60.0),
             }[step]
             kind = 'booking' if step == 'call' else 'completion'
-            with Carried(kind) as carried:
-                carried.relay.give(directive)
+            with RelayThread(kind) as runner:
+                runner.relay.give(directive)
                 if step != 'waiting':
-                    server.served.acquire(timeout=PATIENCE_S)
-                carried.relay.give(
+                    server.served.acquire(timeout=TIMEOUT_S)
+                runner.relay.give(
                     effects.Abort(request_id='r', attempt_id='r.1')
                 )
-                ended = carried.next()
+                ended = runner.next()
         self.assertIsNotNone(ended.failure)
         self.assertEqual(ended.known is NOT_RUN, step == 'waiting')
 
-    def test_a_stop_in_the_last_moment_is_not_lost(self):
-        """Symptom: an engine computes a prompt for a caller who left.
+    def test_a_stop_before_the_adapter_is_registered_is_not_lost(self):
+        """Guards against a prefill for a client that has disconnected.
 
-        Sequence: the thread sees no stop; the stop comes; the thread makes
-        its adapter and calls.
-        Cause: a stop finds no adapter, the adapter finds no stop.
+        The cancellation comes after the thread has checked for one and
+        before it has registered its adapter. It must not be lost.
         """
         with raw_server.serving(lambda c: server.hang()(c)) as server:
-            carried = Carried()
+            runner = RelayThread()
 
-            class Late(Adapters):
+            class LateAbort(Adapters):
                 def model_engine(self, url, backend_id, pieces_held):
-                    carried.relay.give(
+                    runner.relay.give(
                         effects.Abort(request_id='r', attempt_id='r.1')
                     )
                     return super().model_engine(url, backend_id, pieces_held)
 
-            carried.relay._backends = Late()
-            with carried:
-                ended = carried.run(run_prefill(server.url))
+            runner.relay._backends = LateAbort()
+            with runner:
+                ended = runner.run(run_prefill(server.url))
         self.assertEqual(ended.known, NOT_RUN)
         self.assertEqual(server.calls, [])
 
     def test_the_next_attempt_is_not_stopped_with_the_last(self):
-        with raw_server.serving(PREFILLED) as server, Carried() as carried:
-            carried.relay.give(effects.Abort(request_id='r', attempt_id='r.1'))
-            self.assertIsNotNone(carried.run(run_prefill(server.url)).failure)
-            ended = carried.run(run_prefill(server.url, 'r.2'))
+        with raw_server.serving(PREFILLED) as server, RelayThread() as runner:
+            runner.relay.give(effects.Abort(request_id='r', attempt_id='r.1'))
+            self.assertIsNotNone(runner.run(run_prefill(server.url)).failure)
+            ended = runner.run(run_prefill(server.url, 'r.2'))
         self.assertEqual((ended.failure, ended.kv), (None, 'k'))
 
     @params('prefill', 'decode', 'call')
     def test_work_past_its_deadline_is_not_begun(self, step):
-        """Symptom: bookings are made that nobody waits for any more.
+        """Guards against calls that are sent after their deadline.
 
-        Sequence: the process is frozen between the decision and the call.
-        Cause: only the reducer, frozen as well, would know the deadline.
+        The process is suspended between the directive and the call. The
+        reducer is suspended as well, so the thread has to check the deadline.
         """
         times = iter([0.0])
         with raw_server.serving(PREFILLED) as server:
@@ -325,65 +327,67 @@
                 'decode': run_decode(server.url),
                 'call': run_call(server.url),
             }[step]
-            with Carried(clock=lambda: next(times, 99.0)) as carried:
-                ended = carried.run(directive)
+            with RelayThread(clock=lambda: next(times, 99.0)) as runner:
+                ended = runner.run(directive)
         self.assertEqual(ended.known, NOT_RUN)
         self.assertIsNotNone(ended.failure)
         self.assertEqual(server.calls, [])
 
 
 class Ends(unittest.TestCase):
-    def test_a_call_is_told_how_long_anybody_waits(self):
+    def test_a_call_has_its_deadline_in_a_header(self):
         with raw_server.serving(raw_server.answer(b'ok')) as server:
-            with Carried('booking') as carried:
-                ended = carried.run(run_call(server.url, 2.5))
+            with RelayThread('booking') as runner:
+                ended = runner.run(run_call(server.url, 2.5))
         self.assertEqual(outcome.from_bytes(ended.outcome).body, b'ok')
         self.assertEqual(server.calls[0][1]['x-deadline-s'], '2.500')
         self.assertEqual(server.calls[0][1]['x-request-id'], 'r')
 
-    def test_an_error_that_nobody_foresaw_has_a_verdict(self):
-        """Symptom: a caller without an answer, a slot booked for seconds.
+    def test_an_unexpected_exception_has_a_verdict(self):
+        """Guards against a client without an answer and a leaked slot.
 
-        Sequence: an adapter raises what it should not.
-        Cause: the thread would end without a word to the reducer.
+        An adapter raises an unexpected exception. The thread must report the
+        end of the step to the reducer all the same.
         """
 
-        class Odd(Adapters):
+        class Raising(Adapters):
             def plain_service(self, url, backend_id, timeout_s):
                 raise KeyError('odd')
 
-        with Carried('booking') as carried:
-            carried.relay._backends = Odd()
-            ended = carried.run(run_call('http://x'))
+        with RelayThread('booking') as runner:
+            runner.relay._backends = Raising()
+            ended = runner.run(run_call('http://x'))
         self.assertEqual(ended.known, verdict.Verdict.MAY_HAVE_RUN)
         self.assertEqual(ended.failure, RETRY.STREAM_BROKEN)
 
     @params(0, 1)
-    def test_a_caller_that_closes_early_is_told_as_gone(self, read):
-        told = []
-        carried = relay.Relay(
+    def test_a_client_that_closes_early_is_reported(self, read):
+        posted = []
+        runner = relay.Relay(
             request_id='r',
             call=entry_fake.call('completion'),
             work=relay.Work(),
             backends=Adapters(),
-            post=lambda make_event: told.append(make_event(now=0.0)),
+            post=lambda make_event: posted.append(make_event(now=0.0)),
         )
         with raw_server.serving(
             IMPORTED,
             lambda c: server.hang(STREAM_HEAD, piece('r.1', 0, 'a'))(c),
         ) as server:
-            pieces = carried.pieces()
+            pieces = runner.pieces()
             if read:
-                carried.give(run_decode(server.url))
+                runner.give(run_decode(server.url))
                 next(pieces)
             pieces.close()
-        kinds = [type(each) for each in told]
-        gone = [events.CallerGone, events.RequestClosed]
-        self.assertEqual(kinds, [events.RequestArrived, *gone] if read else [])
+        kinds = [type(each) for each in posted]
+        disconnect = [events.CallerGone, events.RequestClosed]
+        self.assertEqual(
+            kinds, [events.RequestArrived, *disconnect] if read else []
+        )
 
 
 class PacedEngine:
-    """An engine whose tokens come at given times on the test's clock."""
+    """An engine whose tokens arrive at given times on the test's clock."""
 
     def __init__(self, *arrivals):
         self.now = 0.0
@@ -409,39 +413,39 @@
 
 
 def paced(paced_engine, directive):
-    """Return the end of one decode; all on the test's own thread."""
-    told = []
-    carried = relay.Relay(
+    """Return the end of one decode step, run in the test's own thread."""
+    posted = []
+    runner = relay.Relay(
         request_id='r',
         call=entry_fake.call('completion'),
         work=relay.Work(),
         backends=paced_engine,
-        post=lambda make_event: told.append(make_event(now=0.0)),
+        post=lambda make_event: posted.append(make_event(now=0.0)),
         clock=lambda: paced_engine.now,
     )
-    carried.give(directive)
-    carried.give(effects.Complete(request_id='r'))
-    for _ in carried.pieces():
+    runner.give(directive)
+    runner.give(effects.Complete(request_id='r'))
+    for _ in runner.pieces():
         pass
-    (ended,) = [each for each in told if isinstance(each, events.StepEnded)]
+    (ended,) = [each for each in posted if isinstance(each, events.StepEnded)]
     return ended
 
 
 class TokenGaps(unittest.TestCase):
-    def test_a_whole_answer_tells_its_mean_gap(self):
-        """Symptom: decode batches grow until all tokens come too late.
+    def test_a_complete_answer_reports_its_mean_gap(self):
+        """Guards against decode batches that grow until tokens are late.
 
-        Sequence: answers end well, but with wide gaps between their tokens.
-        Cause: nobody would tell the owner how wide the gaps are.
+        The answers are complete but have wide gaps between their tokens. The
+        owner limits the batches by the gaps that are reported to it.
         """
         ended = paced(PacedEngine(1.0, 1.1, 1.4), run_decode('http://d'))
         self.assertAlmostEqual(ended.token_gap_s, 0.2)
 
-    def test_a_resumed_stream_tells_no_gap(self):
-        """Symptom: a slow engine's batch is allowed to grow.
+    def test_a_resumed_stream_reports_no_gap(self):
+        """Guards against a slow engine whose batch is allowed to grow.
 
-        Sequence: a stream is resumed; the tokens of the break come at once.
-        Cause: what was buffered meanwhile would count as quick.
+        When a stream is resumed, the tokens that were buffered during the
+        interruption arrive at once and would make the engine look fast.
         """
         resume = run_decode('http://d', kv='')
         ended = paced(PacedEngine(1.0, 1.0, 1.0, 1.3), resume)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""The life of a request at its entry, failure by failure."""
+"""The life cycle of a request at its entry, by kind of failure."""
 
 import unittest
 
@@ -30,7 +30,7 @@
     return cells.Queued(**entry.ids_of(request_id), epoch=1, expected_in_s=0.5)
 
 
-class WholeWay(unittest.TestCase):
+class CompleteRequests(unittest.TestCase):
     def test_a_completion_books_prefills_decodes_and_completes(self):
         entry = Entry()
         request_id = entry.prefilling()
@@ -42,18 +42,18 @@
         ((to, release),) = entry.sent(cells.Release)
         self.assertEqual((to, release.outcome), (OWNER, cells.Outcome.DONE))
 
-    def test_the_release_of_a_whole_answer_tells_its_token_gap(self):
-        """Symptom: the cap of a decode batch never comes on.
+    def test_the_release_of_a_complete_answer_has_its_token_gap(self):
+        """Guards against decode batches that are never limited.
 
-        Sequence: answers end well, with gaps far above the target.
-        Cause: the owner learns from the release only, which told no gap.
+        The answers are complete, with gaps far above the target. The owner
+        gets the gap only from the release.
         """
         entry = Entry()
         entry.decode(entry.decoding(), token_gap_s=0.125)
         ((_, release),) = entry.sent(cells.Release)
         self.assertEqual(release.token_gap_s, 0.125)
 
-    def test_each_part_of_the_way_is_measured(self):
+    def test_each_part_of_a_request_is_measured(self):
         entry = Entry()
         request_id = entry.arrive('completion')
         entry.now += 0.25
@@ -78,7 +78,7 @@
         )
         self.assertEqual({'dieline-llm'}, {each.service for each in took})
 
-    def test_a_refused_request_tells_how_long_it_was_queued(self):
+    def test_the_queue_time_of_a_refused_request_is_measured(self):
         entry = Entry()
         request_id = entry.arrive('completion')
         entry.receive(queued(entry, request_id))
@@ -93,11 +93,11 @@
         took = entry.one(effects.Took)
         self.assertEqual((effects.Part.QUEUE, 2.0), (took.part, took.seconds))
 
-    def test_a_stream_that_is_passed_on_tells_its_times(self):
-        """Symptom: no time to the first token of calls passed on.
+    def test_the_times_of_a_forwarded_stream_are_measured(self):
+        """Guards against forwarded streams without a first-token time.
 
-        Sequence: the border passes pieces on without a look at them.
-        Cause: only answers that are made here would be measured.
+        The pieces are forwarded unread, so they are measured separately from
+        answers that this instance composes.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -116,7 +116,7 @@
             (0.75, 0.125), (stream.first_token_s, stream.token_gap_s)
         )
 
-    def test_a_claim_is_recorded_before_the_end_is_given(self):
+    def test_a_claim_is_recorded_before_the_answer_ends(self):
         entry = Entry()
         request_id = entry.calling()
         entry.answer(request_id)
@@ -129,11 +129,10 @@
 
 class Attempts(unittest.TestCase):
     def test_the_end_of_an_earlier_attempt_is_dropped(self):
-        """Symptom: a caller gets tokens of two attempts, mixed.
+        """Guards against an answer that mixes the tokens of two attempts.
 
-        Sequence: the first attempt breaks; the second starts; the first
-        one's end arrives.
-        Cause: only the request id would tell the two apart.
+        The first attempt fails, the second starts, and then the end of the
+        first arrives. The request id alone does not tell them apart.
         """
         entry = Entry()
         request_id = entry.prefilling()
@@ -144,11 +143,11 @@
         self.assertEqual(entry.found(effects.RunDecode), [])
         self.assertEqual(entry.one(effects.CountLate).what, effects.Late.STEP)
 
-    def test_swapped_bookings_go_back_or_to_their_own_request(self):
-        """Symptom: two callers get each other's slots.
+    def test_swapped_bookings_reach_their_own_requests(self):
+        """Guards against two requests that get each other's slots.
 
-        Sequence: two bookings are asked for; the replies come swapped.
-        Cause: replies would be matched by their order.
+        The replies to two bookings arrive in the opposite order, so they must
+        not be matched by their order.
         """
         entry = Entry()
         first, second = entry.arrive('lookup'), entry.arrive('lookup')
@@ -158,7 +157,7 @@
         run = entry.one(effects.RunCall)
         self.assertEqual((run.request_id, run.url), (first, 'http://for-1'))
 
-    def test_a_booking_told_twice_starts_once(self):
+    def test_a_duplicate_booking_starts_one_step(self):
         entry = Entry()
         request_id = entry.arrive('booking')
         message = entry.booked(request_id)
@@ -166,12 +165,11 @@
         entry.receive(message)
         self.assertEqual(entry.out, [])
 
-    def test_an_owner_that_answers_after_its_successor_is_given_back(self):
-        """Symptom: two slots are booked for one stream, one is never used.
+    def test_a_late_booking_of_an_earlier_owner_is_released(self):
+        """Guards against two slots for one stream, one of them unused.
 
-        Sequence: the owner is slow; its successor is asked and books; then
-        the first one's booking arrives.
-        Cause: one attempt id for all owners that are asked.
+        A slow owner's booking arrives after its successor has booked, too.
+        With one attempt id for both, they could not be told apart.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
@@ -188,13 +186,12 @@
         self.assertEqual(release.attempt_id, late.attempt_id)
 
 
-class Leaving(unittest.TestCase):
+class Disconnects(unittest.TestCase):
     @params('claiming', 'queued', 'prefill', 'decode', 'call', 'backoff')
-    def test_a_caller_who_has_gone_frees_everything(self, stage):
-        """Symptom: engines hold memory for answers nobody will read.
+    def test_a_disconnect_releases_everything(self, stage):
+        """Guards against engine memory that is held for no client.
 
-        Sequence: the caller closes while no byte flows.
-        Cause: only a failed write would tell that it has gone.
+        The client disconnects while no bytes flow, so no write fails.
         """
         entry = Entry()
         request_id = _at(entry, stage)
@@ -213,12 +210,12 @@
         self.assertEqual(entry.sent(cells.Release), [])
         self.assertEqual(entry.gate.in_flight, 0)
 
-    def test_a_cancel_goes_again_when_the_thread_has_let_go(self):
-        """Symptom: an engine works on for a caller who left at once.
+    def test_a_cancel_is_repeated_when_the_step_has_ended(self):
+        """Guards against an engine that works on for a disconnected client.
 
-        Sequence: prefill is directed; the caller leaves; the cancel reaches
-        the engine before the prefill does, and finds nothing.
-        Cause: cancel and call travel over connections of their own.
+        The client disconnects right after the prefill was directed. Cancel
+        and call use separate connections, so the cancel can reach the engine
+        first and find nothing to cancel.
         """
         entry = Entry()
         request_id = entry.prefilling()
@@ -229,11 +226,11 @@
         entry.close(request_id)
         self.assertEqual(entry.out, [])
 
-    def test_a_claimed_call_is_left_to_end(self):
-        """Symptom: a resend is told "may have run" though all went well.
+    def test_a_claimed_call_continues_after_a_disconnect(self):
+        """Guards against "may have run" for the resend of a successful call.
 
-        Sequence: a booking is under way; the caller goes; it resends.
-        Cause: the call would be broken off with its caller.
+        The client disconnects while a booking is running and sends it again.
+        So the call must not be aborted when its client disconnects.
         """
         entry = Entry()
         request_id = entry.calling()
@@ -244,7 +241,7 @@
         entry.record(request_id)
         entry.one(effects.Complete)
 
-    def test_a_claimed_call_that_did_not_run_ends_with_its_caller(self):
+    def test_a_claimed_call_is_not_retried_after_a_disconnect(self):
         entry = Entry()
         request_id = entry.calling()
         entry.leave(request_id)
@@ -253,10 +250,10 @@
         self.assertEqual(len(entry.dispatched(claims.Abandon)), 1)
 
     def test_a_thread_that_dies_in_a_claimed_call_leaks_nothing(self):
-        """Symptom: a slot stays booked, the account's count never falls.
+        """Guards against a leaked slot and a leaked in-flight count.
 
-        Sequence: a claimed call's thread ends without an answer.
-        Cause: a caller's leaving is no news to a claimed call.
+        A claimed call's thread ends without an answer. A claimed call is not
+        aborted when its client disconnects, so that does not clean it up.
         """
         entry = Entry()
         request_id = entry.calling()
@@ -267,7 +264,7 @@
 
 
 def _at(entry, stage):
-    """Return the id of a new request that has come to a stage."""
+    """Return the id of a new request that has reached a stage."""
     if stage == 'prefill':
         return entry.prefilling()
     if stage == 'decode':
@@ -299,11 +296,11 @@
         ('booking', MAY_HAVE_RUN, False),
         ('lookup', MAY_HAVE_RUN, True),
     )
-    def test_another_try_needs_proof_or_idempotence(self, kind, known, again):
-        """Symptom: two riders are booked on one horse.
+    def test_a_retry_needs_proof_or_idempotence(self, kind, known, again):
+        """Guards against a booking that is made twice.
 
-        Sequence: the connection is reset after the last byte went out.
-        Cause: a broken call would count as one that did not run.
+        The connection is reset after the last byte was sent. Such a call may
+        have run, although it got no answer.
         """
         entry = Entry()
         request_id = entry.calling(kind, None)
@@ -315,10 +312,10 @@
 
     @params(False, True)
     def test_a_quote_is_resumed_but_never_prefilled_again(self, resumed):
-        """Symptom: a studio is billed for two drafts.
+        """Guards against a client that is billed for two drafts.
 
-        Sequence: tokens flow; the stream breaks; its resume breaks.
-        Cause: another prefill makes a second draft.
+        A stream breaks, and its resume breaks as well. Another prefill would
+        create a second draft.
         """
         entry = Entry()
         request_id = entry.decoding('quote')
@@ -340,12 +337,14 @@
         self.assertEqual(entry.sent(cells.Book), [])
 
     @params('draining', 'stale', 'full')
-    def test_a_key_that_was_not_looked_up_is_never_told_not_run(self, why):
-        """Symptom: a rider whose booking was made is told that it was not.
-
-        Sequence: a booking runs, its answer is lost; the resend meets an
-        instance that is shutting down.
-        Cause: "not run" would be said of the send, not of the call.
+    def test_a_call_with_an_unclaimed_key_is_never_refused_as_not_run(
+        self, why
+    ):
+        """Guards against "not run" for a booking that was made.
+
+        A booking runs and its answer is lost. The resend is refused, as by an
+        instance that is shutting down. "Not run" would be true of this send
+        but not of the call.
         """
         entry = Entry()
         entry.directory.is_draining = why == 'draining'
@@ -380,11 +379,11 @@
 
 
 class Claims(unittest.TestCase):
-    def test_an_outcome_too_large_to_keep_is_told_as_run(self):
-        """Symptom: the resend's thread dies and its caller gets a 500.
+    def test_an_outcome_too_large_to_record_is_refused_as_run(self):
+        """Guards against a 500 for a resend, after an exception in its thread.
 
-        Sequence: a long answer is given but not kept; the caller resends.
-        Cause: a replay without an outcome can't be read.
+        The answer to the first send was too large to be recorded, so there is
+        no outcome to replay.
         """
         entry = Entry()
         entry.claim(
@@ -393,10 +392,10 @@
         self.assertEqual(entry.refusal.verdict, RAN)
 
     def test_a_claimed_call_takes_no_longer_than_its_record_lasts(self):
-        """Symptom: a call with a key never gets any answer.
+        """Guards against a call with a key that never gets an answer.
 
-        Sequence: the service allows more time than claims are kept for.
-        Cause: the claims part raises, and the reducer drops the event.
+        If the service's timeout exceeds the retention of claims, the claims
+        part raises an exception, and the reducer drops the event.
         """
         entry = Entry(most_claimed_s=2.0)
         entry.arrive('booking', 'k')
@@ -408,7 +407,7 @@
         ('booking', MAY_HAVE_RUN, 0),
         ('quote', None, 0),
     )
-    def test_only_proof_frees_a_key(self, kind, known, abandoned):
+    def test_a_claim_is_released_only_with_proof(self, kind, known, abandoned):
         entry = Entry()
         if kind == 'quote':
             entry.leave(entry.decoding(kind, 'k'))
@@ -422,7 +421,7 @@
                         entry.book(request_id)
         self.assertEqual(len(entry.dispatched(claims.Abandon)), abandoned)
 
-    def test_a_key_of_an_idempotent_call_is_free_when_its_caller_left(self):
+    def test_a_disconnect_releases_the_claim_of_an_idempotent_call(self):
         entry = Entry()
         entry.leave(entry.decoding('completion', 'k'))
         self.assertEqual(len(entry.dispatched(claims.Abandon)), 1)
@@ -437,12 +436,11 @@
 
 
 class NextSteps(unittest.TestCase):
-    def test_a_kv_cache_moves_without_being_given_back(self):
-        """Symptom: every refused import costs a second prefill.
+    def test_a_kv_cache_moves_without_a_release(self):
+        """Guards against a second prefill after every refused import.
 
-        Sequence: the decode engine is full; the booking is released; the
-        owner cancels on both engines; the KV cache is gone before its move.
-        Cause: a move that begins with a release.
+        The decode engine is full. If the move began with a release, the owner
+        would cancel on both engines, and the KV cache would be lost.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -463,11 +461,11 @@
         self.assertEqual(engines, {'p1', 'd2'})
 
     @params('declined', 'late', 'queued')
-    def test_a_move_that_finds_no_engine_is_computed_again(self, why):
-        """Symptom: a request fails although its prompt could be run again.
+    def test_a_failed_move_is_followed_by_another_prefill(self, why):
+        """Guards against failing a request instead of prefilling it again.
 
-        Sequence: the import is refused; no other decode engine is free.
-        Cause: a refused move would end the request, and leave its booking.
+        The import is refused, and no other decode engine is free. That must
+        neither end the request nor leak its booking.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -484,7 +482,7 @@
         ((_, book),) = entry.sent(cells.Book)
         self.assertEqual(book.stage, 'pair')
 
-    def test_the_owner_is_told_how_long_a_cache_is_kept(self):
+    def test_the_booking_has_the_remaining_life_of_the_cache(self):
         entry = Entry()
         request_id = entry.decoding()
         entry.now += 0.25
@@ -506,7 +504,7 @@
             entry.wastes, [(waste.WasteReason(failure.value), 100)]
         )
 
-    def test_a_stream_resumes_while_it_gets_on(self):
+    def test_a_stream_resumes_while_it_makes_progress(self):
         entry = Entry()
         request_id = entry.decoding()
         for tokens in (4, 6):
@@ -517,11 +515,11 @@
         ((_, book),) = entry.sent(cells.Book)
         self.assertEqual((book.stage, book.exclude), ('pair', ('d1',)))
 
-    def test_a_failing_pool_is_not_stormed(self):
-        """Symptom: a pool that fails gets four times its load, in waves.
+    def test_a_failing_pool_is_not_overloaded_by_retries(self):
+        """Guards against four times the load on a failing pool, in waves.
 
-        Sequence: every call fails at once, again and again.
-        Cause: retries that neither wait nor know a budget.
+        Every call fails at once, again and again. Retries need a backoff with
+        jitter and a budget.
         """
         entry = Entry()
         waits = []
@@ -548,7 +546,9 @@
         request_id = entry.prefilling()
         entry.prefill(request_id, failure=RETRY.PREFILL_FAILED)
         self.assertEqual(entry.refusal.reason, REASON.RETRIES_SPENT)
-        self.assertEqual(entry.refusal.retry_after_s, admission.SOON_S)
+        self.assertEqual(
+            entry.refusal.retry_after_s, admission.TRANSIENT_RETRY_S
+        )
         request_id = entry.calling('lookup', None)
         entry.answer(request_id, RETRY.STREAM_BROKEN, known=MAY_HAVE_RUN)
         self.assertEqual(len(entry.sent(cells.Book)), 1)
@@ -585,7 +585,7 @@
         entry.close(request_id)
         self.assertEqual(entry.requests.requests_by_id, {})
 
-    def test_every_step_is_told_what_is_left(self):
+    def test_every_step_gets_the_remaining_time(self):
         entry = Entry()
         request_id = entry.arrive('completion', deadline_s=5.0)
         entry.now += 1.0
@@ -595,7 +595,7 @@
         entry.prefill(request_id)
         self.assertEqual(entry.one(effects.RunDecode).deadline_in_s, 3.0)
 
-    def test_a_refusal_of_the_owner_is_passed_on_at_once(self):
+    def test_a_refusal_of_the_owner_is_forwarded_at_once(self):
         entry = Entry()
         request_id = entry.arrive('booking')
         entry.receive(_declined(entry, request_id))
@@ -605,11 +605,10 @@
 
 
 class Owners(unittest.TestCase):
-    def test_two_instances_that_point_at_each_other(self):
-        """Symptom: thousands of messages a second between two instances.
+    def test_two_instances_that_name_each_other_as_owner(self):
+        """Guards against thousands of messages per second in a redirect loop.
 
-        Sequence: each says that the other is the owner.
-        Cause: hints would be followed without end.
+        Two instances name each other as the owner.
         """
         entry = Entry()
         request_id = entry.arrive('lookup')
@@ -620,9 +619,9 @@
             message = cells.NotOwner(**entry.ids_of(request_id), holder=holder)
             entry.receive(message, sender)
             asked += len(entry.sent(cells.Book))
-        self.assertEqual(asked, reservations.MOST_HOPS)
+        self.assertEqual(asked, reservations.MAX_REDIRECTS)
 
-    def test_nobody_owns_the_cell(self):
+    def test_a_cell_without_an_owner(self):
         entry = Entry()
         entry.arrive('lookup')
         entry.tick(reservations.OWNER_SEARCH_S)
@@ -630,12 +629,12 @@
         self.assertEqual(entry.refusal.verdict, NOT_RUN)
         self.assertEqual(len(entry.sent(cells.Release)), 1)
 
-    def test_a_queued_call_is_turned_away_soon_after_its_owner_went(self):
-        """Symptom: 2,502 calls of a day got no answer before callers left.
+    def test_a_queued_call_is_refused_soon_after_its_owner_failed(self):
+        """Guards against calls without an answer before clients disconnect.
 
-        An owner queues a call and falls silent. Nothing was computed for it,
-        yet its entry looked for another owner for as long as for a prompt
-        that was read, 5 s; callers leave after less than four.
+        An owner queues a call and stops responding. If the entry searched for
+        another owner for 5 s, as it does after a prefill, clients would
+        disconnect first, after less than 4 s: 2,502 calls in one day.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
@@ -643,18 +642,18 @@
         began_at = entry.now
         while not entry.found(effects.Refuse):
             entry.tick()
-        most_s = reservations.QUEUE_SILENT_S + reservations.OWNER_SEARCH_S
+        most_s = reservations.QUEUE_TIMEOUT_S + reservations.OWNER_SEARCH_S
         self.assertLess(entry.now - began_at, most_s + 0.25)
         self.assertEqual(entry.refusal.reason, REASON.NO_OWNER)
         self.assertEqual(entry.refusal.verdict, NOT_RUN)
         self.assertEqual(entry.refusal.retry_after_s, 1.0)
 
-    def test_a_slot_told_once_and_lost_is_heard_of(self):
-        """Symptom: a request waits out its deadline beside a free slot.
+    def test_a_lost_booked_message_is_recovered(self):
+        """Guards against a request that waits until its deadline for its slot.
 
-        Sequence: queued; the owner says once that a slot is free; that
-        message is lost; renewals keep the slot booked.
-        Cause: nobody asks again.
+        The owner books a slot for a queued request and sends this once. If
+        the message is lost, the renewals keep the slot booked, so the entry
+        has to repeat its booking.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
@@ -667,23 +666,23 @@
         entry.book(request_id)
         entry.one(effects.RunPrefill)
 
-    def test_a_queued_request_outlives_its_owner(self):
-        """Symptom: what was queued at an owner that died is never answered.
+    def test_a_queued_request_survives_its_owner(self):
+        """Guards against requests that are lost in a failed owner's queue.
 
-        Sequence: queued; the owner dies; it says nothing any more.
-        Cause: only requests in a slot would be told to its successor.
+        Only requests with a slot are reclaimed at the next owner, so queued
+        ones have to be booked anew.
         """
         entry = Entry()
         request_id = entry.arrive('completion')
         _queue(entry, request_id)
         old = entry.ids_of(request_id)['attempt_id']
         entry.directory.owners = (NEXT_OWNER,)
-        entry.tick(reservations.QUEUE_SILENT_S)
+        entry.tick(reservations.QUEUE_TIMEOUT_S)
         ((to, book),) = entry.sent(cells.Book)
         self.assertEqual(to, NEXT_OWNER)
         self.assertNotEqual(book.attempt_id, old)
 
-    def test_a_new_owner_is_told_of_all_before_it_is_renewed_at(self):
+    def test_bookings_are_reclaimed_before_they_are_renewed(self):
         entry = Entry()
         held = [entry.decoding(), entry.prefilling(), entry.calling()]
         queued = entry.arrive('completion')
@@ -692,17 +691,18 @@
         entry.tick(cells.PROGRESS_EVERY_S)
         ((to, reclaim),) = entry.sent(cells.Reclaim)
         self.assertEqual(to, NEXT_OWNER)
-        told = {each.request_id: each for each in reclaim.bookings}
-        self.assertEqual(set(told), set(held))
+        reclaimed = {each.request_id: each for each in reclaim.bookings}
+        self.assertEqual(set(reclaimed), set(held))
         self.assertEqual(
-            [told[each].prefill_done for each in held], [True, False, True]
+            [reclaimed[each].prefill_done for each in held],
+            [True, False, True],
         )
         ((_, progress),) = entry.sent(cells.Progress)
         self.assertEqual(len(progress.bookings), 3)
         entry.tick(cells.PROGRESS_EVERY_S)
         self.assertEqual(entry.sent(cells.Reclaim), [])
 
-    def test_a_new_owner_that_asks_gets_all_and_the_queued_book_anew(self):
+    def test_a_new_owner_gets_all_bookings_and_queued_requests(self):
         entry = Entry()
         held = entry.decoding()
         queued = entry.arrive('completion')
@@ -720,11 +720,11 @@
         ((to, book),) = entry.sent(cells.Book)
         self.assertEqual((to, book.request_id), (NEXT_OWNER, queued))
 
-    def test_a_new_owner_that_was_not_told_yet_is_told_again(self):
-        """Symptom: a change of owner breaks streams that run well.
+    def test_bookings_are_reclaimed_again_at_a_new_owner(self):
+        """Guards against a change of owner that aborts healthy streams.
 
-        Sequence: the news of a booking crosses the new owner's "gone".
-        Cause: "gone" would always be believed.
+        The new owner may send ``Cancelled`` before the reclaim of the booking
+        has arrived there, so ``Cancelled`` alone is no proof.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -737,12 +737,12 @@
         self.assertEqual(entry.out, [], 'from before the booking')
 
     @params('same owner', 'next owner')
-    def test_a_slot_that_was_given_away_is_left(self, whose):
-        """Symptom: an engine runs more streams than it has slots.
+    def test_work_in_a_lost_slot_is_aborted(self, whose):
+        """Guards against an engine that runs more streams than it has slots.
 
-        Sequence: this process is frozen for longer than a booking lasts;
-        the owner gives the slot away; the process wakes up and streams on.
-        Cause: the owner's "gone" would be answered by "I hold it".
+        This process is suspended for longer than a booking's lease, so the
+        owner gives the slot to another request. The ``Cancelled`` that follows
+        must not be answered with a reclaim.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -760,12 +760,12 @@
         self.assertEqual(entry.retries, [RETRY.OWNER_CHANGED])
         self.assertEqual(len(entry.sent(cells.Book)), 1)
 
-    def test_the_end_of_what_was_broken_off_comes_while_it_waits(self):
-        """Symptom: the request is never answered; the reducer has failed.
+    def test_the_end_of_an_aborted_step_arrives_in_backoff(self):
+        """Guards against an exception in the reducer and a lost request.
 
-        Sequence: a second attempt loses its slot and waits for a third; its
-        thread tells how it ended.
-        Cause: the third attempt has no id of its own before it begins.
+        A second attempt loses its slot, and the request is in backoff. Then
+        the end of its step is reported. The third attempt has no id of its
+        own before it begins.
         """
         entry = Entry()
         request_id = entry.prefilling()
@@ -777,12 +777,11 @@
         entry.tick(1.0)
         self.assertEqual(len(entry.sent(cells.Book)), 1)
 
-    def test_an_owner_of_before_is_not_believed(self):
-        """Symptom: a slot stays booked at the new owner, used by nobody.
+    def test_cancelled_of_an_earlier_owner_is_ignored(self):
+        """Guards against a leaked slot at the new owner.
 
-        Sequence: the booking has moved to a new owner; the old one, which
-        made it, says that it is gone.
-        Cause: only the epochs would be compared.
+        The booking has moved to a new owner, and the old one, which made it,
+        sends ``Cancelled``. Comparing the epochs does not suffice.
         """
         entry = Entry()
         request_id = entry.decoding()
@@ -791,7 +790,7 @@
         entry.cancelled(request_id, epoch=1, sender=OWNER)
         self.assertEqual(entry.out, [])
 
-    def test_a_call_without_a_slot_still_ends(self):
+    def test_a_plain_call_completes_after_its_slot_is_lost(self):
         entry = Entry()
         request_id = entry.calling(key=None)
         entry.cancelled(request_id)
@@ -800,7 +799,7 @@
         entry.one(effects.Complete)
         self.assertEqual(entry.sent(cells.Release), [])
 
-    def test_a_late_message_for_nobody_gives_the_slot_back(self):
+    def test_a_late_booking_of_a_removed_request_is_released(self):
         entry = Entry()
         request_id = entry.arrive('completion')
         late = entry.booked(request_id)
@@ -811,8 +810,8 @@
         self.assertEqual(entry.one(effects.CountLate).what, effects.Late.OWNER)
 
 
-class Borders(unittest.TestCase):
-    def test_steps_of_requests_that_are_gone_are_no_news(self):
+class UnknownRequests(unittest.TestCase):
+    def test_steps_of_removed_requests_are_ignored(self):
         entry = Entry()
         entry.post(
             events.StepEnded,
--- a/tests/test_spacing.py
+++ b/tests/test_token_gaps.py
@@ -1,15 +1,15 @@
-"""The measure of an answer's token spacing, with made-up times."""
+"""Measurement of an answer's token gaps, with simulated times."""
 
 import unittest
 
 from nose2.tools import params
 
-from dandeliongw.entry import spacing
+from dandeliongw.entry import token_gaps
 
 
 def measured(*times):
     """Return the mean gap for (arrived, taken) times in seconds."""
-    measure = spacing.Spacing()
+    measure = token_gaps.TokenGapMeter()
     for arrived_at, taken_at in times:
         measure.arrived(arrived_at)
         measure.taken(taken_at)
@@ -17,7 +17,7 @@
 
 
 class MeanGap(unittest.TestCase):
-    def test_it_is_the_mean_of_the_times_between_arrivals(self):
+    def test_the_gap_is_the_mean_time_between_arrivals(self):
         times = ((5.0, 5.0), (5.1, 5.1), (5.4, 5.4))
         self.assertAlmostEqual(measured(*times), 0.2)
 
@@ -26,20 +26,20 @@
         self.assertEqual(measured(*times), 0.0)
 
     def test_the_first_arrival_is_known_once_there_is_one(self):
-        measure = spacing.Spacing()
+        measure = token_gaps.TokenGapMeter()
         self.assertIsNone(measure.first_at)
         measure.arrived(5.0)
         measure.arrived(6.0)
         self.assertEqual(5.0, measure.first_at)
 
-    def test_a_caller_that_takes_tokens_slowly_is_not_the_engines_fault(self):
-        """Symptom: a decode engine's batch is capped though it is in time.
+    def test_a_slow_client_is_not_counted_against_the_engine(self):
+        """Guards against a batch limit for an engine that is fast enough.
 
-        Sequence: a caller on a bad line takes each token a second late.
-        Cause: the wait for the caller would count as the engine's gap.
+        A client on a slow connection takes each token a second late. This
+        delay must not count as the engine's token gap.
         """
         self.assertEqual(measured((0.0, 1.0), (1.0, 2.0), (2.0, 3.0)), 0.0)
 
-    def test_a_caller_that_is_quick_enough_does_not_hide_the_gap(self):
+    def test_a_fast_client_does_not_hide_the_gap(self):
         times = ((0.0, 0.001), (0.1, 0.101), (0.2, 9.0))
         self.assertAlmostEqual(measured(*times), 0.1)
