--- a/dandeliongw/borders/_body.py
+++ b/dandeliongw/borders/_body.py
@@ -1,4 +1,4 @@
-"""Reads the body of a call that is passed on, whole or not at all."""
+"""Reads the complete body of a forwarded call, or raises an error."""
 
 import re
 import typing
@@ -6,7 +6,7 @@
 from .. import verdict
 from . import calls
 
-#: Size line of a chunk; what follows a semicolon means nothing to us.
+#: Size line of a chunk; chunk extensions, after a semicolon, are ignored.
 _SIZE_LINE = re.compile(rb'([0-9A-Fa-f]{1,8})[ \t]*(;[^\r\n]*)?\r\n')
 _MAX_LINE_BYTES = 4096
 #: Trailer lines that are read and dropped.
@@ -21,14 +21,16 @@
     def readline(self, size: int) -> bytes: ...
 
 
-def read_known(reader: Reader, length: int, most: int) -> bytes:
+def read_known(reader: Reader, length: int, max_bytes: int) -> bytes:
     """Return a body of known length.
 
-    :param most: longest body in bytes that is taken.
-    :raises BadCall: also for a body that ends too soon.
+    :param length: bytes, from ``Content-Length``.
+    :param max_bytes: longest body that is accepted.
+    :raises BadCall: for a longer body, which stays unread, and for one that
+        ends too soon.
     """
-    if length > most:
-        raise _too_large(length, most)
+    if length > max_bytes:
+        raise _too_large(length, max_bytes)
     body = reader.read(length) if length else b''
     if len(body) < length:
         raise calls.BadCall(
@@ -37,19 +39,21 @@
     return body
 
 
-def read_chunked(reader: Reader, most: int) -> bytes:
-    """Return a body that comes in chunks, its trailers dropped.
+def read_chunked(reader: Reader, max_bytes: int) -> bytes:
+    """Return a chunked body without its trailers.
 
-    :param most: longest body in bytes that is taken.
-    :raises BadCall: for a size that is no plain number: readers differ in
-        where such a body ends, and the rest would pass for another call.
+    :param max_bytes: longest body that is accepted.
+    :raises BadCall: for a body that is too long or malformed, also for a
+        chunk size that isn't plain hexadecimal digits. Parsers disagree on
+        where such a body ends, and the rest could be smuggled in as another
+        call.
     """
     pieces = []
     total = 0
     while size := _read_size(reader):
         total += size
-        if total > most:
-            raise _too_large(total, most)
+        if total > max_bytes:
+            raise _too_large(total, max_bytes)
         pieces.append(reader.read(size))
         if len(pieces[-1]) < size or reader.read(2) != b'\r\n':
             raise calls.BadCall('a chunk of the body does not end as it says')
@@ -67,8 +71,8 @@
     return int(found[1], 16)
 
 
-def _too_large(size: int, most: int) -> calls.BadCall:
+def _too_large(size: int, max_bytes: int) -> calls.BadCall:
     return calls.BadCall(
-        f'the body has {size} bytes or more; at most {most} are read',
+        f'the body has {size} bytes or more; at most {max_bytes} are read',
         verdict.RefusalReason.TOO_LARGE,
     )
--- a/dandeliongw/borders/gateway.py
+++ b/dandeliongw/borders/gateway.py
@@ -1,8 +1,8 @@
-"""The border for callers of host routes: calls pass through unchanged.
+"""HTTP front end for calls by host route, which are forwarded unchanged.
 
-One WSGI application for one port. What a platform calls its headers is the
-business of a :class:`Dialect`; the document's host routes say where calls
-go. A handler's thread belongs to its call until the answer has ended.
+One WSGI application for one port. A :class:`Dialect` parses the headers that
+are specific to a platform; the document's host routes select the pool. The
+handler's thread stays with its call until the answer has ended.
 """
 
 from collections import abc
@@ -29,7 +29,7 @@
 
 _REASON = verdict.RefusalReason
 
-#: Headers that concern one connection only, and those that are set anew.
+#: Hop-by-hop headers, and those that are generated anew.
 _HOP_HEADERS = frozenset(
     (
         *('connection', 'keep-alive', 'proxy-connection', 'te', 'trailer'),
@@ -39,30 +39,34 @@
 )
 _TARGET = re.compile(r'/[\x21\x22\x24-\x7e]{0,8191}')
 _HOST = re.compile(r'([a-z0-9.-]{1,253})(:[0-9]{1,5})?')
-#: Status where a call is refused and has not run; the others are 503.
+#: Status of a refused call that has not run, by reason; 503 for the others.
 _STATUS_BY_REASON = {
     _REASON.BAD_REQUEST: 400,
     _REASON.TOO_LARGE: 413,
     _REASON.UNKNOWN_ROUTE: 404,
 }
-#: Seconds after which a caller should come back where nothing better is
-#: known: about the time in which a dead owner's cell gets another one.
+#: Default of Retry-After in seconds, for refusals without a value of their
+#: own: about the time until the cell of a failed owner has a new owner.
 RETRY_AFTER_S = 1.0
 
 Headers = tuple[tuple[str, str], ...]
 
 
 class Facts(msgspec.Struct, frozen=True, kw_only=True):
-    """What a call's headers tell of it.
+    """The attributes of a call that its headers give.
 
-    :param request_id: the caller's own name of this send.
+    :param request_id: the caller's identifier of this attempt.
     :param deadline_s: seconds that the caller will wait, or ``None``.
-    :param prompt_tokens: of a call for a model, else 0.
-    :param max_tokens: longest answer, else 0.
-    :param expected_tokens: the caller's guess of the answer's length, or 0.
-    :param pieces_held: of the stream, which the caller got before it broke.
-    :param prefix: names of the prompt's leading parts, which calls share.
-    :param headers: to be passed on.
+    :param prompt_tokens: length of the prompt in tokens, of a call for a
+        model; else 0.
+    :param max_tokens: maximum length of the answer in tokens, or 0.
+    :param expected_tokens: the caller's estimate of the answer's length in
+        tokens, or 0.
+    :param pieces_held: number of pieces of the stream that the caller
+        received before the stream broke.
+    :param prefix: identifiers of the prompt's leading blocks, which other
+        calls may share.
+    :param headers: the headers to forward.
     """
 
     request_id: str
@@ -76,22 +80,23 @@
 
 
 class Dialect(typing.Protocol):
-    """How a platform writes what its callers say of a call."""
+    """Parses the request headers of one platform."""
 
     def read_call(self, headers: Headers) -> Facts:
-        """Return what the headers tell.
+        """Parse the headers of a call.
 
-        :raises BadCall: naming the header, what was given and what may be.
+        :raises BadCall: for an invalid header; the message names the header,
+            the given value and the allowed values.
         """
         ...
 
     def read_request_id(self, headers: Headers) -> str:
-        """Return the caller's own name of this send; "" if none is usable."""
+        """Return the caller's request id; "" if it is missing or invalid."""
         ...
 
 
 class Gate(typing.Protocol):
-    """What the border needs of the server around it."""
+    """The server's interface to this front end."""
 
     def open_passing(
         self,
@@ -101,14 +106,14 @@
         facts: Facts,
         caller: socket.socket,
     ) -> relay.Relay:
-        """Start to carry a call, watching the caller's socket."""
+        """Start a relay for a call and watch the caller's socket."""
         ...
 
     def close_relay(self, request_id: str) -> None: ...
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the instance is about to end."""
+        """Whether the instance is shutting down."""
         ...
 
     @property
@@ -116,7 +121,7 @@
 
 
 class Gateway:
-    """The WSGI application; see the module."""
+    """The WSGI application; see the module's documentation."""
 
     def __init__(
         self, *, gate: Gate, dialect: Dialect, metrics: metrics_module.Metrics
@@ -138,7 +143,7 @@
         try:
             call, work, facts = self._read(environ, headers)
         except calls.BadCall as error:
-            # What is left of the body would be read as another call.
+            # Unread bytes of the body would be parsed as another call.
             reply.close_connection()
             refusal = error.refusal()
             self._metrics.count_refusal(refusal)
@@ -154,14 +159,14 @@
         carrier = self._gate.open_passing(
             call=call, work=work, facts=facts, caller=incoming.conn.socket
         )
-        passing = _Passing(
+        forwarded = _ForwardedCall(
             carrier=carrier,
             gate=self._gate,
             reply=reply,
             facts=facts,
             metrics=self._metrics,
         )
-        return passing.answer()
+        return forwarded.answer()
 
     def _read(
         self, environ: dict[str, typing.Any], headers: Headers
@@ -206,14 +211,15 @@
         return call, work, facts
 
     def _read_body(self, incoming: typing.Any) -> bytes:
-        most = self._gate.border.max_body_bytes
+        max_bytes = self._gate.border.max_body_bytes
         reader = incoming.conn.rfile
         try:
             if b'Transfer-Encoding' in incoming.inheaders:
-                return _body.read_chunked(reader, most)
+                return _body.read_chunked(reader, max_bytes)
             length = int(incoming.inheaders.get(b'Content-Length', b'0'))
-            body = _body.read_known(reader, length, most)
-            # The server would wait for the same bytes once more.
+            body = _body.read_known(reader, length, max_bytes)
+            # Without this, the HTTP server would wait for the body again: it
+            # doesn't count bytes that are read from the connection itself.
             incoming.rfile.remaining = 0
             return body
         except OSError as error:
@@ -236,32 +242,37 @@
             self.close_connection()
 
     def close_connection(self) -> None:
-        """Let no other call come over this connection."""
+        """Close the connection after this answer."""
         self._incoming.close_connection = True
 
     def start(self, status: int, headers: Headers) -> None:
         """Send status and headers with the first bytes of the body."""
         self._start_response(_status_line(status), list(headers))
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> list[bytes]:
-        """Return the body of an answer that is complete."""
+    def complete(
+        self, status: int, headers: Headers, body: bytes
+    ) -> list[bytes]:
+        """Start an answer that isn't streamed, and return its body."""
         length = ('Content-Length', str(len(body)))
         self.start(status, (*_without_hop_headers(headers), length))
         return [body]
 
     def refuse(self, refusal: verdict.Refusal) -> list[bytes]:
-        """Return the body of a refusal; its status tells whether it ran."""
+        """Start the answer to a refused call, and return its body.
+
+        The status shows whether the call may have run.
+        """
         status = _status_of(refusal)
         headers: Headers = (('Content-Type', 'text/plain'),)
         if status == http.HTTPStatus.SERVICE_UNAVAILABLE:
             wait_s = refusal.retry_after_s or RETRY_AFTER_S
             headers += (('Retry-After', f'{wait_s:.2f}'),)
         body = f'{refusal.reason}: {refusal.message}\n'.encode()
-        return self.whole(status, headers, body)
+        return self.complete(status, headers, body)
 
 
-class _Passing:
-    """One call on its way through; iterates over the answer's body."""
+class _ForwardedCall:
+    """One forwarded call; iterates over the answer's body."""
 
     def __init__(
         self,
@@ -286,7 +297,7 @@
         )
 
     def answer(self) -> abc.Iterable[bytes]:
-        """Return the body, whole or as a stream."""
+        """Return the body, complete or as a stream."""
         try:
             first = next(self._items)
         except BaseException:
@@ -298,7 +309,7 @@
             return self
         self.close()
         if isinstance(first, verdict.Refusal):
-            self._tell(
+            self._log_end(
                 'refused',
                 reason=first.reason,
                 run=first.verdict,
@@ -308,10 +319,12 @@
             return self._reply.refuse(first)
         outcome = first.outcome
         self._metrics.count_answer(verdict.Verdict.RAN)
-        self._tell('answered', status=outcome.status)
-        return self._reply.whole(outcome.status, first.headers, outcome.body)
+        self._log_end('answered', status=outcome.status)
+        return self._reply.complete(
+            outcome.status, first.headers, outcome.body
+        )
 
-    def __iter__(self) -> '_Passing':
+    def __iter__(self) -> '_ForwardedCall':
         return self
 
     def __next__(self) -> bytes:
@@ -327,18 +340,19 @@
             return item.data
         self.close()
         if isinstance(item, verdict.Refusal):
-            self._tell(
+            self._log_end(
                 'broken off',
                 reason=item.reason,
                 run=item.verdict,
                 why=item.message,
                 pieces=self._pieces,
             )
-            # Ends the connection without the mark of a whole body. The
-            # server takes this error as that of a caller who has left.
+            # Ends the connection without the last chunk, so that the caller
+            # can see that the body is incomplete. The HTTP server handles
+            # this error as a disconnected caller.
             raise BrokenPipeError(errno.EPIPE, item.message)
         self._metrics.count_answer(verdict.Verdict.RAN)
-        self._tell(
+        self._log_end(
             'streamed',
             first_ms=self._since_begin_ms(self._first_at),
             pieces=self._pieces,
@@ -348,20 +362,20 @@
         raise StopIteration
 
     def close(self) -> None:
-        """Tell the reducer that this thread is done with the call."""
+        """Close the relay and notify the reducer of it."""
         self._items.close()
         self._gate.close_relay(self._request_id)
 
-    def _tell(self, how: str, **fields: typing.Any) -> None:
+    def _log_end(self, result: str, **fields: typing.Any) -> None:
         took_ms = self._since_begin_ms(clock.now())
-        self._log.info(f'call {how}', took_ms=took_ms, **fields)
+        self._log.info(f'call {result}', took_ms=took_ms, **fields)
 
     def _since_begin_ms(self, at: float | None) -> int | None:
         return None if at is None else round((at - self._began_at) * 1000)
 
 
 def _status_of(refusal: verdict.Refusal) -> int:
-    """Return a status that promises "not run" only where that is proved."""
+    """Return a status that means "not run" only if that is certain."""
     if refusal.verdict is verdict.Verdict.NOT_RUN:
         return _STATUS_BY_REASON.get(refusal.reason, 503)
     return 504 if refusal.reason is _REASON.DEADLINE_PASSED else 502
@@ -401,7 +415,7 @@
 
 
 def _without_hop_headers(headers: Headers) -> Headers:
-    """Drop what concerns one connection, also what it names itself."""
+    """Drop hop-by-hop headers, also those that ``Connection`` lists."""
     named = {
         each.strip().lower()
         for name, value in headers
--- a/tests/test_body.py
+++ b/tests/test_body.py
@@ -1,4 +1,4 @@
-"""Bodies of calls that are passed on: whole, or refused."""
+"""Bodies of forwarded calls are read completely or refused."""
 
 import io
 import unittest
@@ -9,20 +9,19 @@
 from dandeliongw.borders import calls
 from dandeliongw import verdict
 
-MOST = 100
+MAX_BYTES = 100
 
 
 class ChunkedTest(unittest.TestCase):
-    """Symptom: a backend server runs a call that nobody sent.
+    """Guards against request smuggling by chunk sizes.
 
-    Sequence: a caller writes a chunk's size in a way that two programs read
-    differently; the rest of the body passes for another call.
-    Cause: a reader that takes any number that its language can read.
+    Parsers disagree on sizes such as ``0x3`` or ``1_0``; the rest of the
+    body could then reach a backend server as a call that nobody sent.
     """
 
     def read(self, data):
         self.reader = io.BytesIO(data)
-        return _body.read_chunked(self.reader, MOST)
+        return _body.read_chunked(self.reader, MAX_BYTES)
 
     @params(
         (b'3\r\nabc\r\n0\r\n\r\nnext', b'abc'),
@@ -32,7 +31,7 @@
         ),
         (b'0\r\n\r\nnext', b''),
     )
-    def test_what_follows_is_left_for_the_next_call(self, data, body):
+    def test_bytes_after_the_body_are_not_read(self, data, body):
         self.assertEqual(self.read(data), body)
         self.assertEqual(self.reader.read(), b'next')
 
@@ -51,23 +50,23 @@
         b'0\r\nTrailer: x\r\n',
         b'123456789\r\n',
     )
-    def test_a_doubtful_body_is_refused(self, data):
+    def test_malformed_body_is_refused(self, data):
         with self.assertRaises(calls.BadCall):
             self.read(data)
 
-    def test_no_more_is_read_than_is_allowed(self):
+    def test_chunk_over_the_limit_is_refused(self):
         with self.assertRaises(calls.BadCall) as caught:
             self.read(b'65\r\n' + b'x' * 101)
         self.assertIs(caught.exception.reason, verdict.RefusalReason.TOO_LARGE)
 
 
 class KnownLengthTest(unittest.TestCase):
-    def test_half_a_body_is_none(self):
+    def test_truncated_body_is_refused(self):
         with self.assertRaises(calls.BadCall):
-            _body.read_known(io.BytesIO(b'ab'), 3, MOST)
+            _body.read_known(io.BytesIO(b'ab'), 3, MAX_BYTES)
 
-    def test_a_long_one_is_refused_unread(self):
+    def test_body_over_the_limit_is_refused_unread(self):
         reader = io.BytesIO(b'x' * 101)
         with self.assertRaises(calls.BadCall):
-            _body.read_known(reader, 101, MOST)
+            _body.read_known(reader, 101, MAX_BYTES)
         self.assertEqual(reader.tell(), 0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Calls that are passed on: real sockets, in front of a scripted entry."""
+"""Forwarded calls over real sockets, in front of a scripted entry."""
 
 import contextlib
 import socket
@@ -28,7 +28,7 @@
 
 
 class Dialect:
-    """Knows one header: who names the call."""
+    """Reads the request id from X-Name and drops X-Secret."""
 
     def read_call(self, headers):
         by_name = dict(headers)
@@ -50,7 +50,7 @@
 
 
 class Engine:
-    """Streams the events that it is given, then what comes last."""
+    """Streams ``EVENTS``, then raises ``last`` or ends the stream."""
 
     def __init__(self, last):
         self._last = last
@@ -87,9 +87,10 @@
 
 
 class Gate:
-    """The reducer and the backend servers, both scripted.
+    """Scripted reducer and backend servers.
 
-    :param script: the directives of each call, one after each step.
+    :param script: the directives for each call: the first on its arrival,
+        the others one after each step.
     """
 
     def __init__(self, *script, last=None, reply=None):
@@ -188,8 +189,8 @@
         return test_callers.read_answer(caller)
 
 
-class PassingTest(unittest.TestCase):
-    def test_a_call_goes_on_as_it_came(self):
+class ForwardingTest(unittest.TestCase):
+    def test_call_is_forwarded_unchanged(self):
         gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
         sent = test_callers.raw(
             'POST /a//b/?x=1&y=%2f',
@@ -219,8 +220,10 @@
         ('POST /a?x=1', b'body', False),
         ('GET /a?x=1', b'other', False),
     )
-    def test_what_makes_two_sends_the_same_call(self, line, body, is_same):
-        """Its caller has no account."""
+    def test_fingerprint_covers_method_target_and_body(
+        self, line, body, is_same
+    ):
+        """The caller has no account here."""
         sent = [
             test_callers.raw('GET /a?x=1', b'body', 'X-Name: n1'),
             test_callers.raw(line, body, 'X-Name: n2', 'X-Deadline: 3'),
@@ -236,7 +239,7 @@
         self.assertEqual(is_same, made[0] == made[1])
 
     @params(('Basic YTpi', True), ('Basic YTpj', False), ('', False))
-    def test_callers_are_told_apart_by_their_credentials(self, other, is_same):
+    def test_fingerprint_covers_credentials(self, other, is_same):
         made = []
         for value in ('Basic YTpi', other):
             gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
@@ -247,7 +250,7 @@
             made.append(fingerprints.Fingerprints(secret=None).of(call))
         self.assertEqual(is_same, made[0] == made[1])
 
-    def test_a_stream_comes_as_it_was_made(self):
+    def test_stream_is_forwarded_unchanged(self):
         answer = ask(Gate(DECODE, COMPLETE), raw())
         self.assertEqual((answer.status, answer.body), (200, b''.join(EVENTS)))
         self.assertEqual(answer.headers['x-seal'], 's')
@@ -264,11 +267,11 @@
                 gate.closed.acquire(timeout=test_callers.PATIENCE_S)
         self.assertEqual(2, counts.value('answers_total', verdict='ran'))
 
-    def test_a_stream_that_breaks_does_not_look_whole(self):
-        """Symptom: a caller takes half an answer for all of it.
+    def test_broken_stream_has_no_last_chunk(self):
+        """A caller must not take a truncated answer for a complete one.
 
-        Sequence: an engine dies within a stream, and nothing may be tried.
-        Cause: the end mark of a body would be written all the same.
+        The engine fails in the middle of a stream and the call may not be
+        retried; the body must end without its last chunk.
         """
         broken = engine.EngineError('gone', known=MAY_HAVE_RUN)
         gate = Gate(
@@ -283,8 +286,8 @@
         self.assertNotIn(b'\r\n0\r\n', got)
         self.assertTrue(gate.closed.acquire(timeout=test_callers.PATIENCE_S))
 
-    def test_a_backend_servers_own_failure_is_passed_on(self):
-        """Symptom: callers get an error of ours for one that isn't."""
+    def test_error_answer_of_backend_server_is_forwarded(self):
+        """The caller gets the backend server's answer, not one of ours."""
         reply = engine.Reply(
             status=500,
             content_type='',
@@ -300,7 +303,7 @@
         self.assertEqual((answer.status, answer.body), (500, b'sorry'))
         self.assertEqual(answer.headers['x-seal'], 's')
 
-    def test_what_has_not_run_is_told_so_also_after_a_failure(self):
+    def test_call_that_has_not_run_gets_503_after_a_failure(self):
         reply = engine.Reply(status=500, content_type='', body=b'')
         answer = ask(
             Gate(CALL, refuse(REASON.NO_BACKEND, NOT_RUN), reply=reply), raw()
@@ -318,16 +321,16 @@
         (REASON.QUARANTINED, MAY_HAVE_RUN, 502),
         (REASON.DRAINING, verdict.Verdict.RAN, 502),
     )
-    def test_only_what_is_proved_is_told_as_not_run(
+    def test_503_is_sent_only_if_the_call_has_not_run(
         self, reason, known, status
     ):
-        """Symptom: a booking that was made is sent once more."""
+        """Otherwise callers would resend a booking that was made already."""
         answer = ask(Gate(refuse(reason, known, 0.25)), raw())
         self.assertEqual(answer.status, status)
         wait = answer.headers.get('retry-after')
         self.assertEqual(wait, '0.25' if status == 503 else None)
 
-    def test_an_instance_that_leaves_keeps_no_connection(self):
+    def test_connections_are_closed_while_shutting_down(self):
         gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
         gate.is_leaving = True
         self.assertTrue(ask(gate, raw()).closes)
@@ -344,8 +347,8 @@
         test_callers.raw('GET /a'),
         b'GET /a HTTP/1.1\r\nX-Name: n\r\nHost: a b\r\n\r\n',
     )
-    def test_a_doubtful_call_ends_its_connection(self, sent):
-        """Symptom: what is left of a call is run as another one."""
+    def test_ambiguous_call_ends_its_connection(self, sent):
+        """Otherwise the rest of the call could be run as another call."""
         gate = Gate()
         with border(gate) as port, connect(port) as caller:
             caller.sendall(sent + raw())
@@ -355,7 +358,7 @@
                 self.assertEqual(caller.recv(1), b'')
         self.assertEqual(gate.opened, [])
 
-    def test_a_body_in_chunks_leaves_the_next_call_alone(self):
+    def test_call_after_a_chunked_body_is_read_correctly(self):
         gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
         chunked = raw(
             'POST /a', b'3\r\nabc\r\n0\r\n\r\n', 'Transfer-Encoding: chunked'
