--- a/dandeliongw/borders/callers.py
+++ b/dandeliongw/borders/callers.py
@@ -1,6 +1,6 @@
-"""The callers' border: checks what came in, gives out what came back.
+"""HTTP API for callers: validates calls and returns their answers.
 
-A CherryPy application for one HTTP port. A handler's thread belongs to its
+A CherryPy application for one HTTP port. The handler's thread stays with its
 request until the answer has ended; see ``relay.py``.
 """
 
@@ -24,8 +24,8 @@
 
 _REASON = verdict.RefusalReason
 
-#: HTTP status by refusal reason; a caller that only looks at the status
-#: still learns whether to come back (429, 503) or to change the call.
+#: HTTP status by refusal reason. The status alone shows whether to retry the
+#: call later (429, 503) or to change it.
 STATUS_BY_REASON = {
     _REASON.BAD_REQUEST: 400,
     _REASON.TOO_LARGE: 413,
@@ -42,34 +42,33 @@
     _REASON.RETRIES_SPENT: 502,
     _REASON.CALLER_GONE: 499,
 }
-#: For the reasons above that aren't listed: come back later.
+#: Status of all other refusals: retry later.
 DEFAULT_STATUS = 503
 
 
 class Gate(typing.Protocol):
-    """What the border needs of the server around it."""
+    """The server's interface to this API."""
 
     def open_relay(
         self, *, call: events.Call, work: relay.Work, request_id: str
     ) -> relay.Relay:
-        """Start to carry a request, watching the caller's socket."""
+        """Start a relay for a request and watch the caller's socket."""
         ...
 
     def close_relay(self, request_id: str) -> None: ...
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the instance is about to end."""
+        """Whether the instance is shutting down."""
         ...
 
     def entries(self) -> dict[str, typing.Any]: ...
 
 
 class Callers:
-    """The handlers.
+    """The request handlers.
 
-    :param max_body_bytes: longest body that is read.
-    :param max_outcome_bytes: longest answer of a plain service.
+    :param max_body_bytes: longest request body that is accepted.
     """
 
     def __init__(
@@ -111,9 +110,9 @@
             cherrypy.response.headers['Content-Type'] = 'text/event-stream'
             cherrypy.response.headers['Cache-Control'] = 'no-store'
             return answers.EventStream(answer)
-        return self._whole_completion(request_id, answer)
+        return self._complete_answer(request_id, answer)
 
-    def _whole_completion(
+    def _complete_answer(
         self, request_id: str, answer: answers.Answer
     ) -> bytes:
         last = answer.last()
@@ -136,7 +135,7 @@
         )
 
     def services(self, target: calls.Target) -> bytes:
-        """Any call below ``/services/<service>/``."""
+        """Handle any call below ``/services/<service>/``."""
         request_id = _new_request_id()
         try:
             body = self._read_body()
@@ -159,13 +158,13 @@
         cherrypy.response.headers['Content-Type'] = (
             last.outcome.content_type or 'application/octet-stream'
         )
-        return _whole(last.outcome.body)
+        return _with_content_length(last.outcome.body)
 
     def _read_body(self) -> bytes:
-        """Return the whole body, or nothing of it.
+        """Return the complete body.
 
-        :raises BadCall: also for a body that stopped before its end. Half a
-            booking must not be passed on as one.
+        :raises BadCall: for a body that is too long, malformed or truncated.
+            Half a booking must not be forwarded as a complete one.
         """
         headers = cherrypy.request.headers
         length = headers.get('Content-Length')
@@ -180,7 +179,7 @@
             )
         if length is not None and int(length) > self._max_body_bytes:
             raise self._too_large(length)
-        body = _read_some(self._max_body_bytes + 1)
+        body = _read_up_to(self._max_body_bytes + 1)
         if len(body) > self._max_body_bytes:
             raise self._too_large(f'more than {self._max_body_bytes}')
         if length is not None and len(body) < int(length):
@@ -196,23 +195,24 @@
             _REASON.TOO_LARGE,
         )
 
-    def end_connection_if_due(self) -> None:
-        """Let the next call come over another connection if it must.
+    def close_connection_if_needed(self) -> None:
+        """Close the connection on shutdown or if the body isn't fully read.
 
-        A kept connection is closed when the process ends, perhaps just as
-        a call comes over it: its caller could not tell whether it ran. And
-        callers that keep one would not look for another instance.
+        Without this, a persistent connection would be closed when the
+        process ends, perhaps while a call arrives over it, and its caller
+        could not know whether the call ran. Callers with a persistent
+        connection would also not switch to another instance.
         """
-        if self._gate.is_leaving or not _is_read_to_its_end():
+        if self._gate.is_leaving or not _is_body_fully_read():
             web.close_connection()
 
     def refuse_call(self, error: calls.BadCall) -> bytes:
-        """Refuse a call whose request line is not understood."""
+        """Refuse a call with an invalid request line."""
         return self._refuse(_new_request_id(), error.refusal())
 
     def _refuse(self, request_id: str, refusal: verdict.Refusal) -> bytes:
         if refusal.reason in (_REASON.BAD_REQUEST, _REASON.TOO_LARGE):
-            # These never reach the reducer, which counts all the others.
+            # The reducer counts all other refusals; these don't reach it.
             self._metrics.count_refusal(refusal)
         logger.bind(request_id=request_id).info(
             'call refused',
@@ -224,27 +224,28 @@
             refusal.reason, DEFAULT_STATUS
         )
         if refusal.retry_after_s is not None:
-            # The header takes whole seconds; the body has the exact value.
+            # The header only allows whole seconds; the body has the exact
+            # value.
             whole_s = max(1, int(refusal.retry_after_s + 0.999))
             cherrypy.response.headers['Retry-After'] = str(whole_s)
         return _json_body(answers.refusal_fields(request_id, refusal))
 
 
-def _read_some(most: int) -> bytes:
+def _read_up_to(max_bytes: int) -> bytes:
     try:
-        return cherrypy.request.rfile.read(most)
+        return cherrypy.request.rfile.read(max_bytes)
     except (ValueError, OSError) as error:
-        # A chunk that is none, or a caller that sends nothing more.
+        # A malformed chunk, or a caller that stopped sending.
         raise calls.BadCall(
             f'the body did not arrive whole: {error}'
         ) from error
 
 
-def _is_read_to_its_end() -> bool:
-    """Whether what follows on the connection is the next call.
+def _is_body_fully_read() -> bool:
+    """Whether the next bytes on the connection start the next call.
 
-    What is left of a body would be read as a call, sent by nobody. After a
-    chunked one there may be trailers.
+    Unread bytes of a body would be parsed as a call that nobody sent. After
+    a chunked body this is unknown, as trailers may follow.
     """
     if 'Transfer-Encoding' in cherrypy.request.headers:
         return False
@@ -264,11 +265,11 @@
 
 def _json_body(fields: dict[str, typing.Any]) -> bytes:
     cherrypy.response.headers['Content-Type'] = 'application/json'
-    return _whole(json.dumps(fields).encode() + b'\n')
+    return _with_content_length(json.dumps(fields).encode() + b'\n')
 
 
-def _whole(body: bytes) -> bytes:
-    """Say how long a body is, so that half of it can be told from it all."""
+def _with_content_length(body: bytes) -> bytes:
+    """Set Content-Length, so that the client can detect a truncated body."""
     cherrypy.response.headers['Content-Length'] = str(len(body))
     return body
 
@@ -278,9 +279,10 @@
     config = {
         '/': {
             'request.dispatch': _Dispatcher(callers),
-            # Bodies are read by the handlers, within their own limit.
+            # The handlers read the bodies and apply their own limit.
             'request.process_request_body': False,
-            # Never fails; the query is passed on as it came.
+            # Decoding with this one never fails; services get the original
+            # query.
             'request.query_string_encoding': 'ISO-8859-1',
             'response.stream': True,
             'tools.trailing_slash.on': False,
@@ -291,7 +293,7 @@
 
 
 class _Root:
-    """Carries the configuration; see :class:`_Dispatcher`."""
+    """Root that CherryPy needs; :class:`_Dispatcher` selects the handlers."""
 
     @cherrypy.expose
     def index(self) -> None: ...
@@ -300,8 +302,8 @@
 class _Dispatcher(cherrypy.dispatch.Dispatcher):
     """Maps the request line to handlers.
 
-    The framework's own way gives the query to handlers as arguments: a
-    caller's ``?self=1`` would be an error of ours.
+    CherryPy's own dispatcher passes query parameters to handlers as
+    arguments: a call with ``?self=1`` would raise an internal error.
     """
 
     def __init__(self, callers: Callers) -> None:
@@ -314,7 +316,7 @@
 
     def _handle(self) -> typing.Any:
         answer = self._answer()
-        self._callers.end_connection_if_due()
+        self._callers.close_connection_if_needed()
         return answer
 
     def _answer(self) -> typing.Any:
@@ -346,12 +348,12 @@
 def _error_page(
     status: str, message: str, traceback: str, version: str
 ) -> bytes:
-    """Return what a caller gets for an error that no one foresaw."""
-    is_callers = status.startswith('4')
+    """Return the JSON body for an unexpected error."""
+    is_client_error = status.startswith('4')
     return _error_body(
-        'bad_request' if is_callers else 'internal',
+        'bad_request' if is_client_error else 'internal',
         verdict.Verdict.NOT_RUN
-        if is_callers
+        if is_client_error
         else verdict.Verdict.MAY_HAVE_RUN,
         message,
     )
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' border over real sockets, in front of a scripted entry."""
+"""The callers' HTTP API over real sockets, in front of a scripted entry."""
 
 import contextlib
 import json
@@ -21,7 +21,7 @@
 from dandeliongw import settings
 from dandeliongw import verdict
 
-#: Generous: only a failing test waits so long.
+#: Seconds; only a failing test waits this long.
 PATIENCE_S = 20
 MAX_BODY = 1000
 RECORDED = outcome.Outcome(
@@ -36,9 +36,9 @@
 
 
 class ScriptedGate:
-    """Answers every request at once: with a replay, or with a refusal.
+    """Answers every request immediately, with a replay or a refusal.
 
-    :param refusal: what to answer; ``None`` for a recorded outcome.
+    :param refusal: the answer; ``None`` for a recorded outcome.
     """
 
     def __init__(self, refusal=None):
@@ -47,8 +47,9 @@
         self.opened = []
         self.open_ids = set()
         self.closed = threading.Semaphore(0)
-        #: How many calls to leave without an answer, and those that are.
-        self.holds = 0
+        #: Number of calls to leave unanswered.
+        self.calls_to_hold = 0
+        #: Relays of the unanswered calls, and a semaphore that counts them.
         self.carriers = []
         self.held = threading.Semaphore(0)
 
@@ -70,8 +71,8 @@
             self.closed.release()
         if not isinstance(event, events.RequestArrived):
             return
-        if self.holds:
-            self.holds -= 1
+        if self.calls_to_hold:
+            self.calls_to_hold -= 1
             self.carriers.append(carrier)
             self.held.release()
             return
@@ -94,8 +95,8 @@
         return {'ttl_s': 1.0, 'entries': []}
 
 
-class Border:
-    """A served border and what it did."""
+class ServedApi:
+    """The API on a port, with its gate and its metrics."""
 
     def __init__(self, gate, port, counters):
         self.gate = gate
@@ -108,14 +109,14 @@
         )
 
     def send(self, raw):
-        """Send raw bytes on a connection of their own; return the answer."""
+        """Send raw bytes on a new connection; return the answer."""
         with self.connect() as caller:
             caller.sendall(raw)
             return read_answer(caller)
 
 
 @contextlib.contextmanager
-def border(refusal=None):
+def serving(refusal=None):
     gate = ScriptedGate(refusal)
     counters = metrics.Metrics()
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
@@ -127,7 +128,7 @@
                 )
             )
         )
-        yield Border(gate, port, counters)
+        yield ServedApi(gate, port, counters)
 
 
 class Answer:
@@ -146,7 +147,7 @@
 
 
 def read_answer(caller):
-    """Read one answer, chunked or not; leave the rest on the connection."""
+    """Read one answer, chunked or not."""
     reader = caller.makefile('rb')
     status = int(reader.readline().split()[1])
     headers = {}
@@ -166,7 +167,10 @@
 
 
 def raw(line, body=b'', *headers):
-    """Return the bytes of a call, with its length unless it is given."""
+    """Return the bytes of a call.
+
+    Content-Length is added unless the headers give the body's length.
+    """
     names = {each.split(':')[0].lower() for each in headers}
     lines = [f'{line} HTTP/1.1', 'Host: here', *headers]
     if not names & {'content-length', 'transfer-encoding'}:
@@ -193,28 +197,29 @@
         ({'max_tokens': '5'}, 'max_tokens: given "5"'),
         ({'stream': 'yes'}, 'stream: given "yes"; must be true or false'),
     )
-    def test_a_wrong_field_is_named_with_what_is_allowed(self, fields, told):
-        with border() as served:
+    def test_error_names_the_field_and_the_allowed_values(
+        self, fields, expected
+    ):
+        with serving() as served:
             answer = served.send(completion(**fields))
         self.assertEqual(answer.status, 400)
         self.assertEqual(answer.error['verdict'], 'not_run')
-        self.assertIn(told, answer.error['message'])
+        self.assertIn(expected, answer.error['message'])
         self.assertEqual(served.gate.opened, [])
         counted = served.metrics.value('refusals_total', reason='bad_request')
         self.assertEqual(counted, 1)
 
-    def test_brackets_without_end_are_no_json(self):
-        """Symptom: a caller gets a 500, which may mean that it ran.
+    def test_deeply_nested_json_is_refused(self):
+        """The JSON parser raises RecursionError here, not ValueError.
 
-        Sequence: a body of nothing but brackets.
-        Cause: only what a JSON reader says itself would be expected.
+        Unhandled, it would give a 500, after which the call may have run.
         """
         with self.assertRaises(calls.BadCall):
             calls.read_completion(b'[' * 100_000, {})
 
     @params(b'', b'{', b'[]', b'\xff')
-    def test_a_body_that_is_no_json_object(self, body):
-        with border() as served:
+    def test_body_that_is_not_a_json_object_is_refused(self, body):
+        with serving() as served:
             answer = served.send(raw('POST /v1/completions', body))
         self.assertEqual(answer.status, 400)
         self.assertEqual(answer.error['reason'], 'bad_request')
@@ -236,25 +241,27 @@
             400,
         ),
     )
-    def test_lengths_that_are_wrong_or_too_large(self, header, body, status):
-        """Symptom: a thread reads for half a minute, or a call gets a 500.
+    def test_invalid_or_excessive_length_is_refused(
+        self, header, body, status
+    ):
+        """The length is checked before the body is read.
 
-        Sequence: a length that is negative, no number or above the limit.
-        Cause: whatever the header says would be read.
+        Without this, a thread would wait for the body for half a minute, or
+        the call would get a 500.
         """
-        with border() as served:
+        with serving() as served:
             answer = served.send(raw(BOOKING, body, header))
         self.assertEqual(answer.status, status)
         self.assertTrue(answer.closes)
         self.assertEqual(served.gate.opened, [])
 
-    def test_half_a_body_is_not_passed_on(self):
-        """Symptom: a booking without its rider is made.
+    def test_truncated_body_is_not_forwarded(self):
+        """Otherwise a service would get half a booking as a complete one.
 
-        Sequence: the caller's connection ends in the middle of the body.
-        Cause: a read that ends early looks like one that ends.
+        The caller's connection ends in the middle of the body; the read
+        then returns fewer bytes without an error.
         """
-        with border() as served, served.connect() as caller:
+        with serving() as served, served.connect() as caller:
             caller.sendall(raw(BOOKING, b'{"a": 1}', 'Content-Length: 90'))
             caller.shutdown(socket.SHUT_WR)
             answer = read_answer(caller)
@@ -262,16 +269,15 @@
         self.assertEqual(served.gate.opened, [])
 
     @params('POST /v1/nothing', 'GET /v1/entries', 'DELETE /v1/completions')
-    def test_an_unread_body_never_becomes_the_next_call(self, line):
-        """Symptom: calls that nobody sent, under another caller's name.
+    def test_unread_body_is_not_parsed_as_the_next_call(self, line):
+        """Guards against request smuggling.
 
-        Sequence: a call's body, itself a call, is not read; the connection
-        is kept.
-        Cause: what is left on a connection would be taken for a call.
+        The body of a call is not read and is itself a call; if the
+        connection stayed open, that call would run.
         """
         inner = raw(BOOKING)
         body = b'%x\r\n%s\r\n0\r\n\r\n' % (len(inner), inner)
-        with border() as served, served.connect() as caller:
+        with serving() as served, served.connect() as caller:
             caller.sendall(raw(line, body, 'Transfer-Encoding: chunked'))
             self.assertTrue(read_answer(caller).closes)
             caller.sendall(raw(BOOKING))
@@ -287,14 +293,13 @@
         'GET /services/portal/a%0d%0ab',
         'GET /services/portal/%ff',
     )
-    def test_paths_that_two_readers_take_for_two(self, line):
-        """Symptom: a booking is made twice.
+    def test_ambiguous_path_is_refused(self, line):
+        """A retry must not make a booking twice.
 
-        Sequence: the path matches the lookups' route, which may be
-        repeated; the service resolves it to the bookings.
-        Cause: the route would be looked up for another path than is run.
+        The path matches the route of the lookups, which may be retried, but
+        the service would resolve it to the bookings.
         """
-        with border() as served:
+        with serving() as served:
             answer = served.send(raw(line))
         self.assertEqual(answer.status, 400)
         self.assertEqual(served.gate.opened, [])
@@ -307,8 +312,8 @@
         + b'x' * 70000
         + b'\r\n\r\n',
     )
-    def test_what_is_no_http_leaves_the_port_serving(self, bytes_sent):
-        with border() as served:
+    def test_port_keeps_serving_after_invalid_http(self, bytes_sent):
+        with serving() as served:
             with contextlib.suppress(ConnectionError):
                 self.assertGreaterEqual(served.send(bytes_sent).status, 400)
             self.assertEqual(served.send(raw('GET /v1/entries')).status, 200)
@@ -320,14 +325,14 @@
         ('X-Deadline-S: -1', 'X-Deadline-S'),
         ('X-Deadline-S: soon', 'X-Deadline-S'),
     )
-    def test_headers_that_mean_nothing(self, header, told):
-        with border() as served:
+    def test_invalid_header_is_refused(self, header, expected):
+        with serving() as served:
             answer = served.send(raw(BOOKING, b'', header))
         self.assertEqual(answer.status, 400)
-        self.assertIn(told, answer.error['message'])
+        self.assertIn(expected, answer.error['message'])
 
-    def test_unknown_paths_say_which_there_are(self):
-        with border() as served:
+    def test_error_for_unknown_path_lists_the_paths(self):
+        with serving() as served:
             answer = served.send(raw('GET /v2/x'))
         self.assertEqual(answer.status, 404)
         self.assertIn('/v1/entries', answer.error['message'])
@@ -345,29 +350,29 @@
         '/',
         '/n%C3%A4h',
     )
-    def test_a_service_gets_the_path_as_it_was_sent(self, sent):
-        """Symptom: a lookup fails for one caller's queries only.
+    def test_path_is_forwarded_unchanged(self, sent):
+        """The path must not be rebuilt from its decoded parts.
 
-        Sequence: a path with a slash at its end, a query named ``self``.
-        Cause: the path would be put together anew from decoded parts.
+        That would lose a trailing slash, for example, or fail for a query
+        parameter named ``self``.
         """
-        with border() as served:
+        with serving() as served:
             answer = served.send(raw(f'GET /services/portal{sent}'))
         self.assertEqual((answer.status, answer.body), (201, b'booked'))
         ((call, work),) = served.gate.opened
         self.assertEqual(work.path, sent)
         self.assertNotIn('?', call.path)
 
-    def test_calls_follow_each_other_on_one_connection(self):
-        with border() as served, served.connect() as caller:
+    def test_several_calls_on_one_connection(self):
+        with serving() as served, served.connect() as caller:
             for number in range(3):
                 caller.sendall(raw(BOOKING, b'%d' % number))
                 self.assertEqual(read_answer(caller).status, 201)
         bodies = [work.body for _, work in served.gate.opened]
         self.assertEqual(bodies, [b'0', b'1', b'2'])
 
-    def test_a_body_in_chunks(self):
-        with border() as served:
+    def test_chunked_body(self):
+        with serving() as served:
             body = b'3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n'
             answer = served.send(
                 raw(BOOKING, body, 'Transfer-Encoding: chunked')
@@ -375,8 +380,8 @@
         self.assertEqual(answer.status, 201)
         self.assertEqual(served.gate.opened[0][1].body, b'abcde')
 
-    def test_two_bodies_have_two_digests(self):
-        with border() as served:
+    def test_digest_covers_the_body(self):
+        with serving() as served:
             for body in (b'a', b'b', b'b'):
                 served.send(raw(BOOKING, body))
         digests = [call.digest for call, _ in served.gate.opened]
@@ -386,24 +391,23 @@
 
 class Ends(unittest.TestCase):
     @params(completion(), completion(stream=True), raw(BOOKING))
-    def test_a_refusal_leaves_nothing_open(self, call):
-        """Symptom: memory and the watch grow with every refused call.
+    def test_refused_call_is_closed(self, call):
+        """Without this, each refused call would leak a relay and a watch.
 
-        Sequence: a completion is refused before its first token.
-        Cause: only answers that were begun would be closed.
+        The call is refused before its first token, so no answer has begun.
         """
-        with border(REFUSED) as served:
+        with serving(REFUSED) as served:
             answer = served.send(call)
             self.assertEqual(answer.status, 503)
             self.assertEqual(answer.headers['retry-after'], '1')
             self.assertTrue(served.gate.closed.acquire(timeout=PATIENCE_S))
             self.assertEqual(served.gate.open_ids, set())
 
-    def test_an_answer_that_was_not_begun_is_closed(self):
-        """Symptom: a slot stays taken by an answer that nobody reads.
+    def test_answer_that_was_not_started_is_closed(self):
+        """Without this, an answer that nobody reads would keep its slot.
 
-        Sequence: the caller leaves between the first token and the headers.
-        Cause: a generator that was never begun has no end.
+        The caller disconnects between the first token and the headers. A
+        generator that was never started runs no ``finally``.
         """
         gate = ScriptedGate()
         call = events.Call(
@@ -428,34 +432,33 @@
         self.assertEqual(gate.open_ids, set())
         self.assertTrue(gate.closed.acquire(blocking=False))
 
-    def test_a_replayed_stream_has_its_text_and_end_mark(self):
-        with border() as served:
+    def test_replayed_stream_has_text_and_done_event(self):
+        with serving() as served:
             answer = served.send(completion(stream=True))
         self.assertIn(b'"text": "a b"', answer.body)
         self.assertTrue(answer.body.endswith(b'data: [DONE]\n\n'))
 
-    def test_an_instance_that_leaves_ends_its_connections(self):
-        """Symptom: a booking without an answer at each shutdown.
+    def test_connections_are_closed_while_shutting_down(self):
+        """Otherwise a booking could stay without an answer at a shutdown.
 
-        Sequence: SIGTERM; a kept connection is closed at the process's end,
-        just as its caller sends.
-        Cause: connections would be kept to the last moment.
+        A persistent connection would be closed when the process ends,
+        perhaps while its caller is sending.
         """
-        with border() as served:
+        with serving() as served:
             served.gate.is_leaving = True
             for call in (raw(BOOKING), completion(stream=True)):
                 answer = served.send(call)
                 self.assertEqual(answer.status // 100, 2)
                 self.assertTrue(answer.closes)
 
-    def test_a_full_instance_refuses_while_all_its_work_goes_on(self):
-        """Symptom: callers hang at an instance that has no room.
+    def test_full_instance_refuses_while_its_calls_go_on(self):
+        """A call over the limit is refused; it doesn't wait.
 
-        Sequence: as many calls as are allowed are at work; one more comes.
-        Cause: with no thread left, it would wait in the port's queue.
+        As many calls as are allowed are running and one more arrives. With
+        no thread left, it would wait in the port's queue.
         """
-        with border(REFUSED) as served, contextlib.ExitStack() as stack:
-            served.gate.holds = 3
+        with serving(REFUSED) as served, contextlib.ExitStack() as stack:
+            served.gate.calls_to_hold = 3
             for _ in range(3):
                 caller = stack.enter_context(served.connect())
                 caller.sendall(raw(BOOKING))
@@ -467,7 +470,7 @@
 
 
 class Pages(unittest.TestCase):
-    def test_the_page_lists_every_reason_with_its_status(self):
+    def test_callers_page_lists_every_reason_with_its_status(self):
         page = pathlib.Path('docs/CALLERS.md').read_text()
         for reason in verdict.RefusalReason:
             status = callers.STATUS_BY_REASON.get(
