--- a/dandeliongw/borders/backends.py
+++ b/dandeliongw/borders/backends.py
@@ -1,7 +1,7 @@
-"""The border for backend servers: announce, renew, leave.
+"""HTTP API for backend servers: announce, renew, leave.
 
-Backend servers know any instance's control port; which instance owns their
-cell is not their concern. Bodies are checked here and become events.
+A backend server may use the control port of any instance; it doesn't need to
+know which instance owns its cell. This module validates the request bodies.
 """
 
 from collections import abc
@@ -30,10 +30,10 @@
 
 
 class Identity(models.Model):
-    """What every message of a backend server carries.
+    """The fields that every message of a backend server has.
 
-    :param incarnation: grows at every start of the backend server.
-    :param sequence: grows with every message of one incarnation.
+    :param incarnation: increases with each start of the backend server.
+    :param sequence: increases with each message of one incarnation.
     """
 
     backend_id: models.Name
@@ -42,10 +42,10 @@
 
 
 class Announcement(Identity):
-    """A backend server offers itself.
+    """Registers a backend server.
 
-    :param checks_fence: whether it refuses orders that carry an old fencing
-        number; one that says nothing counts as one that ignores them.
+    :param checks_fence: whether it refuses orders with an old fencing token;
+        without this field it is treated as ignoring fencing tokens.
     """
 
     service: models.Name
@@ -57,7 +57,7 @@
 
 
 class Load(models.Model):
-    """A load report; it was true some time before it was sent."""
+    """A load report; the values may be older than the message."""
 
     running: models.NotNegativeInt = 0
     waiting: models.NotNegativeInt = 0
@@ -72,7 +72,7 @@
 
 
 class CacheEvents(models.Model):
-    """Cache events in a row; ``first`` is the number of the first."""
+    """Consecutive cache events; ``first`` is the number of the first one."""
 
     first: models.NotNegativeInt = 0
     events: tuple[CacheEvent, ...] = ()
@@ -84,17 +84,17 @@
 
 
 class Leaving(Identity):
-    """The backend server will take no new work.
+    """The backend server accepts no new work from now on.
 
-    :param incarnation: the start that leaves; ``None`` for the one that is
-        known.
+    :param incarnation: the incarnation that leaves; ``None`` for the
+        registered one.
     """
 
     incarnation: models.NotNegativeInt | None
 
 
 class PresenceAnswer(enum.StrEnum):
-    """What became of an announcement or a renewal."""
+    """The result of an announcement or a renewal."""
 
     ACCEPTED = 'accepted'
     ANNOUNCE_AGAIN = 'announce_again'
@@ -118,7 +118,7 @@
 
 
 class Desk(typing.Protocol):
-    """What the border needs of the server around it."""
+    """The server's interface to this API."""
 
     def announce(self, announcement: Announcement) -> PresenceAnswer: ...
 
@@ -128,11 +128,12 @@
 
 
 class Backends:
-    """The handlers, mounted at ``/v1/backends``.
+    """The request handlers, mounted at ``/v1/backends``.
 
-    :param key_sha256: digest of the key that announcements need, if any.
-    :param lease_s: presence that one renewal buys.
-    :param renew_s: how often a backend server should renew.
+    :param key_sha256: SHA-256 digest, in hexadecimal, of the key that every
+        request must carry; ``None`` if no key is required.
+    :param lease_s: seconds for which an announcement or a renewal is valid.
+    :param renew_s: seconds between the renewals of a backend server.
     """
 
     def __init__(
@@ -150,7 +151,7 @@
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
-        """Dispatch ``announce``, ``renew`` and ``leave``."""
+        """Handle ``announce``, ``renew`` and ``leave``."""
         try:
             return self._dispatch(path)
         finally:
@@ -197,14 +198,16 @@
             )
 
     def _announce(self, body: bytes) -> bytes:
-        return self._tell(
+        return self._presence_answer(
             self._desk.announce(models.parse(Announcement, body, ''))
         )
 
     def _renew(self, body: bytes) -> bytes:
-        return self._tell(self._desk.renew(models.parse(Renewal, body, '')))
+        return self._presence_answer(
+            self._desk.renew(models.parse(Renewal, body, ''))
+        )
 
-    def _tell(self, answer: PresenceAnswer) -> bytes:
+    def _presence_answer(self, answer: PresenceAnswer) -> bytes:
         status = STATUS_BY_ANSWER[answer]
         if answer is PresenceAnswer.ACCEPTED:
             return _answer(
@@ -238,7 +241,7 @@
 
 
 def make_application(backends: Backends) -> cherrypy.Application:
-    """Return the application, for a server that mounts it."""
+    """Return the CherryPy application of this API."""
     root = _Root()
     root.v1 = _Root()
     root.v1.backends = backends
@@ -247,4 +250,4 @@
 
 
 class _Root:
-    """A part of the path without a page of its own."""
+    """A path segment without a handler of its own."""
--- a/dandeliongw/borders/control.py
+++ b/dandeliongw/borders/control.py
@@ -1,7 +1,7 @@
-"""What the operators' border asks of the rest of the daemon.
+"""The interface between the operators' API or console and the instance.
 
-The HTTP API and the console know only :class:`Control`; the daemon's server
-implements it over the register, and tests over a dictionary.
+The HTTP API and the console depend only on :class:`Control`. The instance
+implements it with the replicated register, and tests with a dictionary.
 """
 
 import typing
@@ -10,11 +10,11 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """A revision of the document, as a majority of voters confirmed it.
+    """A revision of the document, confirmed by a majority of voters.
 
     :param revision: 0 before the first change; each change adds one.
     :param document: canonical JSON, see ``document.document_bytes``.
-    :param author: the operator whose change it was; empty for revision 0.
+    :param author: the operator who made the change; empty for revision 0.
     """
 
     revision: int
@@ -23,10 +23,11 @@
 
 
 class Applied(msgspec.Struct, frozen=True, kw_only=True):
-    """The change was accepted, now or when it was sent before.
+    """The change was accepted, now or by an earlier request.
 
-    :param revision: the revision that the change made.
-    :param repeated: whether this is the first result, told again.
+    :param revision: the revision that the change created.
+    :param repeated: whether this is the result of an earlier request with
+        the same change id.
     """
 
     revision: int
@@ -34,43 +35,44 @@
 
 
 class Conflict(msgspec.Struct, frozen=True, kw_only=True):
-    """Another change came first; nothing was applied.
+    """Another change was accepted first; nothing was applied.
 
-    :param current: what is accepted now.
+    :param current: the accepted configuration.
     """
 
     current: Configuration
 
 
 class Overtaken(msgspec.Struct, frozen=True, kw_only=True):
-    """A change with this number or a higher one is held.
+    """A change with this order number or a higher one is stored already.
 
-    :param order: the number that is held.
+    :param order: the stored order number.
     """
 
     order: int
 
 
 class ChangeIdReused(msgspec.Struct, frozen=True, kw_only=True):
-    """The change id names another change; nothing was applied."""
+    """The change id belongs to another change; nothing was applied."""
 
     change_id: str
 
 
 class Unavailable(msgspec.Struct, frozen=True, kw_only=True):
-    """No majority answered in time; a change may still take effect.
+    """No majority answered in time; a proposed change may still take effect.
 
-    :param message: one sentence for a person.
+    :param message: one sentence to show to the operator.
     """
 
     message: str
 
 
 class InForce(typing.TypedDict):
-    """How far a revision has come.
+    """The progress of a revision over the instances.
 
-    ``confirmed`` instances work by it or a later one, ``expired`` ones are
-    out of touch and have stopped admitting work; the rest is waited for.
+    ``confirmed`` instances use this revision or a later one. ``expired``
+    instances are disconnected and have stopped admitting work. The others
+    are pending.
     """
 
     revision: int
@@ -80,7 +82,7 @@
 
 
 class InstanceStatus(typing.TypedDict):
-    """One instance, as the answering instance sees it."""
+    """One instance, from the view of the answering instance."""
 
     instance_id: str
     data_centre: str
@@ -91,7 +93,7 @@
 
 
 class LeaseStatus(typing.TypedDict):
-    """Who owns a cell or another leased job."""
+    """The holder of one lease, such as that of a cell."""
 
     name: str
     holder: str | None
@@ -99,7 +101,7 @@
 
 
 class PoolStatus(typing.TypedDict):
-    """Slots and queue of a pool, over the cells known here."""
+    """Slots and queue length of a pool, summed over the cells known here."""
 
     name: str
     service: str
@@ -112,8 +114,8 @@
 class Status(typing.TypedDict):
     """The answer to ``GET /v1/status``.
 
-    ``disks`` are those that vote, by instance id; ``joining`` the set that
-    is to replace them, empty when no replacement is under way.
+    ``disks`` has the voting disks by instance id; ``joining`` has the set
+    that will replace them, and is empty if no replacement is in progress.
     """
 
     instance_id: str
@@ -128,7 +130,7 @@
 
 
 class BackendStatus(typing.TypedDict):
-    """One backend server, as the answering instance sees it."""
+    """One backend server, from the view of the answering instance."""
 
     backend_id: str
     service: str
@@ -142,7 +144,7 @@
 
 
 class HistoryEntry(typing.TypedDict):
-    """One accepted change; ``time`` is ISO 8601, or ``None`` if unknown."""
+    """One accepted change; ``time`` is in ISO 8601, ``None`` if unknown."""
 
     revision: int
     author: str
@@ -150,14 +152,14 @@
     time: str | None
 
 
-#: Of a call's fingerprint.
+#: Pattern of a call's fingerprint.
 CALL_PATTERN = '^[0-9a-f]{32}$'
-#: Of the reason for which a call may be sent again.
+#: Longest reason that an operator may give when a quarantine is lifted.
 MOST_REASON_CHARACTERS = 200
 
 
 class EndEntry(typing.TypedDict):
-    """A backend server that ended under a call."""
+    """A backend server that ended while it ran a call."""
 
     backend_id: str
     told_by: str
@@ -165,7 +167,7 @@
 
 
 class LiftEntry(typing.TypedDict):
-    """Who let a call through again, and why."""
+    """Who lifted the quarantine of a call, and why."""
 
     operator: str
     reason: str
@@ -173,10 +175,11 @@
 
 
 class SuspectEntry(typing.TypedDict):
-    """A call under which backend servers ended.
+    """A call that is suspected of ending backend servers.
 
-    ``call`` is its fingerprint; ``held_s`` 0 where it may be sent; ``ends``
-    has those that count, ``cleared`` how many don't any more.
+    ``call`` is its fingerprint. ``held_s`` is the remaining time of its
+    quarantine in seconds, 0 if it may be sent. ``ends`` lists the ends that
+    count against it; ``cleared`` is the number of those that no longer do.
     """
 
     call: str
@@ -190,13 +193,13 @@
 
 
 class Control(typing.Protocol):
-    """The daemon, as operators see it; called from HTTP threads.
+    """The operations that operators can use; called from HTTP threads.
 
     Every method returns within a bounded time.
     """
 
     def current(self) -> Configuration | Unavailable:
-        """Return the accepted document after a majority's word."""
+        """Return the accepted configuration, as a majority confirms it."""
         ...
 
     def propose(
@@ -207,9 +210,9 @@
         expected_revision: int,
         document: bytes,
     ) -> ProposeResult:
-        """Make the document the next revision after the expected one.
+        """Propose the document as the revision after the expected one.
 
-        :param document: canonical JSON of a document that was validated.
+        :param document: canonical JSON of a validated document.
         """
         ...
 
@@ -218,17 +221,17 @@
     def backends(self) -> list[BackendStatus]: ...
 
     def history(self) -> list[HistoryEntry]:
-        """Return the accepted changes that are still known, newest first."""
+        """Return the recorded accepted changes, newest first."""
         ...
 
     def suspects(self) -> list[SuspectEntry]:
-        """Return the calls under which backend servers ended."""
+        """Return the calls that are suspected of ending backend servers."""
         ...
 
     def lift(self, *, call: str, operator: str, reason: str) -> bool:
-        """Let a call be sent again, at every instance.
+        """Lift the quarantine of a call, at every instance.
 
-        :returns: whether anything is known of the call here.
+        :returns: whether this instance has records of the call.
         """
         ...
 
--- a/dandeliongw/borders/operators.py
+++ b/dandeliongw/borders/operators.py
@@ -1,7 +1,7 @@
 """The operators' HTTP API on the control port.
 
-One document describes everything, and ``PUT /v1/document`` is the only call
-that changes it. ``GET /metrics`` needs no token, as it names no caller.
+One document holds the whole configuration, and only ``PUT /v1/document``
+changes it. ``GET /metrics`` needs no token, as metrics name no caller.
 """
 
 import enum
@@ -31,7 +31,7 @@
 
 
 class ApiReason(enum.StrEnum):
-    """Why the API did not do what was asked."""
+    """The reasons of error answers."""
 
     BAD_REQUEST = 'bad_request'
     INVALID_DOCUMENT = 'invalid_document'
@@ -44,10 +44,10 @@
 
 
 class ApiError(Exception):
-    """Ends a call with an error answer.
+    """Ends a request with an error answer.
 
     :param status: the HTTP status code.
-    :param details: more fields of the JSON body.
+    :param details: additional fields of the JSON body.
     """
 
     def __init__(
@@ -72,11 +72,11 @@
 
     document: dict[str, typing.Any]
     expected_revision: models.NotNegativeInt
-    """The revision that the change was made from."""
+    """The revision on which the change is based."""
     change_id: typing.Annotated[
         str, pydantic.StringConstraints(pattern=changes.CHANGE_ID_PATTERN)
     ]
-    """Chosen by the operator; a resend carries the same one."""
+    """Chosen by the operator; a retry uses the same id."""
 
 
 class Lift(models.Model):
@@ -85,7 +85,7 @@
     call: typing.Annotated[
         str, pydantic.StringConstraints(pattern=controls.CALL_PATTERN)
     ]
-    """The call's fingerprint, as logs and ``GET /v1/quarantine`` have it."""
+    """The call's fingerprint, as in logs and ``GET /v1/quarantine``."""
     reason: typing.Annotated[
         str,
         pydantic.StringConstraints(
@@ -94,7 +94,7 @@
             max_length=controls.MOST_REASON_CHARACTERS,
         ),
     ]
-    """Why it may run again; shown with the operator's name."""
+    """Why the call may run again; shown with the operator's name."""
 
 
 def make_application(
@@ -104,7 +104,7 @@
 ) -> cherrypy.Application:
     """Return the WSGI application of the API and the console.
 
-    It is not mounted anywhere and sets nothing global in CherryPy.
+    The application isn't mounted, and CherryPy's global state is unchanged.
     """
     root = _Root()
     root.metrics = _MetricsPage(metrics=metrics)
@@ -116,7 +116,7 @@
 
 
 class _Root:
-    """Holds the parts; its only page leads to the console."""
+    """The root of the URL tree; ``/`` redirects to the console."""
 
     @cherrypy.expose
     def index(self) -> None:
@@ -135,13 +135,13 @@
 
 
 def _answers_json(handler: Handler) -> Handler:
-    """Turn what a handler returns, or an ``ApiError``, into JSON."""
+    """Convert a handler's result, or its ``ApiError``, to a JSON answer."""
 
     @functools.wraps(handler)
     def answer(self: typing.Any, **query: str) -> bytes:
         try:
             if query:
-                raise _bad_request(f'no such parameter: {min(query)!r}')
+                raise _bad_request_error(f'no such parameter: {min(query)!r}')
             return _json(handler(self))
         except ApiError as error:
             cherrypy.response.status = error.status
@@ -151,7 +151,7 @@
 
 
 class _Resource:
-    """A path of the API; methods are named by the HTTP method."""
+    """A resource of the API, with one method for each HTTP method."""
 
     exposed = True
 
@@ -187,13 +187,13 @@
         self._authorize()
         current = self._control.current()
         if isinstance(current, controls.Unavailable):
-            raise _unavailable(current.message)
-        return _described(current)
+            raise _unavailable_error(current.message)
+        return _configuration_fields(current)
 
     @_answers_json
     def PUT(self) -> dict[str, typing.Any]:
         operator = self._authorize()
-        change = _read(Change)
+        change = _read_body(Change)
         result = changes.propose(
             self._control,
             change_id=change.change_id,
@@ -203,7 +203,7 @@
         )
         if isinstance(result, controls.Applied):
             return {'revision': result.revision, 'repeated': result.repeated}
-        raise _refused(result)
+        raise _proposal_error(result)
 
 
 class _Status(_Resource):
@@ -238,11 +238,11 @@
     @_answers_json
     def POST(self) -> dict[str, typing.Any]:
         operator = self._authorize()
-        lift = _read(Lift)
-        known = self._control.lift(
+        lift = _read_body(Lift)
+        is_known = self._control.lift(
             call=lift.call, operator=operator.name, reason=lift.reason
         )
-        if not known:
+        if not is_known:
             raise ApiError(
                 status=404,
                 reason=ApiReason.UNKNOWN_CALL,
@@ -253,7 +253,7 @@
 
 
 class _Version1:
-    """The parts of the API, by path."""
+    """The resources of the API, by path."""
 
     def __init__(
         self,
@@ -269,8 +269,8 @@
         self.quarantine.lift = _Lift(control=control, settings=settings)
 
 
-def _read(model: type[Body]) -> Body:
-    # Without its parameters, such as a charset.
+def _read_body(model: type[Body]) -> Body:
+    # The media type without its parameters, such as a charset.
     if cherrypy.request.body.content_type.value != JSON_TYPE:
         raise ApiError(
             status=415,
@@ -281,17 +281,19 @@
     try:
         return models.parse(model, body)
     except exceptions.InvalidInput as error:
-        raise _invalid(ApiReason.BAD_REQUEST, error)
+        raise _validation_error(ApiReason.BAD_REQUEST, error)
 
 
 def _read_document(tree: dict[str, typing.Any]) -> documents.Document:
     try:
         return documents.parse_document(json.dumps(tree).encode())
     except exceptions.InvalidInput as error:
-        raise _invalid(ApiReason.INVALID_DOCUMENT, error)
+        raise _validation_error(ApiReason.INVALID_DOCUMENT, error)
 
 
-def _described(current: controls.Configuration) -> dict[str, typing.Any]:
+def _configuration_fields(
+    current: controls.Configuration,
+) -> dict[str, typing.Any]:
     return {
         'revision': current.revision,
         'author': current.author,
@@ -299,7 +301,7 @@
     }
 
 
-def _refused(
+def _proposal_error(
     result: controls.Conflict | controls.ChangeIdReused | controls.Unavailable,
 ) -> ApiError:
     if isinstance(result, controls.Conflict):
@@ -311,7 +313,7 @@
                 f'{current.author!r} has made revision {current.revision} '
                 'meanwhile; nothing was applied'
             ),
-            details=_described(current),
+            details=_configuration_fields(current),
         )
     if isinstance(result, controls.ChangeIdReused):
         return ApiError(
@@ -322,21 +324,23 @@
                 'nothing was applied'
             ),
         )
-    return _unavailable(
+    return _unavailable_error(
         f'{result.message}; the change may still take effect: send it '
         'again with the same change id'
     )
 
 
-def _unavailable(message: str) -> ApiError:
+def _unavailable_error(message: str) -> ApiError:
     return ApiError(status=503, reason=ApiReason.UNAVAILABLE, message=message)
 
 
-def _bad_request(message: str) -> ApiError:
+def _bad_request_error(message: str) -> ApiError:
     return ApiError(status=400, reason=ApiReason.BAD_REQUEST, message=message)
 
 
-def _invalid(reason: ApiReason, error: exceptions.InvalidInput) -> ApiError:
+def _validation_error(
+    reason: ApiReason, error: exceptions.InvalidInput
+) -> ApiError:
     problems = [
         {
             'path': problem.path,
@@ -360,10 +364,10 @@
     return json.dumps(value, ensure_ascii=False).encode()
 
 
-def _error_body(
+def _error_page(
     status: str, message: str, traceback: str, version: str
 ) -> bytes:
-    """Show errors that CherryPy itself raises as JSON, without details."""
+    """Convert CherryPy's own errors to JSON, without internal details."""
     return _json({'reason': ApiReason.HTTP_ERROR.value, 'message': status})
 
 
@@ -371,7 +375,7 @@
     return {
         '/': {
             'request.body.maxbytes': MAX_BODY_BYTES,
-            'error_page.default': _error_body,
+            'error_page.default': _error_page,
             'tools.trailing_slash.on': False,
         },
         '/v1': {'request.dispatch': cherrypy.dispatch.MethodDispatcher()},
--- a/tests/operators_fake.py
+++ b/tests/operators_fake.py
@@ -1,4 +1,4 @@
-"""A control over a dictionary, and its HTTP border on a free port."""
+"""An in-memory control, with the operators' HTTP API on a free port."""
 
 from collections import abc
 import contextlib
@@ -15,19 +15,19 @@
 from dandeliongw import metrics
 from dandeliongw import settings
 
-#: The one call that the fake control holds back.
+#: Fingerprint of the only call that the fake control has in quarantine.
 HELD_CALL = '3fa9' * 8
 TOKENS_BY_NAME = {'ana': 'token-of-ana', 'bat': 'token-of-bat'}
 
 
 def make_settings() -> settings.Settings:
-    """Return settings with two operators and ports of the system's choice."""
+    """Return settings with two operators; the system chooses the ports."""
     address = {'host': '127.0.0.1', 'port': 0}
     place = {'data_centre': 'austin-a', 'region': 'tx-central'}
     tree = {
         'instance_id': 'gw-1',
         **place,
-        # Nothing here opens it.
+        # The tests don't open this folder.
         'data_folder': '/nowhere',
         'callers': address,
         'control': address,
@@ -43,7 +43,7 @@
 
 
 class FakeControl:
-    """Compare-and-set in memory; ``failing`` loses answers."""
+    """Compare-and-set on configurations in memory."""
 
     def __init__(self) -> None:
         self.configurations = [
@@ -54,9 +54,9 @@
             )
         ]
         self.changes_by_id: dict[str, control.Configuration] = {}
-        #: Operator and reason of each lift.
+        #: Operator and reason of each lifted quarantine.
         self.lifts: list[tuple[str, str]] = []
-        #: Whether proposals take effect while their answers are lost.
+        #: Whether proposals are accepted but their answers are lost.
         self.answers_lost = False
         #: Whether no majority answers.
         self.cut_off = False
@@ -175,7 +175,7 @@
 def serving(application: object) -> abc.Iterator[str]:
     """Serve a WSGI application on loopback; yields its URL."""
     server = wsgi.Server(('127.0.0.1', 0), application, numthreads=4)
-    # How often the server looks whether it has been stopped.
+    # Seconds between the server's checks whether it has been stopped.
     server.expiration_interval = 0.01
     server.prepare()
     thread = threading.Thread(target=server.serve, daemon=True)
@@ -187,26 +187,26 @@
         thread.join()
 
 
-class Border:
-    """One fake control behind the real border, and a client to it."""
+class Api:
+    """The operators' API in front of a fake control, and a client of it."""
 
     def __init__(self, *, control: FakeControl, url: str) -> None:
         self.control = control
         self.url = url
         self._client = urllib3.PoolManager(retries=False, timeout=10)
 
-    def ask(self, method: str, path: str, **options):
+    def request(self, method: str, path: str, **options):
         return self._client.request(
             method, self.url + path, redirect=False, **options
         )
 
 
 @contextlib.contextmanager
-def border() -> abc.Iterator[Border]:
-    """Yield the operators' border over a fresh fake control."""
+def border() -> abc.Iterator[Api]:
+    """Serve the operators' API in front of a new fake control."""
     fake = FakeControl()
     application = operators.make_application(
         fake, make_settings(), metrics.Metrics()
     )
     with serving(application) as url:
-        yield Border(control=fake, url=url)
+        yield Api(control=fake, url=url)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""The border for backend servers, over HTTP on a port of the system."""
+"""The HTTP API for backend servers, on a port that the system chooses."""
 
 import contextlib
 import functools
@@ -30,7 +30,7 @@
 
 
 class VirtualRuntime:
-    """Asks a reducer of the virtual network, in the caller's thread."""
+    """Sends events to a reducer of the simulated network, synchronously."""
 
     def __init__(self, *, net, instance_id):
         self._net = net
@@ -47,8 +47,8 @@
         return result
 
 
-class Border:
-    """The real border, gate and reducer of one instance, and a client."""
+class Client:
+    """A client of one instance's API for backend servers."""
 
     def __init__(self, *, url):
         self._url = url
@@ -62,13 +62,15 @@
         )
         return answer.status, answer.json()
 
-    def say(self, verb, **fields):
+    def send_valid(self, verb, **fields):
+        """Send a valid message, with some fields replaced."""
         base = ANNOUNCEMENT if verb == 'announce' else IDENTITY
         return self.send(verb, base | fields)
 
 
 @contextlib.contextmanager
-def border(key_sha256=None):
+def serving(key_sha256=None):
+    """Serve the API in front of a real reducer; yields a client."""
     net = network.Network()
     made = backends.Backends(
         desk=desks.BackendsDesk(
@@ -80,55 +82,58 @@
     )
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
     with web.bound(listen, 'control', 1.0) as port:
-        # How often the server looks whether it has been stopped.
+        # Seconds between the server's checks whether it has been stopped.
         port._server.expiration_interval = 0.01
         port.serve(backends.make_application(made))
-        yield Border(url=f'http://127.0.0.1:{port.number}')
+        yield Client(url=f'http://127.0.0.1:{port.number}')
 
 
 class BackendsTest(unittest.TestCase):
     def setUp(self):
-        self.border = self.enterContext(border())
+        self.client = self.enterContext(serving())
 
-    def test_a_life(self):
-        self.assertEqual((200, TERMS), self.border.say('announce'))
+    def test_announce_renew_leave_and_announce_again(self):
+        self.assertEqual((200, TERMS), self.client.send_valid('announce'))
         load = {'running': 1, 'slots_used': 1}
         events = {'first': 3, 'events': [{'kind': 'stored', 'prefix': 'ab'}]}
-        renewed = self.border.say(
+        renewed = self.client.send_valid(
             'renew', sequence=6, load=load, cache_events=events
         )
         self.assertEqual((200, TERMS), renewed)
-        self.assertEqual((200, {}), self.border.say('leave', sequence=7))
-        self.assertEqual((200, TERMS), self.border.say('announce', sequence=8))
+        self.assertEqual(
+            (200, {}), self.client.send_valid('leave', sequence=7)
+        )
+        self.assertEqual(
+            (200, TERMS), self.client.send_valid('announce', sequence=8)
+        )
 
     @params('announce', 'renew')
-    def test_what_is_older_than_said_is_refused(self, verb):
-        """Symptom: a backend server believes it is there, and gets no work.
+    def test_message_older_than_the_last_one_is_refused(self, verb):
+        """A process must not get a 200 if a newer one has its backend id.
 
-        Sequence: a second process with the same id announces itself, then
-        the first one again; it is told 200.
-        Cause: the outcome of an announcement was thrown away.
+        A second process with the same id announces itself, then the first
+        one sends again; with a 200 it would wait for work in vain.
         """
-        self.border.say('announce', sequence=9)
-        status, answer = self.border.say(verb, sequence=8)
+        self.client.send_valid('announce', sequence=9)
+        status, answer = self.client.send_valid(verb, sequence=8)
         self.assertEqual((409, 'old'), (status, answer['reason']))
         self.assertIn('newer', answer['message'])
 
     @params('announce', 'renew')
-    def test_what_was_said_before_a_leave_is_refused(self, verb):
-        """Symptom and cause as above; the sequence ends with a leave."""
-        self.border.say('announce')
-        self.border.say('leave', sequence=9)
-        status, answer = self.border.say(verb, sequence=8)
+    def test_message_older_than_a_leave_is_refused(self, verb):
+        """As above, but the newer message is a leave."""
+        self.client.send_valid('announce')
+        self.client.send_valid('leave', sequence=9)
+        status, answer = self.client.send_valid(verb, sequence=8)
         self.assertEqual((409, 'left'), (status, answer['reason']))
         self.assertIn('new announcement', answer['message'])
 
-    def test_a_resend_is_accepted(self):
+    def test_resent_announcement_is_accepted(self):
         for _ in range(2):
-            self.assertEqual((200, TERMS), self.border.say('announce'))
+            self.assertEqual((200, TERMS), self.client.send_valid('announce'))
 
-    def test_a_renewal_of_a_stranger_is_told_to_announce(self):
-        status, answer = self.border.say('renew')
+    def test_renewal_of_an_unknown_server_asks_for_an_announcement(self):
+        status, answer = self.client.send_valid('renew')
         self.assertEqual((404, 'announce_again'), (status, answer['reason']))
 
     @params(
@@ -156,65 +161,67 @@
         ),
         ('leave', {'sequence': -1}, ('sequence', '-1', '0')),
     )
-    def test_a_bad_body_is_told_what_may_stand(self, verb, fields, told):
-        status, answer = self.border.say(verb, **fields)
+    def test_error_names_field_value_and_allowed_values(
+        self, verb, fields, expected
+    ):
+        status, answer = self.client.send_valid(verb, **fields)
         self.assertEqual((400, 'bad_request'), (status, answer['reason']))
-        for part in told:
+        for part in expected:
             self.assertIn(part, answer['message'])
 
     @params('announce', 'renew', 'leave')
-    def test_a_body_that_is_no_json(self, verb):
-        status, answer = self.border.send(verb, b'{"backend_id": ')
+    def test_body_that_is_not_json_is_refused(self, verb):
+        status, answer = self.client.send(verb, b'{"backend_id": ')
         self.assertEqual((400, 'bad_request'), (status, answer['reason']))
         self.assertIn('not JSON', answer['message'])
 
     @params('announce', 'renew', 'leave')
-    def test_a_missing_field_is_named(self, verb):
-        status, answer = self.border.send(verb, {'backend_id': 'portal-1'})
+    def test_error_names_a_missing_field(self, verb):
+        status, answer = self.client.send(verb, {'backend_id': 'portal-1'})
         self.assertEqual(400, status)
         self.assertIn('incarnation: not given', answer['message'])
 
     @params('', 'shout', 'announce/now')
-    def test_an_unknown_path_is_told_the_known_ones(self, path):
-        status, answer = self.border.send(path, ANNOUNCEMENT)
+    def test_error_for_an_unknown_path_lists_the_paths(self, path):
+        status, answer = self.client.send(path, ANNOUNCEMENT)
         self.assertEqual((404, 'unknown_path'), (status, answer['reason']))
         self.assertIn('announce, renew, leave', answer['message'])
 
     @params('whole', 'chunked')
-    def test_a_body_over_the_limit_is_not_cut(self, way):
-        """Symptom: "not JSON", of a body that is; or half of it is taken.
+    def test_body_over_the_limit_is_refused(self, way):
+        """A body over the limit must not be truncated and then parsed.
 
-        Sequence: a backend server sends more cache events than fit.
-        Cause: the body was read up to the limit and parsed as if whole.
+        A backend server sends more cache events than fit; the error would
+        be "not JSON", or a part of the body would be accepted.
         """
         body = json.dumps(ANNOUNCEMENT).encode()
         body += b' ' * (bodies.MOST_BYTES + 1 - len(body))
         if way == 'chunked':
             body = [body[:100], body[100:]]
-        status, answer = self.border.send('announce', body)
+        status, answer = self.client.send('announce', body)
         self.assertEqual((413, 'too_large'), (status, answer['reason']))
         self.assertIn(str(bodies.MOST_BYTES), answer['message'])
-        self.assertEqual(404, self.border.say('renew')[0])
+        self.assertEqual(404, self.client.send_valid('renew')[0])
 
-    def test_a_body_at_the_limit_is_taken(self):
+    def test_body_at_the_limit_is_accepted(self):
         body = json.dumps(ANNOUNCEMENT).encode()
         body += b' ' * (bodies.MOST_BYTES - len(body))
-        self.assertEqual((200, TERMS), self.border.send('announce', body))
+        self.assertEqual((200, TERMS), self.client.send('announce', body))
 
 
 class KeyTest(unittest.TestCase):
     def setUp(self):
         digest = hashlib.sha256(KEY.encode()).hexdigest()
         self.send = functools.partial(
-            self.enterContext(border(digest)).send, 'announce', ANNOUNCEMENT
+            self.enterContext(serving(digest)).send, 'announce', ANNOUNCEMENT
         )
 
-    def test_the_key_opens(self):
+    def test_right_key_is_accepted(self):
         headers = {'Authorization': f'Bearer {KEY}'}
         self.assertEqual((200, TERMS), self.send(headers=headers))
 
     @params({}, {'Authorization': 'Bearer another'}, {'Authorization': KEY})
-    def test_anything_else_does_not(self, headers):
+    def test_missing_or_wrong_key_is_refused(self, headers):
         status, answer = self.send(headers=headers)
         self.assertEqual((401, 'unknown_key'), (status, answer['reason']))
         self.assertNotIn(KEY, answer['message'])
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -22,7 +22,7 @@
 from dandeliongw import verdict
 
 #: Seconds; only a failing test waits this long.
-PATIENCE_S = 20
+TIMEOUT_S = 20
 MAX_BODY = 1000
 RECORDED = outcome.Outcome(
     status=201, content_type='text/plain', body=b'booked', text='a b', tokens=2
@@ -105,7 +105,7 @@
 
     def connect(self):
         return socket.create_connection(
-            ('127.0.0.1', self._port.number), timeout=PATIENCE_S
+            ('127.0.0.1', self._port.number), timeout=TIMEOUT_S
         )
 
     def send(self, raw):
@@ -400,7 +400,7 @@
             answer = served.send(call)
             self.assertEqual(answer.status, 503)
             self.assertEqual(answer.headers['retry-after'], '1')
-            self.assertTrue(served.gate.closed.acquire(timeout=PATIENCE_S))
+            self.assertTrue(served.gate.closed.acquire(timeout=TIMEOUT_S))
             self.assertEqual(served.gate.open_ids, set())
 
     def test_answer_that_was_not_started_is_closed(self):
@@ -462,7 +462,7 @@
             for _ in range(3):
                 caller = stack.enter_context(served.connect())
                 caller.sendall(raw(BOOKING))
-                self.assertTrue(served.gate.held.acquire(timeout=PATIENCE_S))
+                self.assertTrue(served.gate.held.acquire(timeout=TIMEOUT_S))
             answer = served.send(raw(BOOKING))
             self.assertEqual(answer.error['reason'], 'instance_full')
             for carrier in served.gate.carriers:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -35,8 +35,8 @@
 class Browser:
     """Keeps the cookie and the page, follows links' ends, sends forms."""
 
-    def __init__(self, *, border: operators_fake.Border) -> None:
-        self._border = border
+    def __init__(self, *, api: operators_fake.Api) -> None:
+        self._api = api
         self.cookie = ''
         self.set_cookie = ''
         self.path = ''
@@ -68,7 +68,7 @@
         given = {'Cookie': self.cookie} | (headers or {})
         if body is not None:
             given['Content-Type'] = 'application/x-www-form-urlencoded'
-        answer = self._border.ask(method, path, body=body, headers=given)
+        answer = self._api.request(method, path, body=body, headers=given)
         self.set_cookie = answer.headers.get('Set-Cookie', '')
         if self.set_cookie:
             self.cookie = self.set_cookie.partition(';')[0]
@@ -112,14 +112,14 @@
 class ConsoleTest(unittest.TestCase):
     def setUp(self):
         logger.remove()
-        self.border = self.enterContext(operators_fake.border())
+        self.api = self.enterContext(operators_fake.border())
         self.browser = self.another('token-of-ana')
 
     def another(self, token: str) -> Browser:
-        return Browser(border=self.border).sign_in(token)
+        return Browser(api=self.api).sign_in(token)
 
     def accepted(self) -> dict:
-        return json.loads(self.border.control.current().document)
+        return json.loads(self.api.control.current().document)
 
     def put(self, browser: Browser, section: str, /, key='', **item):
         query = urllib.parse.urlencode({'section': section, 'key': key})
@@ -132,7 +132,7 @@
 
     @params(*STATUS_PAGES, *SECTION_PAGES, 'item?section=pools')
     def test_pages_need_a_sign_in(self, path):
-        stranger = Browser(border=self.border)
+        stranger = Browser(api=self.api)
         stranger.get(path)
         self.assertEqual('/console/sign-in', stranger.path)
         self.browser.get(path)
@@ -160,9 +160,9 @@
         self.assertEqual('', stranger.cookie)
 
     def test_the_cookie_is_kept_from_scripts_and_other_sites(self):
-        stranger = Browser(border=self.border)
+        stranger = Browser(api=self.api)
         stranger.get('sign-in')
-        answer = self.border.ask(
+        answer = self.api.request(
             'POST', '/console/sign-in', fields={'token': 'token-of-ana'}
         )
         cookie = answer.headers['Set-Cookie']
@@ -201,7 +201,7 @@
         self.assertEqual(400, self.browser.status)
         self.browser.get('quarantine')
         self.browser.send('lift', reason='mended')
-        self.assertEqual([('ana', 'mended')], self.border.control.lifts)
+        self.assertEqual([('ana', 'mended')], self.api.control.lifts)
         # What operators write is shown as they wrote it.
         self.assertIn('by <i>ben</i>, 4 s ago: <b>', self.browser.text)
 
@@ -231,7 +231,7 @@
         expected = document.parse_document(json.dumps(BRAZOS).encode())
         self.assertEqual(
             document.document_bytes(expected),
-            self.border.control.current().document,
+            self.api.control.current().document,
         )
         self.browser.get('history')
         self.assertIn('ana', self.browser.text)
@@ -332,11 +332,11 @@
         doesn't name its change.
         """
         self.put(self.browser, 'priorities', **URGENT)
-        self.border.control.answers_lost = True
+        self.api.control.answers_lost = True
         self.apply(self.browser)
         self.assertEqual(503, self.browser.status)
         self.assertIn('may still take effect', self.browser.text)
-        self.border.control.answers_lost = False
+        self.api.control.answers_lost = False
         other = self.another('token-of-bat')
         self.put(other, 'priorities', key='urgent', max_wait_s=9)
         self.apply(other)
@@ -350,7 +350,7 @@
         self.put(self.browser, 'priorities', **URGENT)
         self.browser.get('draft')
         restarted = self.enterContext(operators_fake.border())
-        self.browser._border = restarted
+        self.browser._api = restarted
         self.browser.send('apply')
         current = restarted.control.current()
         self.assertEqual([URGENT], json.loads(current.document)['priorities'])
@@ -369,7 +369,7 @@
         self.assertEqual('/console/sign-in', self.browser.path)
 
     def test_no_majority_is_told(self):
-        self.border.control.cut_off = True
+        self.api.control.cut_off = True
         self.browser.get('section?name=pools')
         self.assertEqual(503, self.browser.status)
         self.assertIn('no majority answered', self.browser.text)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -175,7 +175,7 @@
 
 def connect(port):
     return socket.create_connection(
-        ('127.0.0.1', port), timeout=test_callers.PATIENCE_S
+        ('127.0.0.1', port), timeout=test_callers.TIMEOUT_S
     )
 
 
@@ -264,7 +264,7 @@
             with border(gate, counts) as port, connect(port) as caller:
                 caller.sendall(raw())
                 test_callers.read_answer(caller)
-                gate.closed.acquire(timeout=test_callers.PATIENCE_S)
+                gate.closed.acquire(timeout=test_callers.TIMEOUT_S)
         self.assertEqual(2, counts.value('answers_total', verdict='ran'))
 
     def test_broken_stream_has_no_last_chunk(self):
@@ -284,7 +284,7 @@
                 got += more
         self.assertIn(EVENTS[1], got)
         self.assertNotIn(b'\r\n0\r\n', got)
-        self.assertTrue(gate.closed.acquire(timeout=test_callers.PATIENCE_S))
+        self.assertTrue(gate.closed.acquire(timeout=test_callers.TIMEOUT_S))
 
     def test_error_answer_of_backend_server_is_forwarded(self):
         """The caller gets the backend server's answer, not one of ours."""
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -30,81 +30,81 @@
             stream=self.log,
         )
         self.addCleanup(logger.remove)
-        self.border = self.enterContext(operators_fake.border())
+        self.api = self.enterContext(operators_fake.border())
 
     def put(self, body: bytes, headers=JSON_ANA):
-        return self.border.ask(
+        return self.api.request(
             'PUT', '/v1/document', body=body, headers=headers
         )
 
     @params('document', 'status', 'backends', 'history', 'quarantine')
-    def test_no_answer_without_a_token(self, path):
+    def test_token_is_required(self, path):
         headers = {'Authorization': 'Bearer token-of-nobody'}
         for given in ({}, headers, {'Authorization': 'Basic token-of-ana'}):
-            answer = self.border.ask('GET', f'/v1/{path}', headers=given)
+            answer = self.api.request('GET', f'/v1/{path}', headers=given)
             self.assertEqual(401, answer.status)
             self.assertEqual('unauthorized', answer.json()['reason'])
-        answer = self.border.ask('GET', f'/v1/{path}', headers=BEARER_ANA)
+        answer = self.api.request('GET', f'/v1/{path}', headers=BEARER_ANA)
         self.assertEqual(200, answer.status)
 
     def lift(self, call=operators_fake.HELD_CALL, reason='mended', **changes):
         body = {'call': call, 'reason': reason, **changes}
-        return self.border.ask(
+        return self.api.request(
             'POST',
             '/v1/quarantine/lift',
             body=json.dumps(body).encode(),
             headers=JSON_ANA,
         )
 
-    def test_a_call_is_let_through_with_a_name_and_a_reason(self):
+    def test_lift_records_operator_and_reason(self):
         answer = self.lift()
         self.assertEqual(200, answer.status)
-        self.assertEqual([('ana', 'mended')], self.border.control.lifts)
-        found = self.border.ask('GET', '/v1/quarantine', headers=BEARER_ANA)
+        self.assertEqual([('ana', 'mended')], self.api.control.lifts)
+        found = self.api.request('GET', '/v1/quarantine', headers=BEARER_ANA)
         (call,) = found.json()['calls']
         self.assertEqual(0.0, call['held_s'])
 
-    def test_a_call_that_is_not_known_here(self):
+    def test_lift_of_an_unknown_call_is_refused(self):
         answer = self.lift(call='0' * 32)
         self.assertEqual(404, answer.status)
         self.assertEqual('unknown_call', answer.json()['reason'])
         self.assertIn('0' * 32, answer.json()['message'])
 
     @params({'call': 'x'}, {'reason': ' '}, {'reason': 'x' * 201}, {'who': 1})
-    def test_a_lift_that_is_not_understood(self, changes):
+    def test_invalid_lift_is_refused(self, changes):
         answer = self.lift(**changes)
         self.assertEqual(400, answer.status)
         (problem,) = answer.json()['problems']
         self.assertEqual(next(iter(changes)), problem['path'])
-        self.assertEqual([], self.border.control.lifts)
+        self.assertEqual([], self.api.control.lifts)
 
-    def test_a_change_is_applied_and_read_back(self):
+    def test_change_is_applied_and_read_back(self):
         answer = self.put(change())
         self.assertEqual({'revision': 1, 'repeated': False}, answer.json())
-        found = self.border.ask('GET', '/v1/document', headers=BEARER_ANA)
+        found = self.api.request('GET', '/v1/document', headers=BEARER_ANA)
         self.assertEqual(1, found.json()['revision'])
         self.assertEqual('ana', found.json()['author'])
         self.assertEqual(1, found.json()['document']['version'])
 
-    def test_a_charset_may_be_named(self):
+    def test_content_type_may_have_a_charset(self):
         named = {'Content-Type': 'application/json; charset=utf-8'}
         answer = self.put(change(), headers=BEARER_ANA | named)
         self.assertEqual(200, answer.status)
 
-    def test_a_resend_gets_its_first_result(self):
-        """Symptom: an old document comes back after a later change.
+    def test_retried_change_gets_its_first_result(self):
+        """A retry must not undo a later change.
 
-        Sequence: a change is accepted and its answer lost; another operator
-        changes the document; the first change is sent again. Cause: a
-        resend that is taken for a new change.
+        A change is accepted and its answer is lost; another change follows;
+        then the first one is retried. Applied as a new change, it would
+        bring back the old document.
         """
         self.put(change())
         self.put(change(expected_revision=1, change_id='c-2'))
         answer = self.put(change())
         self.assertEqual({'revision': 1, 'repeated': True}, answer.json())
-        self.assertEqual(2, self.border.control.current().revision)
+        self.assertEqual(2, self.api.control.current().revision)
 
-    def test_a_conflict_shows_the_other_change(self):
+    def test_conflict_returns_the_other_change(self):
         self.put(change())
         answer = self.put(change(change_id='c-2'))
         self.assertEqual(409, answer.status)
@@ -113,7 +113,7 @@
         self.assertEqual('ana', answer.json()['author'])
         self.assertEqual([], answer.json()['document']['services'])
 
-    def test_a_change_id_names_one_change_only(self):
+    def test_change_id_of_another_change_is_refused(self):
         self.put(change())
         document = EMPTY | {
             'priorities': [{'name': 'urgent', 'rank': 0, 'max_wait_s': 1}]
@@ -122,16 +122,16 @@
         self.assertEqual(409, answer.status)
         self.assertEqual('change_id_reused', answer.json()['reason'])
 
-    def test_a_lost_answer_is_not_told_as_not_applied(self):
-        self.border.control.answers_lost = True
+    def test_lost_answer_is_not_reported_as_not_applied(self):
+        self.api.control.answers_lost = True
         answer = self.put(change())
         self.assertEqual(503, answer.status)
         self.assertIn('may still take effect', answer.json()['message'])
         self.assertIn('same change id', answer.json()['message'])
 
-    def test_a_document_is_not_shown_without_a_majority(self):
-        self.border.control.cut_off = True
-        answer = self.border.ask('GET', '/v1/document', headers=BEARER_ANA)
+    def test_document_is_unavailable_without_a_majority(self):
+        self.api.control.cut_off = True
+        answer = self.api.request('GET', '/v1/document', headers=BEARER_ANA)
         self.assertEqual(503, answer.status)
 
     @params(
@@ -145,12 +145,12 @@
             'pools[0].name',
         ),
     )
-    def test_problems_are_told_by_path(self, body, reason, path):
+    def test_problems_name_the_path_of_the_field(self, body, reason, path):
         answer = self.put(body)
         self.assertEqual(400, answer.status)
         self.assertEqual(reason, answer.json()['reason'])
         self.assertEqual(path, answer.json()['problems'][0]['path'])
-        self.assertEqual(0, self.border.control.current().revision)
+        self.assertEqual(0, self.api.control.current().revision)
 
     @params(
         ('PUT', '/v1/document', JSON_ANA, b' ' * (5 * 1024 * 1024), 413),
@@ -159,26 +159,28 @@
         ('GET', '/v1/nothing', BEARER_ANA, None, 404),
         ('GET', '/v1/status?x=1', BEARER_ANA, None, 400),
     )
-    def test_what_is_not_offered(self, method, path, headers, body, status):
-        answer = self.border.ask(method, path, headers=headers, body=body)
+    def test_unsupported_request_is_refused(
+        self, method, path, headers, body, status
+    ):
+        answer = self.api.request(method, path, headers=headers, body=body)
         self.assertEqual(status, answer.status)
         self.assertIn('reason', answer.json())
 
     def test_metrics_need_no_token(self):
-        answer = self.border.ask('GET', '/metrics')
+        answer = self.api.request('GET', '/metrics')
         self.assertEqual(200, answer.status)
         self.assertIn(b'dandeliongw_refusals_total', answer.data)
 
-    def test_who_changed_what_is_logged_without_the_token(self):
+    def test_change_is_logged_without_the_token(self):
         self.put(change())
         (line,) = self.log.getvalue().splitlines()
         self.assertEqual('ana', json.loads(line)['operator'])
         self.assertEqual('Applied', json.loads(line)['result'])
         self.assertNotIn('token-of-ana', line)
 
-    def test_a_fault_inside_shows_nothing_of_it(self):
-        self.border.control.status = lambda: 1 / 0
-        answer = self.border.ask('GET', '/v1/status', headers=BEARER_ANA)
+    def test_internal_error_is_logged_but_not_shown(self):
+        self.api.control.status = lambda: 1 / 0
+        answer = self.api.request('GET', '/v1/status', headers=BEARER_ANA)
         self.assertEqual(500, answer.status)
         self.assertNotIn(b'division', answer.data)
         self.assertIn('division', self.log.getvalue())
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 
 from dandeliongw.borders import watch
 
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 @contextlib.contextmanager
@@ -53,7 +53,7 @@
         with connected() as (caller, ours):
             watching.add('r', ours)
             _leave(caller, how)
-            self.assertTrue(gone.wait(PATIENCE_S))
+            self.assertTrue(gone.wait(TIMEOUT_S))
         watching.stop()
         self.assertEqual(set(told), {'r'})
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -12,7 +12,7 @@
 from dandeliongw import settings
 from tools import local
 
-PATIENCE_S = 60
+TIMEOUT_S = 60
 
 
 class HeldApplication:
@@ -24,7 +24,7 @@
 
     def __call__(self, environ, start_response):
         self.entered.release()
-        self.may_answer.wait(PATIENCE_S)
+        self.may_answer.wait(TIMEOUT_S)
         start_response('200 OK', [('Content-Length', '2')])
         return [b'ok']
 
@@ -40,7 +40,7 @@
 
     def call(self):
         connection = http.client.HTTPConnection(
-            '127.0.0.1', self.port.number, timeout=PATIENCE_S
+            '127.0.0.1', self.port.number, timeout=TIMEOUT_S
         )
         self.addCleanup(connection.close)
         connection.request('GET', '/')
@@ -54,7 +54,7 @@
         Cause: the one thread that accepts and reads waits for room.
         """
         busy = self.call()
-        self.application.entered.acquire(timeout=PATIENCE_S)
+        self.application.entered.acquire(timeout=TIMEOUT_S)
         queued = self.call()
         local.wait_until('the second call is queued', self.queue.full)
         room = self.queue.not_full
@@ -76,12 +76,12 @@
         application = HeldApplication()
         application.may_answer.set()
         # Else the library's own time-out would pass for the document's.
-        self.port._server.timeout = 10 * PATIENCE_S
+        self.port._server.timeout = 10 * TIMEOUT_S
         self.port.serve(application, lambda: self.limits)
 
     def connect(self):
         address = ('127.0.0.1', self.port.number)
-        caller = socket.create_connection(address, timeout=PATIENCE_S)
+        caller = socket.create_connection(address, timeout=TIMEOUT_S)
         self.addCleanup(caller.close)
         return caller
 
@@ -106,7 +106,7 @@
         Cause: only the time-out of an idle connection held for it.
         """
         self.limits = hosts.BorderLimits(
-            header_timeout_s=0.01, idle_timeout_s=10 * PATIENCE_S
+            header_timeout_s=0.01, idle_timeout_s=10 * TIMEOUT_S
         )
         caller = self.connect()
         caller.sendall(b'GET / HTTP/1.1\r\nHost: ')
@@ -139,7 +139,7 @@
 
     def call(self):
         connection = http.client.HTTPConnection(
-            '127.0.0.1', self.port.number, timeout=PATIENCE_S
+            '127.0.0.1', self.port.number, timeout=TIMEOUT_S
         )
         self.addCleanup(connection.close)
         connection.request('GET', '/', headers={'Connection': 'close'})
