--- a/dandeliongw/borders/_workers.py
+++ b/dandeliongw/borders/_workers.py
@@ -1,4 +1,4 @@
-"""The threads of an HTTP port: as many as there is work for."""
+"""The thread pool of an HTTP port, which grows and shrinks with the load."""
 
 import queue
 import threading
@@ -6,100 +6,113 @@
 
 from cheroot.workers import threadpool
 
-#: Threads that a port keeps without work; with none, the first call after a
-#: pause would wait for its thread to be made.
-FEWEST = 2
-#: Seconds that a thread beyond those waits for work before it ends: longer
-#: than the pauses of a busy port, so that threads aren't made anew all along.
-LINGER_S = 10.0
+#: Threads that an idle port keeps. With none, the first call after a pause
+#: would wait for a new thread.
+MIN_THREADS = 2
+#: Seconds after which an idle thread beyond those ends: longer than the
+#: pauses of a busy port, so that threads aren't ended and started constantly.
+IDLE_TIMEOUT_S = 10.0
 
 
 class WorkerPool(threadpool.ThreadPool):
-    """Makes a thread when all are busy, and ends those that stay idle.
+    """Starts a thread if all are busy, and ends threads that stay idle.
 
-    The library starts all threads that a port may ever need. An instance
-    that bears 96 calls at once had 144 threads while it did nothing, and two
-    hundred instances on one machine had 28,000.
+    Cheroot's own pool starts its maximum number of threads. With it, an idle
+    instance that allows 96 concurrent calls had 144 threads, and two hundred
+    instances on one machine had 28,000.
 
-    :param server: whose connections the threads serve.
-    :param most: threads at one time.
-    :param queued: connections that wait for a thread; more are refused.
+    :param server: the server whose connections the threads handle.
+    :param max_threads: maximum number of threads.
+    :param max_queued: maximum number of connections that wait for a thread;
+        more are refused.
     """
 
-    def __init__(self, *, server: typing.Any, most: int, queued: int) -> None:
+    def __init__(
+        self, *, server: typing.Any, max_threads: int, max_queued: int
+    ) -> None:
         super().__init__(
             server,
-            min=min(FEWEST, most),
-            max=most,
-            accepted_queue_size=queued,
-            # The accept loop also reads what kept connections send: while
-            # it waited for room, all of them would stand still. With 0 what
-            # doesn't fit gets its 503 at once, from a thread of its own.
+            min=min(MIN_THREADS, max_threads),
+            max=max_threads,
+            accepted_queue_size=max_queued,
+            # The accept loop also polls persistent connections. If it waited
+            # for space in the queue, all of them would stall. With 0,
+            # connections that don't fit get a 503 at once, from a separate
+            # thread.
             accepted_queue_timeout=0,
         )
         self.get = self._next
         self._lock = threading.Lock()
-        #: Threads that wait, and have no connection on its way to them.
+        #: Number of idle threads that no queued connection is meant for.
         self._free = 0
-        #: Connections that wait for the next thread that has nothing to do.
-        self._waiting = 0
+        #: Number of queued connections that no thread is reserved for.
+        self._unassigned = 0
 
     @property
     def size(self) -> int:
-        """Threads at present."""
+        """Number of threads."""
         return len(self._threads)
 
     @property
     def idle(self) -> int:
-        """Threads that wait for a connection."""
+        """Number of threads that wait for a connection."""
         return self._free
 
     def grow(self, amount: int) -> None:
-        """Start threads without a wait.
+        """Start threads without waiting for them.
 
-        The library sleeps until each of them runs, which would hold up the
-        thread that accepts connections by a tenth of a second.
+        Cheroot sleeps until each thread runs, which would delay the thread
+        that accepts connections by a tenth of a second.
         """
         with self._lock:
             for _ in range(min(amount, self.max - len(self._threads))):
                 self._threads.append(self._spawn_worker())
 
     def put(self, conn: typing.Any) -> None:
-        """Hand a connection to a thread, to a new one if none is free.
+        """Queue a connection, and start a thread if none is free.
 
-        :raises queue.Full: when too many wait already.
+        :raises queue.Full: if too many connections are queued already.
         """
         super().put(conn)
         with self._lock:
             if self._free:
                 self._free -= 1
                 return
-            self._waiting += 1
+            self._unassigned += 1
             if len(self._threads) < self.max:
                 self._threads.append(self._spawn_worker())
 
     def _next(self) -> typing.Any:
-        """Return the next connection, for a thread that has nothing to do."""
+        """Wait for the next connection; called by an idle thread.
+
+        :return: the connection, or cheroot's shutdown marker, which ends the
+            thread.
+        """
         with self._lock:
-            if self._waiting:
-                self._waiting -= 1
+            if self._unassigned:
+                self._unassigned -= 1
             else:
                 self._free += 1
         while True:
             try:
-                return self._queue.get(timeout=LINGER_S)
+                return self._queue.get(timeout=IDLE_TIMEOUT_S)
             except queue.Empty:
-                if self._may_end():
+                if self._remove_if_idle():
                     return threadpool._SHUTDOWNREQUEST
 
-    def _may_end(self) -> bool:
+    def _remove_if_idle(self) -> bool:
+        """Remove the current thread from the pool if it may end.
+
+        :return: whether it was removed.
+        """
         own = threading.current_thread()
         with self._lock:
-            # With none free, a connection is on its way to this thread.
+            # If no thread is free, a connection is queued for this one.
             if not self._free or len(self._threads) <= self.min:
                 return False
             self._free -= 1
             self._threads.remove(own)
-        # Kept by name for good otherwise, with all that the thread holds.
+        # Without this, the statistics would keep an entry for each thread
+        # that ever ran, with all objects that the thread refers to.
         self.server.stats['Worker Threads'].pop(own.name, None)
         return True
--- a/dandeliongw/borders/answers.py
+++ b/dandeliongw/borders/answers.py
@@ -1,4 +1,4 @@
-"""An answer on its way to the caller, as JSON or as server-sent events."""
+"""Answers to callers, as JSON or as server-sent events."""
 
 from collections import abc
 import json
@@ -14,13 +14,13 @@
 
 
 class Gate(typing.Protocol):
-    """What an answer needs of the server around it."""
+    """The server's interface to an answer."""
 
     def close_relay(self, request_id: str) -> None: ...
 
 
 class Answer:
-    """An answer on its way to the caller, measured."""
+    """The answer to one request; records its latencies as metrics."""
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         self._first: typing.Any = None
 
     def first(self) -> typing.Any:
-        """Wait for the first item, which decides the HTTP status.
+        """Wait for the first item, which determines the HTTP status.
 
-        A refusal ends the answer.
+        A refusal closes the answer.
         """
         try:
             self._first = self._next()
@@ -54,7 +54,7 @@
         return self._first
 
     def last(self) -> relay.Finished | verdict.Refusal:
-        """Wait for the end, dropping pieces that come before it."""
+        """Wait for the end of the answer and discard its pieces."""
         try:
             item = self._first or self._next()
             while isinstance(item, engine.Piece):
@@ -66,9 +66,9 @@
     def as_events(self) -> abc.Iterator[bytes]:
         """Yield the answer as server-sent events.
 
-        Only ``[DONE]`` ends a whole answer. An error after the first token
-        can't change the status any more, so it is an event of its own, and
-        no ``[DONE]`` follows it.
+        A complete answer ends with ``[DONE]``. After the first token an error
+        can't change the HTTP status any more; it is sent as an ``error``
+        event, without ``[DONE]``.
         """
         item = self._first
         while isinstance(item, engine.Piece):
@@ -83,7 +83,7 @@
         yield b'data: [DONE]\n\n'
 
     def close(self) -> None:
-        """Tell the reducer that this thread is done with the request."""
+        """Close the relay and notify the reducer of it."""
         self._pieces.close()
         self._gate.close_relay(self._request_id)
 
@@ -119,11 +119,11 @@
 
 
 class EventStream:
-    """The events of an answer, closed whether or not they were begun.
+    """The events of an answer; closes it also if no event was read.
 
-    A generator that was never begun runs no ``finally``. When the caller
-    leaves between the first token and the headers, one would see a request
-    that never ends, and its slot with it.
+    A generator that was never started runs no ``finally``. Without this
+    class, a caller that disconnects between the first token and the headers
+    would leave a request that never ends and that keeps its slot.
     """
 
     def __init__(self, answer: Answer) -> None:
@@ -147,7 +147,7 @@
 def refusal_fields(
     request_id: str, refusal: verdict.Refusal
 ) -> dict[str, typing.Any]:
-    """Return the JSON error that a caller gets."""
+    """Return the JSON fields of the error answer to a caller."""
     return {
         'error': {
             'request_id': request_id,
--- a/dandeliongw/borders/calls.py
+++ b/dandeliongw/borders/calls.py
@@ -1,7 +1,7 @@
-"""What a caller's call must look like, and what is taken from it.
+"""Parses and validates the calls of callers.
 
-Pure checks: each failure names the field, what was given and what is
-allowed, as a :class:`BadCall`.
+Without I/O. Each error is a :class:`BadCall` whose message names the field,
+the given value and the allowed values.
 """
 
 from collections import abc
@@ -28,7 +28,7 @@
 
 
 class BadCall(Exception):
-    """A call that can't be understood; becomes a refusal."""
+    """An invalid call; it is answered with a refusal."""
 
     def __init__(
         self, message: str, reason: verdict.RefusalReason = _REASON.BAD_REQUEST
@@ -45,7 +45,7 @@
 
 
 class Completion(msgspec.Struct, frozen=True, kw_only=True):
-    """A checked completions call."""
+    """A validated completions call."""
 
     call: events.Call
     prompt: str
@@ -53,15 +53,15 @@
 
 
 def read_completion(body: bytes, headers: abc.Mapping[str, str]) -> Completion:
-    """Check an OpenAI-style completions call.
+    """Parse an OpenAI-style completions call.
 
-    :raises BadCall: naming the field, what was given and what is allowed.
+    :raises BadCall: for an invalid body or header.
     """
     fields = _read_object(body)
     prompt = fields.get('prompt')
     if not isinstance(prompt, str) or not prompt:
         raise BadCall(
-            f'prompt: given {_shown(prompt)}; must be a string that is not '
+            f'prompt: given {_as_json(prompt)}; must be a string that is not '
             'empty (lists and token numbers are not taken)'
         )
     if not _is_unicode(prompt):
@@ -70,23 +70,25 @@
     is_count = isinstance(max_tokens, int) and max_tokens is not True
     if not is_count or not 1 <= max_tokens <= MOST_MAX_TOKENS:
         raise BadCall(
-            f'max_tokens: given {_shown(max_tokens)}; must be a whole number '
+            f'max_tokens: given {_as_json(max_tokens)}; must be a whole number '
             f'from 1 to {MOST_MAX_TOKENS}'
         )
     stream = fields.get('stream', False)
     if not isinstance(stream, bool):
-        raise BadCall(f'stream: given {_shown(stream)}; must be true or false')
+        raise BadCall(
+            f'stream: given {_as_json(stream)}; must be true or false'
+        )
     model = fields.get('model')
     if not isinstance(model, str) or not _is_unicode(model):
         raise BadCall(
-            f'model: given {_shown(model)}; must be the name of a service'
+            f'model: given {_as_json(model)}; must be the name of a service'
         )
     call = events.Call(
         service=model,
         method='POST',
         path='/v1/completions',
         streamed=True,
-        key_sha256=_account_key(headers),
+        key_sha256=_account_key_digest(headers),
         idempotency_key=_idempotency_key(headers),
         digest=digest('POST', '/v1/completions', body),
         prompt_tokens=len(prompt.split()),
@@ -99,11 +101,11 @@
 
 
 class Target(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a call goes, by the request line.
+    """The target of a call, from the request line.
 
-    :param segments: of the path, decoded; the first three at most.
-    :param rest: what follows them, as it was sent, with the query.
-    :param path: ``rest`` without the query, decoded; for the routes.
+    :param segments: the first two segments of the path, decoded.
+    :param rest: the path after them, as it was sent, with the query.
+    :param path: ``rest`` without the query, decoded; routes match it.
     """
 
     segments: tuple[str, ...]
@@ -112,13 +114,14 @@
 
 
 def read_target(uri: str) -> Target:
-    """Take the request line's URI apart.
+    """Parse the URI of a request line.
 
-    The framework's own view of it has lost slashes at the end, doubled ones
-    and what was encoded. A plain service must get what its caller sent, and
-    the document's routes must mean the same path as the service does.
+    CherryPy's own path has lost trailing and doubled slashes and the percent
+    encoding. A plain service must get the path that its caller sent, and
+    the document's routes must match the same path that the service sees.
 
-    :raises BadCall: for paths that two readers may take for two.
+    :raises BadCall: for an ambiguous path, which two programs could resolve
+        differently.
     """
     if not _TARGET_PATTERN.fullmatch(uri):
         raise BadCall(
@@ -142,8 +145,8 @@
         path = urllib.parse.unquote(raw, errors='strict')
     except UnicodeDecodeError as error:
         raise BadCall(f'the path is not UTF-8: {raw[:80]!r}') from error
-    # A service that resolves ".." would run another call than the one whose
-    # route, idempotent or not, was looked up here.
+    # A service that resolves ".." would run a call of another route than the
+    # one that was matched here, which may differ in being idempotent.
     if {'.', '..'} & set(re.split(r'[/\\]', path)) or '%2f' in raw.lower():
         raise BadCall(
             f'the path is {path[:80]!r}; it must not have "." or ".." '
@@ -157,14 +160,17 @@
 def read_plain_call(
     target: Target, body: bytes, request: typing.Any
 ) -> tuple[events.Call, relay.Work]:
-    """Check a call for a plain service."""
+    """Parse a call for a plain service.
+
+    :raises BadCall: for an invalid header.
+    """
     headers = request.headers
     call = events.Call(
         service=target.segments[1],
         method=request.method,
         path=target.path,
         streamed=False,
-        key_sha256=_account_key(headers),
+        key_sha256=_account_key_digest(headers),
         idempotency_key=_idempotency_key(headers),
         digest=digest(request.method, target.rest, body),
         priority=headers.get('X-Priority'),
@@ -188,8 +194,8 @@
     return fields
 
 
-def _shown(value: typing.Any) -> str:
-    """Return a value as JSON, shortened."""
+def _as_json(value: typing.Any) -> str:
+    """Return a value as JSON, at most 80 characters of it."""
     return json.dumps(value)[:80]
 
 
@@ -201,7 +207,7 @@
     return True
 
 
-def _account_key(headers: abc.Mapping[str, str]) -> str:
+def _account_key_digest(headers: abc.Mapping[str, str]) -> str:
     value = headers.get('Authorization', '')
     scheme, _, key = value.partition(' ')
     if scheme.lower() != 'bearer' or not key:
@@ -235,10 +241,10 @@
 
 
 def digest(method: str, target: str, body: bytes) -> bytes:
-    """Return what tells two calls of one caller apart.
+    """Return the SHA-256 of a call; calls that differ have different ones.
 
     :param target: path and query, as they were sent.
     """
-    found = hashlib.sha256(f'{method} {target}\n'.encode())
-    found.update(body)
-    return found.digest()
+    hasher = hashlib.sha256(f'{method} {target}\n'.encode())
+    hasher.update(body)
+    return hasher.digest()
--- a/dandeliongw/borders/watch.py
+++ b/dandeliongw/borders/watch.py
@@ -1,12 +1,13 @@
-"""Notices callers who close their connections, also while no byte flows.
+"""Detects callers that disconnect, also while no data is sent.
 
-A thread that waits for a slot or for a prefill writes nothing to its caller
-and so can't learn from a failed write that nobody is there any more. One
-would notice slots and engine memory taken by answers that nobody will read.
-One thread polls the sockets of all requests in flight instead.
+A thread that waits for a slot or for a prefill sends nothing to its caller,
+so no write fails when the caller disconnects. Without detection, answers
+that nobody will read would take slots and engine memory. Therefore one
+thread polls the sockets of all requests in flight.
 
-A caller that only shuts down its sending side (half-closes) counts as gone:
-it can't be told from one that closed, and HTTP clients don't do it.
+A caller that only shuts down its sending side (half-close) is treated as
+disconnected: it can't be distinguished from one that closed its connection,
+and HTTP clients don't do it.
 """
 
 from collections import abc
@@ -16,28 +17,31 @@
 
 from loguru import logger
 
-#: Seconds between looks at a changed set of sockets.
+#: Seconds between two polls of the sockets.
 POLL_S = 0.1
-#: A caller that has gone is told of again in every so many looks.
-LOOKS_PER_TELLING = 10
-_GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+#: Number of polls after which the notification of a disconnected caller is
+#: repeated.
+POLLS_PER_NOTIFICATION = 10
+_DISCONNECTED = (
+    select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+)
 
 
 class Watch:
-    """Calls ``on_gone`` for each watched caller that has gone.
+    """Calls ``on_gone`` for each watched caller that has disconnected.
 
-    Once a second until the request is removed: told only once, the news of
-    a caller that leaves at once could come before the request itself, and
-    be lost.
+    The call is repeated once a second until the request is removed. A caller
+    that disconnects immediately could be reported before the request itself
+    arrives; with a single notification, its disconnection would be lost.
 
-    :param on_gone: gets the request id; called on the watch's thread.
+    :param on_gone: called with the request id, on the thread of this object.
     """
 
     def __init__(self, *, on_gone: abc.Callable[[str], None]) -> None:
         self._on_gone = on_gone
         self._lock = threading.Lock()
         self._sockets_by_id: dict[str, socket.socket] = {}
-        self._looks_by_gone: dict[str, int] = {}
+        self._polls_by_disconnected: dict[str, int] = {}
         self._stopped = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name='watch', daemon=True
@@ -47,10 +51,10 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop for good; sockets closed after this are no news.
+        """Stop permanently; sockets that close later are not reported.
 
-        A server that stops shuts its sockets down itself, which would look
-        as if every caller had left at once.
+        A server that stops shuts down its sockets itself, which would look
+        as if all callers had disconnected.
         """
         self._stopped.set()
         self._thread.join()
@@ -62,40 +66,45 @@
     def remove(self, request_id: str) -> None:
         with self._lock:
             self._sockets_by_id.pop(request_id, None)
-            self._looks_by_gone.pop(request_id, None)
+            self._polls_by_disconnected.pop(request_id, None)
 
-    def look(self) -> list[str]:
-        """Return the ids of callers that have gone and are to be told."""
+    def poll(self) -> list[str]:
+        """Return the requests whose disconnected callers are due to report.
+
+        :return: request ids.
+        """
         with self._lock:
             watched = dict(self._sockets_by_id)
         poller = select.poll()
         ids_by_fd: dict[int, str] = {}
-        gone = []
+        disconnected = []
         for request_id, caller in watched.items():
             fd = caller.fileno()
             if fd < 0:
-                gone.append(request_id)
+                disconnected.append(request_id)
                 continue
             ids_by_fd[fd] = request_id
             poller.register(fd, select.POLLRDHUP)
         for fd, mask in poller.poll(0):
-            if mask & _GONE:
-                gone.append(ids_by_fd[fd])
-        return [each for each in gone if self._is_due(each)]
+            if mask & _DISCONNECTED:
+                disconnected.append(ids_by_fd[fd])
+        return [each for each in disconnected if self._is_due(each)]
 
     def _is_due(self, request_id: str) -> bool:
         with self._lock:
             if request_id not in self._sockets_by_id:
                 return False
-            looks = self._looks_by_gone.get(request_id, 0)
-            self._looks_by_gone[request_id] = looks + 1
-            return looks % LOOKS_PER_TELLING == 0
+            polls = self._polls_by_disconnected.get(request_id, 0)
+            self._polls_by_disconnected[request_id] = polls + 1
+            return polls % POLLS_PER_NOTIFICATION == 0
 
     def _run(self) -> None:
         while not self._stopped.wait(POLL_S):
             try:
-                for request_id in self.look():
+                for request_id in self.poll():
                     self._on_gone(request_id)
             except Exception:
-                # Without this thread nobody would ever count as gone.
-                logger.exception('watching callers failed; going on')
+                # If this thread ended, no caller would be reported any more.
+                logger.exception(
+                    'checking for disconnected callers failed; continuing'
+                )
--- a/dandeliongw/borders/web.py
+++ b/dandeliongw/borders/web.py
@@ -1,7 +1,7 @@
-"""HTTP ports: cheroot's server, set up as this system needs it.
+"""HTTP ports: cheroot's server with stricter parsing, limits and threads.
 
-CherryPy's applications run on it; CherryPy's own global engine is not
-started, so that a process can hold several ports and tests several servers.
+CherryPy applications run on it without CherryPy's global engine, so that a
+process can have several ports and tests can run several servers.
 """
 
 from collections import abc
@@ -25,21 +25,22 @@
 from . import _headers
 from . import _workers
 
-#: Makes the CherryPy applications that ports serve.
+#: Creates the CherryPy applications that ports serve.
 make_application = _application.make_application
-#: Where a handler finds its caller's socket.
+#: Key of the caller's socket in the WSGI environment.
 SOCKET_KEY = 'dandeliongw.socket'
-#: Where it finds the server's own view of the call, to end the connection.
+#: Key of cheroot's request in the WSGI environment; a handler needs it to
+#: close the connection.
 REQUEST_KEY = 'dandeliongw.request'
-#: Tells what callers may send at present, and how slowly.
+#: Returns the current limits on the size and the duration of requests.
 ReadLimits = abc.Callable[[], hosts.BorderLimits]
 
 
 class _SocketGateway(cheroot.wsgi.Gateway_10):
-    """Hands the connection's socket to the application.
+    """Adds the connection's socket and request to the WSGI environment.
 
-    HTTP frameworks hide it, but only the socket tells, while no byte
-    flows, that a caller has gone.
+    HTTP frameworks hide the socket, but while no data is sent only the
+    socket shows that a caller has disconnected.
     """
 
     def get_environ(self) -> dict[str, typing.Any]:
@@ -50,22 +51,23 @@
 
 
 class _Request(cheroot.server.HTTPRequest):
-    """Refuses doubtful calls, and says so on a connection that it ends."""
+    """Refuses ambiguous requests and closes their connections."""
 
     header_reader = _headers.StrictHeaderReader()
 
     def parse_request(self) -> None:
-        # A new connection may stay idle before its first call, too.
+        # Waits for the first byte within the idle timeout: the timeout of the
+        # headers must not count the idle time of a new connection.
         self.conn.rfile.peek(1)
         limits = self.server.apply_limits()
         with self.conn.reads.ending_in(limits.header_timeout_s):
             super().parse_request()
 
     def simple_response(self, status: str, msg: str = '') -> None:
-        """Answer a call that no application gets to see.
+        """Answer a request that is refused before the application gets it.
 
-        The library closes the connection without a word of it; a caller
-        that sends its next call over it could not tell whether it ran.
+        Cheroot closes the connection without ``Connection: close``. A caller
+        that sends its next call over it could not know whether that ran.
         """
         body = msg.encode('latin-1', 'replace')
         head = (
@@ -101,9 +103,9 @@
     read_limits: ReadLimits = hosts.BorderLimits
 
     def apply_limits(self) -> hosts.BorderLimits:
-        """Take over the limits in force; a document may have changed them.
+        """Apply the current limits; a new document may have changed them.
 
-        :return: those that the library has no place for, too.
+        :return: all limits, also those that cheroot has no setting for.
         """
         limits = self.read_limits()
         self.max_request_header_size = limits.max_header_bytes
@@ -119,13 +121,13 @@
 
 
 class Port:
-    """One HTTP port: bound first, serving later.
+    """One HTTP port, which is bound before it serves.
 
-    Between the two its number is known, also when the system chose it, and
-    can be told to others before the first call is taken.
+    Once it is bound its number is known, also if the system chose it, and
+    can be announced to other instances before the first call is accepted.
 
-    :param field: the settings' field, for the message of a port in use.
-    :param shutdown_s: seconds that a stop waits for handlers.
+    :param field: the settings' field, for the error of a port in use.
+    :param shutdown_s: seconds that a stop waits for running handlers.
     """
 
     def __init__(
@@ -142,14 +144,16 @@
             None,
             request_queue_size=listen.queue,
             timeout=hosts.BorderLimits().idle_timeout_s,
-            # At its end cheroot shuts down the reading side of connections
-            # that are still busy, which looks as if their callers had left.
-            # The server waits for its requests before it stops; this is
-            # only a bound.
+            # When it stops, cheroot shuts down the reading side of busy
+            # connections, which looks like disconnected callers. The instance
+            # waits for its requests before it stops the port; this timeout is
+            # only an upper bound.
             shutdown_timeout=shutdown_s,
         )
         self._server.requests = _workers.WorkerPool(
-            server=self._server, most=listen.threads, queued=listen.queue
+            server=self._server,
+            max_threads=listen.threads,
+            max_queued=listen.queue,
         )
         self._server.gateway = _SocketGateway
         self._thread = threading.Thread(
@@ -158,13 +162,13 @@
 
     @property
     def number(self) -> int:
-        """The port number that callers connect to."""
+        """The port number that clients connect to."""
         return self._server.bind_addr[1]
 
     def bind(self) -> None:
-        """Take the address.
+        """Bind the address.
 
-        :raises PortInUse: naming the settings' field.
+        :raises PortInUse: if that fails; names the settings' field.
         """
         try:
             self._server.prepare()
@@ -178,9 +182,10 @@
         application: abc.Callable,
         read_limits: ReadLimits = hosts.BorderLimits,
     ) -> None:
-        """Answer with a WSGI application, in threads.
+        """Start to serve a WSGI application in threads.
 
-        :param read_limits: asked at each call; without it the defaults hold.
+        :param read_limits: called for each request; by default, returns the
+            default limits.
         """
         self._server.wsgi_app = application
         self._server.read_limits = read_limits
@@ -196,7 +201,7 @@
 def bound(
     listen: settings_module.Listen, field: str, shutdown_s: float
 ) -> abc.Iterator[Port]:
-    """Hold a port while the context lasts."""
+    """Bind a port, and close it at the end of the context."""
     port = Port(listen=listen, field=field, shutdown_s=shutdown_s)
     port.bind()
     try:
@@ -206,15 +211,15 @@
 
 
 def close_connection() -> None:
-    """Let no other call come over the connection of the present one."""
+    """Close the connection after the answer to the current request."""
     cherrypy.response.headers['Connection'] = 'close'
-    carried = cherrypy.request.wsgi_environ.get(REQUEST_KEY)
-    if carried is not None:
-        carried.close_connection = True
+    request = cherrypy.request.wsgi_environ.get(REQUEST_KEY)
+    if request is not None:
+        request.close_connection = True
 
 
 def quiet_cherrypy() -> None:
-    """Keep CherryPy from writing lines of its own beside the JSON ones."""
+    """Disable CherryPy's own log output, which isn't JSON."""
     cherrypy.log.screen = False
     cherrypy.log.access_log.propagate = False
     cherrypy.log.error_log.propagate = False
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Callers who leave while no byte flows."""
+"""Callers that disconnect while no data is sent."""
 
 import contextlib
 import socket
@@ -15,7 +15,7 @@
 
 @contextlib.contextmanager
 def connected():
-    """Give both ends of a TCP connection."""
+    """Yield both ends of a TCP connection."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         caller = socket.create_connection(listener.getsockname())
         ours, _ = listener.accept()
@@ -23,7 +23,7 @@
         yield caller, ours
 
 
-def _leave(caller, how):
+def _disconnect(caller, how):
     if how == 'reset':
         linger = struct.pack('ii', 1, 0)
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -33,75 +33,77 @@
         caller.close()
 
 
-class Watching(unittest.TestCase):
+class WatchTest(unittest.TestCase):
     @params('close', 'reset', 'half')
-    def test_a_caller_that_left_is_told(self, how):
-        """Symptom: a slot waits for a caller who is not there.
+    def test_disconnected_caller_is_reported(self, how):
+        """A disconnected caller must not keep a slot.
 
-        Sequence: the caller closes, resets or half-closes in the queue.
-        Cause: nothing is written that could fail.
+        The caller closes, resets or half-closes its connection while its
+        call is queued; nothing is written then that could fail.
         """
-        told = []
-        gone = threading.Event()
+        reported = []
+        disconnected = threading.Event()
 
-        def note(request_id):
-            told.append(request_id)
-            gone.set()
+        def report(request_id):
+            reported.append(request_id)
+            disconnected.set()
 
-        watching = watch.Watch(on_gone=note)
+        watching = watch.Watch(on_gone=report)
         watching.start()
         with connected() as (caller, ours):
             watching.add('r', ours)
-            _leave(caller, how)
-            self.assertTrue(gone.wait(TIMEOUT_S))
+            _disconnect(caller, how)
+            self.assertTrue(disconnected.wait(TIMEOUT_S))
         watching.stop()
-        self.assertEqual(set(told), {'r'})
+        self.assertEqual(set(reported), {'r'})
 
-    def test_news_that_came_too_early_is_told_again(self):
-        """Symptom: a request runs to its end for a caller who left at once.
+    def test_report_is_repeated_until_the_request_is_removed(self):
+        """The first report may come before the request itself arrives.
 
-        Sequence: watched; gone; told, before the request itself is known.
-        Cause: each caller's leaving would be told once.
+        It would have no effect then, and the request of a caller that
+        disconnected immediately would run to its end.
         """
         watching = watch.Watch(on_gone=lambda request_id: None)
         with connected() as (caller, ours):
             watching.add('r', ours)
             caller.close()
-            looks = []
-            while not looks:
-                # The news of a close takes its time, also on one machine.
-                looks = watching.look()
-            again = [watching.look() for _ in range(watch.LOOKS_PER_TELLING)]
+            first = []
+            while not first:
+                # A close takes time to arrive, also on one machine.
+                first = watching.poll()
+            again = [
+                watching.poll() for _ in range(watch.POLLS_PER_NOTIFICATION)
+            ]
             self.assertEqual(again, [[]] * (len(again) - 1) + [['r']])
             watching.remove('r')
-            more = [watching.look() for _ in range(len(again))]
+            more = [watching.poll() for _ in range(len(again))]
         self.assertEqual(more, [[]] * len(again))
 
-    def test_callers_that_wait_or_send_more_have_not_gone(self):
+    def test_caller_that_sends_more_is_not_reported(self):
         watching = watch.Watch(on_gone=lambda request_id: None)
         with connected() as (caller, ours):
             watching.add('r', ours)
             caller.sendall(b'GET / HTTP/1.1')
-            self.assertEqual(watching.look(), [])
+            self.assertEqual(watching.poll(), [])
 
-    def test_a_socket_that_we_closed_counts_as_gone(self):
+    def test_locally_closed_socket_counts_as_disconnected(self):
         watching = watch.Watch(on_gone=lambda request_id: None)
         with connected() as (_, ours):
             watching.add('r', ours)
             ours.close()
-            self.assertEqual(watching.look(), ['r'])
+            self.assertEqual(watching.poll(), ['r'])
 
-    def test_nothing_is_told_after_the_stop(self):
-        """Symptom: at a shutdown every caller seems to leave at once.
+    def test_nothing_is_reported_after_the_stop(self):
+        """At shutdown no caller must be reported as disconnected.
 
-        Sequence: the server ends its sockets; the watch sees them end.
-        Cause: both look the same from here.
+        The server shuts down its sockets then, which looks the same as
+        callers that disconnect.
         """
-        told = []
-        watching = watch.Watch(on_gone=told.append)
+        reported = []
+        watching = watch.Watch(on_gone=reported.append)
         watching.start()
         with connected() as (_, ours):
             watching.add('r', ours)
             watching.stop()
             ours.shutdown(socket.SHUT_RD)
-        self.assertEqual(told, [])
+        self.assertEqual(reported, [])
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""An HTTP port that has all it can take answers at once."""
+"""Queue, limits and threads of an HTTP port."""
 
 import http.client
 import socket
@@ -16,7 +16,7 @@
 
 
 class HeldApplication:
-    """Answers no call before ``may_answer`` is set."""
+    """Blocks each call until ``may_answer`` is set."""
 
     def __init__(self):
         self.entered = threading.Semaphore(0)
@@ -46,19 +46,20 @@
         connection.request('GET', '/')
         return connection
 
-    def test_a_full_queue_is_answered_without_a_wait(self):
-        """Symptom: every connection of a busy port stands still at times.
+    def test_connection_over_a_full_queue_gets_503_at_once(self):
+        """The accept loop must not wait for space in the queue.
 
-        Sequence: all threads are busy and the queue is full; one more
-        connection comes, and others send their next call.
-        Cause: the one thread that accepts and reads waits for room.
+        It also polls persistent connections; with all threads busy and the
+        queue full, the next connection would stall all others.
         """
         busy = self.call()
         self.application.entered.acquire(timeout=TIMEOUT_S)
         queued = self.call()
         local.wait_until('the second call is queued', self.queue.full)
-        room = self.queue.not_full
-        with mock.patch.object(room, 'wait', wraps=room.wait) as waited:
+        not_full = self.queue.not_full
+        with mock.patch.object(
+            not_full, 'wait', wraps=not_full.wait
+        ) as waited:
             self.assertEqual(503, self.call().getresponse().status)
         waited.assert_not_called()
         self.application.may_answer.set()
@@ -67,7 +68,7 @@
 
 
 class LimitsTest(unittest.TestCase):
-    """Callers are held to the limits of the document in force."""
+    """The limits of the current document apply to callers."""
 
     def setUp(self):
         self.limits = hosts.BorderLimits()
@@ -75,7 +76,8 @@
         self.port = self.enterContext(web.bound(listen, 'callers', 1.0))
         application = HeldApplication()
         application.may_answer.set()
-        # Else the library's own time-out would pass for the document's.
+        # Otherwise cheroot's own timeout could end the connection, not the
+        # document's.
         self.port._server.timeout = 10 * TIMEOUT_S
         self.port.serve(application, lambda: self.limits)
 
@@ -89,7 +91,7 @@
         with caller.makefile('rb') as answer:
             return answer.readline()
 
-    def test_headers_that_are_too_long_are_refused(self):
+    def test_headers_over_the_limit_are_refused(self):
         sent = b'GET / HTTP/1.1\r\nHost: a\r\nX-A: %s\r\n\r\n' % (b'x' * 500)
         caller = self.connect()
         caller.sendall(sent)
@@ -99,11 +101,11 @@
         caller.sendall(sent)
         self.assertIn(b'413', self.first_line(caller))
 
-    def test_headers_that_do_not_end_are_not_waited_for(self):
-        """Symptom: all threads of a port are busy, nearly no calls come.
+    def test_incomplete_headers_time_out(self):
+        """Callers must not block threads by sending incomplete headers.
 
-        Sequence: a caller sends part of a call's headers, and no more.
-        Cause: only the time-out of an idle connection held for it.
+        With only the idle timeout, such callers could keep all threads of a
+        port busy for long.
         """
         self.limits = hosts.BorderLimits(
             header_timeout_s=0.01, idle_timeout_s=10 * TIMEOUT_S
@@ -112,7 +114,7 @@
         caller.sendall(b'GET / HTTP/1.1\r\nHost: ')
         self.assertIn(b'408', self.first_line(caller))
 
-    def test_a_kept_connection_is_closed_when_it_was_idle_for_long(self):
+    def test_persistent_connection_is_closed_after_the_idle_timeout(self):
         self.limits = hosts.BorderLimits(idle_timeout_s=0.01)
         caller = self.connect()
         caller.sendall(b'GET / HTTP/1.1\r\nHost: a\r\n\r\n')
@@ -121,13 +123,16 @@
 
 
 class ThreadsTest(unittest.TestCase):
-    """A port has as many threads as it has work for."""
+    """The number of threads follows the load."""
 
-    MOST = 5
+    MAX_THREADS = 5
 
     def setUp(self):
         listen = settings.Listen(
-            host='127.0.0.1', port=0, threads=self.MOST, queue=self.MOST
+            host='127.0.0.1',
+            port=0,
+            threads=self.MAX_THREADS,
+            queue=self.MAX_THREADS,
         )
         self.port = self.enterContext(web.bound(listen, 'callers', 1.0))
         self.application = HeldApplication()
@@ -146,54 +151,53 @@
         return connection
 
     def hold(self, count):
-        """Let some calls be in hand at one time."""
+        """Start calls and wait until the application has all of them."""
         calls = [self.call() for _ in range(count)]
         for _ in calls:
             self.assertTrue(self.application.entered.acquire(timeout=60))
         return calls
 
-    def test_an_idle_port_has_few_threads(self):
-        """Symptom: two hundred idle instances fill a machine's memory.
+    def test_idle_port_has_the_minimum_of_threads(self):
+        """Idle instances must not start their maximum number of threads.
 
-        Sequence: they start, and no call comes.
-        Cause: a port starts all threads that it may ever need.
+        Without this, two hundred idle instances fill a machine's memory.
         """
         self.serve()
-        self.assertEqual(_workers.FEWEST, self.pool.size)
+        self.assertEqual(_workers.MIN_THREADS, self.pool.size)
 
-    def test_threads_come_with_the_calls_up_to_the_bound(self):
+    def test_threads_are_started_up_to_the_maximum(self):
         self.serve()
-        calls = self.hold(self.MOST)
-        self.assertEqual(self.MOST, self.pool.size)
+        calls = self.hold(self.MAX_THREADS)
+        self.assertEqual(self.MAX_THREADS, self.pool.size)
         calls.append(self.call())
         local.wait_until('one more call waits', lambda: self.pool.qsize == 1)
-        self.assertEqual(self.MOST, self.pool.size)
+        self.assertEqual(self.MAX_THREADS, self.pool.size)
         self.application.may_answer.set()
         for connection in calls:
             self.assertEqual(200, connection.getresponse().status)
 
-    def test_a_thread_is_used_again(self):
+    def test_idle_thread_is_reused(self):
         self.serve()
         self.application.may_answer.set()
-        for _ in range(3 * self.MOST):
+        for _ in range(3 * self.MAX_THREADS):
             self.assertEqual(200, self.call().getresponse().status)
             local.wait_until(
                 'all threads are idle',
                 lambda: self.pool.idle == self.pool.size,
             )
-        self.assertEqual(_workers.FEWEST, self.pool.size)
+        self.assertEqual(_workers.MIN_THREADS, self.pool.size)
 
-    def test_threads_that_stay_idle_end(self):
-        with mock.patch.object(_workers, 'LINGER_S', 0.01):
+    def test_idle_threads_end(self):
+        with mock.patch.object(_workers, 'IDLE_TIMEOUT_S', 0.01):
             self.serve()
-            calls = self.hold(self.MOST)
+            calls = self.hold(self.MAX_THREADS)
             self.application.may_answer.set()
             for connection in calls:
                 self.assertEqual(200, connection.getresponse().status)
             local.wait_until(
                 'the threads have ended',
-                lambda: self.pool.size == _workers.FEWEST,
+                lambda: self.pool.size == _workers.MIN_THREADS,
             )
             statistics = self.port._server.stats['Worker Threads']
-            self.assertLessEqual(len(statistics), _workers.FEWEST)
+            self.assertLessEqual(len(statistics), _workers.MIN_THREADS)
             self.assertEqual(200, self.call().getresponse().status)
