--- a/dandeliongw/borders/__init__.py
+++ b/dandeliongw/borders/__init__.py
@@ -1,1 +1,1 @@
-"""What callers, backend servers and operators talk to, over HTTP."""
+"""HTTP front ends for callers, backend servers and operators."""
--- a/dandeliongw/borders/_application.py
+++ b/dandeliongw/borders/_application.py
@@ -1,4 +1,4 @@
-"""A CherryPy application that leaks nothing and logs as all else does."""
+"""CherryPy applications that log as JSON and hide internal errors."""
 
 import logging
 import typing
@@ -8,8 +8,8 @@
 
 _COMMON = {
     'request.show_tracebacks': False,
-    # CherryPy would log the headers of a failed request, and with them the
-    # token, key or cookie of whoever asked.
+    # Without this, CherryPy would log the headers of a failed request, and
+    # with them the client's token, key or cookie.
     'tools.log_headers.on': False,
 }
 
@@ -17,26 +17,27 @@
 def make_application(
     root: typing.Any, configuration: dict[str, dict[str, typing.Any]]
 ) -> cherrypy.Application:
-    """Return an application that is mounted nowhere.
+    """Return an application that isn't mounted.
 
-    Faults inside a handler go to the JSON log with their traceback; the
-    client gets none of it. Nothing global in CherryPy is changed.
+    Errors inside a handler are written to the JSON log with a traceback,
+    which the client doesn't get. CherryPy's global state is unchanged.
 
-    :param configuration: CherryPy's, by path; goes before the common one.
+    :param configuration: CherryPy's configuration by path; it overrides the
+        common one.
     """
     application = cherrypy.Application(root, script_name='')
     application.merge({'/': _COMMON})
     application.merge(configuration)
     application.log.error_log.propagate = False
     application.log.error_log.handlers = [_LoguruHandler()]
-    # Access lines hold whatever the client sent, and are no JSON.
+    # Access log lines contain unchecked client input and aren't JSON.
     application.log.access_log.propagate = False
     application.log.access_log.handlers = [logging.NullHandler()]
     return application
 
 
 class _LoguruHandler(logging.Handler):
-    """Hands CherryPy's error log on."""
+    """Forwards CherryPy's error log to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
         is_error = record.levelno >= logging.ERROR
--- a/dandeliongw/borders/_browser.py
+++ b/dandeliongw/borders/_browser.py
@@ -1,4 +1,4 @@
-"""What a browser sends to the console, and what it is told."""
+"""HTTP of the console: headers, cookies, redirects and posted values."""
 
 import html
 import re
@@ -19,30 +19,37 @@
 HEADERS = {
     'Content-Type': 'text/html;charset=utf-8',
     'Cache-Control': 'no-store',
-    # Even if text of a user's got out as markup, no script would run.
+    # No script runs, even if a user's text was inserted as markup.
     'Content-Security-Policy': (
         "default-src 'none'; style-src 'self'; form-action 'self'; "
         "frame-ancestors 'none'; base-uri 'none'"
     ),
     'X-Content-Type-Options': 'nosniff',
     'X-Frame-Options': 'DENY',
-    # With no-referrer, browsers would send our own forms with Origin: null.
+    # With no-referrer, browsers would send the console's own forms with
+    # Origin: null.
     'Referrer-Policy': 'same-origin',
 }
 
 
 def allow(*methods: str) -> None:
-    """Refuse other HTTP methods."""
+    """Refuse other HTTP methods.
+
+    :raises cherrypy.HTTPError: with status 405.
+    """
     if cherrypy.request.method not in methods:
         cherrypy.response.headers['Allow'] = ', '.join(methods)
         raise cherrypy.HTTPError(405)
 
 
 def check_origin() -> None:
-    """Refuse a form that another site made a browser send.
+    """Refuse a form that another site made the browser send.
 
-    The cookie isn't sent then (SameSite) and the form's token is missing;
-    this also keeps others from signing somebody in under their own name.
+    The cookie isn't sent then (SameSite) and the form token is missing. This
+    check also protects the sign-in form, which has neither: another site
+    can't sign a user in under an account of its choice.
+
+    :raises cherrypy.HTTPError: with status 403.
     """
     headers = cherrypy.request.headers
     origin = headers.get('Origin')
@@ -53,13 +60,13 @@
 
 
 def cookie() -> str:
-    """Return the session's cookie; empty if there is none."""
+    """Return the session cookie; empty if there is none."""
     found = cherrypy.request.cookie.get(sessions.COOKIE_NAME)
     return found.value if found is not None else ''
 
 
 def set_cookie(value: str, lifetime_s: int) -> None:
-    """Give the browser a cookie; a lifetime of 0 takes it away."""
+    """Set the session cookie; a lifetime of 0 deletes it."""
     cookies = cherrypy.response.cookie
     cookies[sessions.COOKIE_NAME] = value
     morsel = cookies[sessions.COOKIE_NAME]
@@ -70,15 +77,18 @@
 
 
 def see_other(path: str, **query: typing.Any) -> cherrypy.HTTPRedirect:
-    """Lead on by GET, so that reloading a page sends no form again."""
+    """Return a redirect by GET, so that a reload sends no form again."""
     url = f'{layout.ROOT}/{path}'
     if query:
         url += '?' + urllib.parse.urlencode(query)
     return cherrypy.HTTPRedirect(url, status=303)
 
 
-def section(form: forms.Form, field: str = 'section') -> str:
-    """Return the section that a form or link names."""
+def read_section(form: forms.Form, field: str = 'section') -> str:
+    """Return the name of the section in a form or link.
+
+    :raises cherrypy.HTTPError: with status 404 for an unknown section.
+    """
     name = forms.text(form, field)
     if name not in differences.SECTIONS:
         raise cherrypy.HTTPError(404, 'There is no such section.')
@@ -86,7 +96,11 @@
 
 
 def read_document(form: forms.Form) -> documents.Document:
-    """Return the document that a form holds."""
+    """Return the document in a form.
+
+    :raises cherrypy.HTTPError: with status 400, as the functions below do,
+        for an invalid value.
+    """
     body = forms.text(form, 'document').encode()
     try:
         return documents.parse_document(body)
@@ -95,7 +109,7 @@
 
 
 def read_change_id(form: forms.Form) -> str:
-    """Return the change id that a form holds."""
+    """Return the change id in a form."""
     given = forms.text(form, 'change_id')
     if not changes.is_change_id(given):
         raise cherrypy.HTTPError(400, 'change_id: give that of the form.')
@@ -103,7 +117,7 @@
 
 
 def read_call(form: forms.Form) -> str:
-    """Return the fingerprint of a call that a form holds."""
+    """Return the fingerprint of a call in a form."""
     given = forms.text(form, 'call')
     if not re.fullmatch(controls.CALL_PATTERN, given):
         raise cherrypy.HTTPError(400, 'call: give that of the form.')
@@ -111,19 +125,19 @@
 
 
 def read_reason(form: forms.Form) -> str:
-    """Return why something is asked for."""
+    """Return the reason that the operator gave for a request."""
     given = forms.text(form, 'reason')
-    if not 0 < len(given) <= controls.MOST_REASON_CHARACTERS:
+    if not 0 < len(given) <= controls.MAX_REASON_CHARACTERS:
         raise cherrypy.HTTPError(
             400,
             f'reason: {len(given)} characters given; must be 1 to '
-            f'{controls.MOST_REASON_CHARACTERS}.',
+            f'{controls.MAX_REASON_CHARACTERS}.',
         )
     return given
 
 
 def read_revision(form: forms.Form, field: str = 'expected_revision') -> int:
-    """Return the revision that a form or link holds."""
+    """Return the revision number in a form or link."""
     given = forms.text(form, field)
     if not given.isascii() or not given.isdigit() or len(given) > 18:
         raise cherrypy.HTTPError(400, f'{field}: give a revision number.')
@@ -133,11 +147,12 @@
 def error_page(
     status: str, message: str, traceback: str, version: str
 ) -> bytes:
-    """Show an error as a page, without anything of the inside."""
+    """Return an error as a page, without internal details."""
     cherrypy.response.headers.update(HEADERS)
     return layout.page(
         status,
-        # CherryPy escapes it for its own template; pages escape it again.
+        # CherryPy escapes the message for its own template; without this it
+        # would be escaped twice.
         layout.paragraph(html.unescape(message)),
         layout.paragraph(layout.link('', 'To the console')),
     )
--- a/dandeliongw/borders/_console_base.py
+++ b/dandeliongw/borders/_console_base.py
@@ -1,4 +1,4 @@
-"""What all pages of the console share: sessions, drafts and the frame."""
+"""Base of the console's pages: sessions, drafts and the page layout."""
 
 from collections import abc
 import functools
@@ -23,14 +23,14 @@
 
 
 class SignedIn(msgspec.Struct, frozen=True, kw_only=True):
-    """Who asks, and the token that this session's forms carry."""
+    """The signed-in operator, and the form token of the session."""
 
     operator: str
     form_token: str
 
 
 def page(handler: Handler) -> Handler:
-    """Show a page to an operator who is signed in."""
+    """Decorate a handler of a page, which requires a signed-in operator."""
 
     @functools.wraps(handler)
     def show(self: 'Pages', **form: typing.Any) -> bytes:
@@ -44,7 +44,10 @@
 
 
 def action(handler: Handler) -> Handler:
-    """Do what a form asks, if one of our pages sent it."""
+    """Decorate a handler of a posted form.
+
+    The form must come from one of the console's pages, of this session.
+    """
 
     @functools.wraps(handler)
     def act(self: 'Pages', **form: typing.Any) -> bytes:
@@ -64,7 +67,7 @@
 class Pages:
     """The base of the console's pages.
 
-    :param clock: seconds since the epoch, for sessions.
+    :param clock: returns seconds since the Unix epoch, for sessions.
     """
 
     def __init__(
@@ -97,8 +100,11 @@
             raise cherrypy.HTTPError(503, current.message)
         return current
 
-    def _shown(self, who: SignedIn) -> tuple[int, differences.Tree]:
-        """Return what is edited, and the revision that it began from."""
+    def _edited_document(self, who: SignedIn) -> tuple[int, differences.Tree]:
+        """Return the draft, or else the current document.
+
+        :return: the revision on which it is based, and the document.
+        """
         draft = self._drafts.find(who.operator)
         if draft is not None:
             return draft.base.revision, draft.tree
@@ -107,7 +113,7 @@
 
 
 def show(who: SignedIn, title: str, *content: typing.Any) -> bytes:
-    """Return a page with the navigation."""
+    """Return a page with the navigation for signed-in operators."""
     cherrypy.response.headers.update(_browser.HEADERS)
     return layout.page(
         title, *content, operator=who.operator, form_token=who.form_token
--- a/dandeliongw/borders/_console_editing.py
+++ b/dandeliongw/borders/_console_editing.py
@@ -1,4 +1,4 @@
-"""The console's pages on which the document is changed."""
+"""The console's pages for editing the document."""
 
 from collections import abc
 import json
@@ -25,29 +25,29 @@
 
 
 class EditingPages(_console_base.Pages):
-    """Sections, items, the draft, and what came of a change."""
+    """Pages for sections, items, the draft, and the result of a change."""
 
     @cherrypy.expose
     @page
     def section(self, who: SignedIn, form: forms.Form) -> bytes:
         """Show one section of the draft, or of the current document."""
-        name = _browser.section(form, 'name')
-        revision, tree = self._shown(who)
+        name = _browser.read_section(form, 'name')
+        revision, tree = self._edited_document(who)
         content = editing.section(name, revision, tree, who.form_token)
         draft = self._drafts.find(who.operator)
         return show(who, name.capitalize(), editing.pending(draft), content)
 
     @cherrypy.expose
     def item(self, **form: typing.Any) -> bytes:
-        """Show one item's form, or put what it holds into the draft."""
+        """Show the form of an item, or store the posted item in the draft."""
         if cherrypy.request.method == 'POST':
             return self._put_item(**form)
         return self._show_item(**form)
 
     @page
     def _show_item(self, who: SignedIn, form: forms.Form) -> bytes:
-        name, key = _browser.section(form), forms.text(form, 'key')
-        _, tree = self._shown(who)
+        name, key = _browser.read_section(form), forms.text(form, 'key')
+        _, tree = self._edited_document(who)
         items = differences.items_by_key(tree, name)
         if key and key not in items:
             raise cherrypy.HTTPError(404, 'There is no such item any more.')
@@ -55,11 +55,11 @@
 
     @action
     def _put_item(self, who: SignedIn, form: forms.Form) -> bytes:
-        name, key = _browser.section(form), forms.text(form, 'key')
-        _, tree = self._shown(who)
+        name, key = _browser.read_section(form), forms.text(form, 'key')
+        _, tree = self._edited_document(who)
         value = forms.read_item(forms.fields_of(name, tree), form)
         problems = forms.check_item(name, value)
-        problems = problems or _taken(tree, name, key, value)
+        problems = problems or _check_unique(tree, name, key, value)
         if problems:
             cherrypy.response.status = 400
             return self._item_form(who, name, key, value, problems)
@@ -68,35 +68,35 @@
     @cherrypy.expose
     @action
     def remove(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Take one item out of the draft."""
-        name, key = _browser.section(form), forms.text(form, 'key')
+        """Remove an item from the draft."""
+        name, key = _browser.read_section(form), forms.text(form, 'key')
         return self._replace(who, form, name, key, None)
 
     @cherrypy.expose
     @page
     def draft(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Show what the draft changes, and the form that applies it."""
+        """Show the changes of the draft, and the form that applies it."""
         return self._review(who)
 
     @cherrypy.expose
     @action
     def discard(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Drop the draft."""
+        """Delete the draft."""
         self._drafts.discard(who.operator)
         raise _browser.see_other('draft')
 
     @cherrypy.expose
     @action
     def carry_over(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Make the draft's changes again in the current document."""
-        found = self._drafts.carry_over(who.operator, self._current())
-        notes = editing.left_out(found) if found else []
+        """Rebase the draft on the current document."""
+        left_out = self._drafts.carry_over(who.operator, self._current())
+        notes = editing.left_out(left_out) if left_out else []
         return self._review(who, *notes)
 
     @cherrypy.expose
     @action
     def apply(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Propose the document that the form holds."""
+        """Propose the document in the form."""
         document = _browser.read_document(form)
         change_id = _browser.read_change_id(form)
         revision = _browser.read_revision(form)
@@ -112,26 +112,26 @@
             raise _browser.see_other('accepted', revision=result.revision)
         if isinstance(result, controls.Unavailable):
             cherrypy.response.status = 503
-            again = _apply_form(
+            retry_form = _apply_form(
                 who, document, change_id, revision, 'Send the change again'
             )
-            told = editing.not_known(result.message, again)
-            return show(who, 'Not known yet', told)
+            content = editing.unknown_result(result.message, retry_form)
+            return show(who, 'Result unknown', content)
         cherrypy.response.status = 409
         if isinstance(result, controls.ChangeIdReused):
-            told = editing.change_id_reused(result.change_id)
-            return show(who, 'Not applied', told)
+            alert = editing.change_id_reused(result.change_id)
+            return show(who, 'Not applied', alert)
         return self._explain_conflict(who, document, result.current)
 
     @cherrypy.expose
     @page
     def accepted(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Tell how far an accepted change has come."""
+        """Show the progress of an accepted change."""
         revision = _browser.read_revision(form, 'revision')
-        found = status_pages.in_force(self._control.in_force(revision))
-        link = layout.link(f'accepted?revision={revision}', 'Look again')
+        progress = status_pages.in_force(self._control.in_force(revision))
+        link = layout.link(f'accepted?revision={revision}', 'Reload')
         title = f'Revision {revision} is accepted'
-        return show(who, title, found, layout.paragraph(link))
+        return show(who, title, progress, layout.paragraph(link))
 
     def _replace(
         self,
@@ -141,19 +141,22 @@
         key: str,
         value: differences.Item | None,
     ) -> bytes:
-        """Put an item into the draft, or take it out.
+        """Replace an item of the draft, or remove it.
 
-        The page may be older than the document. Taking its item into a
-        draft of a newer revision would undo what somebody else has changed
-        in that item since, and show it as this operator's own change.
+        The page may be older than the document. Putting its item into a
+        draft of a newer revision would revert the changes that others have
+        made to the item since, and show this as the operator's own change.
+
+        :param key: the item's key; empty for a new item.
+        :param value: the new item, or ``None`` to remove it.
         """
-        was_put = self._drafts.edit(
+        was_edited = self._drafts.edit(
             who.operator,
             self._current(),
             _browser.read_revision(form, 'revision'),
             lambda tree: differences.replace(tree, name, key, value),
         )
-        if was_put:
+        if was_edited:
             raise _browser.see_other('section', name=name)
         cherrypy.response.status = 409
         return show(who, 'The page is out of date', editing.out_of_date(name))
@@ -166,7 +169,7 @@
         value: differences.Item,
         problems: abc.Sequence[exceptions.Problem],
     ) -> bytes:
-        revision, tree = self._shown(who)
+        revision, tree = self._edited_document(who)
         content = editing.item(
             name=name,
             key=key,
@@ -182,11 +185,11 @@
         title = 'Review and apply'
         draft = self._drafts.find(who.operator)
         if draft is None or not draft.differences():
-            nothing = layout.paragraph('There are no changes.')
-            return show(who, title, *notes, nothing)
+            no_changes = layout.paragraph('There are no changes.')
+            return show(who, title, *notes, no_changes)
         current = self._current()
         if current.revision != draft.base.revision:
-            notes = (*notes, _overtaken(who, draft, current))
+            notes = (*notes, _outdated(who, draft, current))
             apply = None
         else:
             apply = _apply_or_problems(who, draft)
@@ -202,8 +205,8 @@
         title = 'Another change came first'
         draft = self._drafts.find(who.operator)
         if draft is not None and draft.base.revision != current.revision:
-            return show(who, title, _overtaken(who, draft, current))
-        # Nothing tells any more what the change was made from.
+            return show(who, title, _outdated(who, draft, current))
+        # Without the draft, the base of the change is unknown.
         found = differences.find(
             json.loads(current.document),
             json.loads(documents.document_bytes(document)),
@@ -211,11 +214,11 @@
         return show(who, title, editing.conflict(current, found))
 
 
-def _overtaken(
+def _outdated(
     who: SignedIn, draft: drafts.Draft, current: controls.Configuration
 ) -> typing.Any:
     tree = json.loads(current.document)
-    return editing.overtaken(draft, current, tree, who.form_token)
+    return editing.outdated_draft(draft, current, tree, who.form_token)
 
 
 def _apply_or_problems(who: SignedIn, draft: drafts.Draft) -> typing.Any:
@@ -245,10 +248,13 @@
     )
 
 
-def _taken(
+def _check_unique(
     tree: differences.Tree, name: str, key: str, value: differences.Item
 ) -> tuple[exceptions.Problem, ...]:
-    """Return a problem if another item has the name already."""
+    """Return a problem if another item has the same key.
+
+    :param key: the item's key before the edit; empty for a new item.
+    """
     new_key = differences.key_of(name, value)
     if new_key == key or new_key not in differences.items_by_key(tree, name):
         return ()
--- a/dandeliongw/borders/_deadlines.py
+++ b/dandeliongw/borders/_deadlines.py
@@ -1,4 +1,4 @@
-"""Sockets whose reads end by a deadline, however slowly bytes come in."""
+"""Sockets with a deadline over several reads, against slow clients."""
 
 from collections import abc
 import contextlib
@@ -9,13 +9,13 @@
 
 
 class DeadlineSocket:
-    """A socket on which several reads can be given one deadline.
+    """A socket with one deadline for several reads.
 
-    A time-out of the socket itself begins anew with each byte. A caller who
-    sends one now and then would keep its thread for good; one would see a
-    port with all threads busy and next to no calls.
+    The timeout of a socket restarts with each read. Without a deadline, a
+    caller that sends one byte now and then would occupy its thread forever,
+    and a port could have all its threads busy with almost no calls.
 
-    :param sock: what is read; all else is passed on to it.
+    :param sock: the wrapped socket; all other attributes are its own.
     """
 
     def __init__(self, *, sock: socket.socket) -> None:
@@ -28,23 +28,23 @@
     def recv_into(self, buffer: bytearray | memoryview) -> int:
         """Read into a buffer.
 
-        :raises TimeoutError: once the deadline has passed.
+        :raises TimeoutError: if the deadline has passed.
         """
         if self._ends_at is not None:
-            left_s = self._ends_at - clock.now()
-            if left_s <= 0.0:
-                # The HTTP library goes by this text.
+            remaining_s = self._ends_at - clock.now()
+            if remaining_s <= 0.0:
+                # Cheroot recognizes a timeout by this text.
                 raise TimeoutError('timed out')
-            self._sock.settimeout(left_s)
+            self._sock.settimeout(remaining_s)
         return self._sock.recv_into(buffer)
 
     @contextlib.contextmanager
-    def ending_in(self, seconds: float) -> abc.Iterator[None]:
-        """Let all reads in the context end within this time together."""
-        before_s = self._sock.gettimeout()
+    def deadline_in(self, seconds: float) -> abc.Iterator[None]:
+        """Limit the total time of all reads in the context."""
+        previous_s = self._sock.gettimeout()
         self._ends_at = clock.now() + seconds
         try:
             yield
         finally:
             self._ends_at = None
-            self._sock.settimeout(before_s)
+            self._sock.settimeout(previous_s)
--- a/dandeliongw/borders/_headers.py
+++ b/dandeliongw/borders/_headers.py
@@ -1,27 +1,31 @@
-"""Reads request headers so that no two readers can take them for two calls."""
+"""Strict parsing of request headers, against request smuggling."""
 
 import re
 
 import cheroot.server
 
-#: What may be in a header's name.
+#: Pattern of a header's name.
 _TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-#: What may not be in a value.
+#: Control characters, which a value must not contain.
 _CONTROLS = re.compile(rb'[\x00-\x08\x0a-\x1f\x7f]')
-#: Of these, a second one makes the end of the call, or its target, doubtful.
+#: Headers that may occur once only: with a second one, the end of the request
+#: or its target would be ambiguous.
 _SINGLE = frozenset((b'Content-Length', b'Transfer-Encoding', b'Host'))
 
 
 class StrictHeaderReader(cheroot.server.HeaderReader):
-    """Refuses what the library's own reader would guess the meaning of.
+    """Refuses ambiguous headers, which cheroot's own parser would accept.
 
-    A call whose length two programs read differently lets a caller hide
-    another call in its body; one would see backend servers run calls that
-    nobody is known to have sent.
+    If two programs read the length of a request differently, a caller can
+    hide another call in its body, and backend servers run calls of which
+    there is no record.
     """
 
     def __call__(self, rfile, hdict=None):
-        """Read up to the empty line; raise ValueError for a bad call."""
+        """Read the headers up to the empty line.
+
+        :raises ValueError: for invalid or ambiguous headers.
+        """
         headers = {} if hdict is None else hdict
         while True:
             line = rfile.readline()
--- a/dandeliongw/borders/bodies.py
+++ b/dandeliongw/borders/bodies.py
@@ -1,30 +1,30 @@
-"""Bodies of calls that may come from anyone: read within bounds."""
+"""Reads request bodies of untrusted clients, up to a maximum size."""
 
 import cherrypy
 
 from .. import exceptions
 from . import web
 
-#: The longest body that is read; what backend servers say takes some hundred
-#: bytes, lists of cache events some thousand.
+#: Longest body that is accepted. Messages of backend servers have some hundred
+#: bytes, those with lists of cache events some thousand.
 MOST_BYTES = 1 << 20
-#: The longest rest of a body that is read and thrown away.
-MOST_DISCARDED_BYTES = 8 << 20
+#: Longest remainder of a body that is read and discarded.
+MAX_DISCARDED_BYTES = 8 << 20
 _PIECE_BYTES = 1 << 16
 
 
 class TooLarge(Exception):
-    """A body has more than ``MOST_BYTES``; nothing of it was used."""
+    """A body is longer than ``MOST_BYTES``; it was not parsed."""
 
 
 def read() -> bytes:
-    """Return the whole body of the current call.
+    """Return the complete body of the current request.
 
-    The application must leave bodies alone, see
-    ``request.process_request_body``.
+    The application must disable ``request.process_request_body``, so that
+    CherryPy doesn't read the body.
 
-    :raises TooLarge: rather than return a part of it.
-    :raises InvalidInput: when it does not arrive whole.
+    :raises TooLarge: if the body is longer than ``MOST_BYTES``.
+    :raises InvalidInput: if the body is malformed or a read fails.
     """
     try:
         body = cherrypy.request.rfile.read(MOST_BYTES + 1)
@@ -39,18 +39,18 @@
 
 
 def finish() -> None:
-    """Throw away what is left of a body, or else end the connection.
+    """Discard the unread rest of a body, or else close the connection.
 
-    The rest would be kept in memory by the HTTP server, however long it is;
-    a connection that ends with bytes unread may lose the answer.
+    The HTTP server would keep the rest in memory, however long it is. A
+    connection that is closed with unread bytes may lose the answer.
     """
     if not _discard_rest():
         web.close_connection()
 
 
 def _discard_rest() -> bool:
-    """Return whether the body came to its end within the bound."""
-    for _ in range(MOST_DISCARDED_BYTES // _PIECE_BYTES):
+    """Return whether the end of the body was reached within the limit."""
+    for _ in range(MAX_DISCARDED_BYTES // _PIECE_BYTES):
         try:
             if not cherrypy.request.rfile.read(_PIECE_BYTES):
                 # After a chunked body there may be trailers.
--- a/dandeliongw/borders/calls.py
+++ b/dandeliongw/borders/calls.py
@@ -22,7 +22,7 @@
 
 MAX_KEY_CHARACTERS = 255
 DEFAULT_MAX_TOKENS = 256
-MOST_MAX_TOKENS = 65536
+MAX_TOKENS_LIMIT = 65536
 _TARGET_PATTERN = re.compile(r'[\x21-\x7e]{1,8192}')
 _KEY_PATTERN = re.compile(r'[\x21-\x7e]{1,255}')
 
@@ -61,27 +61,25 @@
     prompt = fields.get('prompt')
     if not isinstance(prompt, str) or not prompt:
         raise BadCall(
-            f'prompt: given {_as_json(prompt)}; must be a string that is not '
+            f'prompt: given {_json(prompt)}; must be a string that is not '
             'empty (lists and token numbers are not taken)'
         )
     if not _is_unicode(prompt):
         raise BadCall('prompt: has half of a surrogate pair')
     max_tokens = fields.get('max_tokens', DEFAULT_MAX_TOKENS)
     is_count = isinstance(max_tokens, int) and max_tokens is not True
-    if not is_count or not 1 <= max_tokens <= MOST_MAX_TOKENS:
+    if not is_count or not 1 <= max_tokens <= MAX_TOKENS_LIMIT:
         raise BadCall(
-            f'max_tokens: given {_as_json(max_tokens)}; must be a whole number '
-            f'from 1 to {MOST_MAX_TOKENS}'
+            f'max_tokens: given {_json(max_tokens)}; must be a whole number '
+            f'from 1 to {MAX_TOKENS_LIMIT}'
         )
     stream = fields.get('stream', False)
     if not isinstance(stream, bool):
-        raise BadCall(
-            f'stream: given {_as_json(stream)}; must be true or false'
-        )
+        raise BadCall(f'stream: given {_json(stream)}; must be true or false')
     model = fields.get('model')
     if not isinstance(model, str) or not _is_unicode(model):
         raise BadCall(
-            f'model: given {_as_json(model)}; must be the name of a service'
+            f'model: given {_json(model)}; must be the name of a service'
         )
     call = events.Call(
         service=model,
@@ -194,7 +192,7 @@
     return fields
 
 
-def _as_json(value: typing.Any) -> str:
+def _json(value: typing.Any) -> str:
     """Return a value as JSON, at most 80 characters of it."""
     return json.dumps(value)[:80]
 
--- a/dandeliongw/borders/changes.py
+++ b/dandeliongw/borders/changes.py
@@ -1,4 +1,4 @@
-"""The one way to change the document, for the API and the console alike."""
+"""Proposes changes of the document, for both the API and the console."""
 
 import re
 
@@ -7,12 +7,12 @@
 from .. import document as documents
 from . import control as controls
 
-#: Chosen by whoever makes a change; a resend carries the same one.
+#: Pattern of a change id. The client chooses it; a retry uses the same id.
 CHANGE_ID_PATTERN = r'^[A-Za-z0-9._-]{1,64}$'
 
 
 def is_change_id(text: str) -> bool:
-    """Whether this can name a change."""
+    """Whether the text is a valid change id."""
     return re.fullmatch(CHANGE_ID_PATTERN, text) is not None
 
 
@@ -24,7 +24,7 @@
     expected_revision: int,
     document: documents.Document,
 ) -> controls.ProposeResult:
-    """Propose a validated document and log who did and what came of it."""
+    """Propose a validated document; log the operator and the result."""
     result = control.propose(
         change_id=change_id,
         author=author,
--- a/dandeliongw/borders/console.py
+++ b/dandeliongw/borders/console.py
@@ -1,7 +1,7 @@
-"""The console: pages of forms that make the document and nothing else.
+"""The operators' console: pages that show the state and edit the document.
 
-Works without scripts. Every change goes through :mod:`dandeliongw.changes`,
-as it does for the API.
+It works without scripts. As in the API, every change of the document goes
+through :mod:`dandeliongw.borders.changes`.
 """
 
 import typing
@@ -37,7 +37,7 @@
 
     @cherrypy.expose
     def sign_in(self, **form: typing.Any) -> bytes:
-        """Ask for the operator's token, and take it."""
+        """Show the sign-in form, or check the posted token."""
         _browser.allow('GET', 'HEAD', 'POST')
         if cherrypy.request.method != 'POST':
             return _sign_in_page()
@@ -58,14 +58,14 @@
     @cherrypy.expose
     @action
     def sign_out(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Forget the cookie."""
+        """Delete the session cookie."""
         _browser.set_cookie('', 0)
         raise _browser.see_other('sign-in')
 
     @cherrypy.expose
     @page
     def index(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Show instances, leases and how far the last change has come."""
+        """Show instances, leases and the progress of the last change."""
         draft = self._drafts.find(who.operator)
         content = status_pages.overview(self._control.status())
         return show(who, 'Overview', editing.pending(draft), content)
@@ -94,7 +94,7 @@
     @cherrypy.expose
     @page
     def quarantine(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Show the calls that are held back, and those suspected."""
+        """Show the calls in quarantine, and other suspected ones."""
         content = status_pages.quarantine(
             self._control.suspects(), who.form_token
         )
@@ -103,15 +103,17 @@
     @cherrypy.expose
     @action
     def lift(self, who: SignedIn, form: forms.Form) -> bytes:
-        """Let a call that is held back be sent again."""
+        """Lift the quarantine of a call."""
         call = _browser.read_call(form)
-        known = self._control.lift(
+        is_known = self._control.lift(
             call=call,
             operator=who.operator,
             reason=_browser.read_reason(form),
         )
-        if not known:
-            raise cherrypy.HTTPError(404, f'Nothing is known of call {call}.')
+        if not is_known:
+            raise cherrypy.HTTPError(
+                404, f'There is no record of call {call}.'
+            )
         raise _browser.see_other('quarantine')
 
     @cherrypy.expose
--- a/dandeliongw/borders/control.py
+++ b/dandeliongw/borders/control.py
@@ -155,7 +155,7 @@
 #: Pattern of a call's fingerprint.
 CALL_PATTERN = '^[0-9a-f]{32}$'
 #: Longest reason that an operator may give when a quarantine is lifted.
-MOST_REASON_CHARACTERS = 200
+MAX_REASON_CHARACTERS = 200
 
 
 class EndEntry(typing.TypedDict):
--- a/dandeliongw/borders/drafts.py
+++ b/dandeliongw/borders/drafts.py
@@ -1,9 +1,9 @@
-"""Changes that an operator is still making in the console.
+"""Drafts: changes that an operator is editing in the console.
 
-A draft lives in the memory of one instance. What leaves it is a whole
-document with its expected revision and change id; these also stand in the
-form that applies it, so that the form can be sent again when the draft is
-gone.
+A draft is kept in the memory of one instance. To apply it, the console
+proposes a complete document with its expected revision and change id. The
+form that does so contains all three, so it can be sent again when the draft
+no longer exists.
 """
 
 from collections import abc
@@ -23,11 +23,11 @@
 
 
 class Draft(msgspec.Struct, frozen=True, kw_only=True):
-    """A document that may not be valid yet.
+    """An edited document, which may not be valid yet.
 
-    :param base: what the operator began from.
-    :param tree: plain JSON.
-    :param nonce: tells this draft's change ids from all others.
+    :param base: the configuration that the draft is based on.
+    :param tree: the edited document, as plain JSON values.
+    :param nonce: makes this draft's change ids unique.
     """
 
     base: controls.Configuration
@@ -36,29 +36,29 @@
 
     @property
     def base_tree(self) -> differences.Tree:
-        """The document that the operator began from."""
+        """The document that the draft is based on."""
         return json.loads(self.base.document)
 
     @property
     def change_id(self) -> str:
-        """Names this content of this draft.
+        """The change id for the present content of this draft.
 
-        The same form sent twice is one change; an edit in between makes it
-        another one, which must not get the first one's result.
+        The same form sent twice is one change. After an edit it is another
+        change, which must not get the result of the first one.
         """
         content = json.dumps([self.base.revision, self.tree], sort_keys=True)
         digest = hashlib.sha256(content.encode()).hexdigest()
         return f'console-{self.nonce}-{digest[:_DIGEST_LENGTH]}'
 
     def differences(self) -> list[differences.Difference]:
-        """Return what the operator has changed so far."""
+        """Return the differences between the base and the draft."""
         return differences.find(self.base_tree, self.tree)
 
 
 class Drafts:
-    """One draft for each operator; safe to call from any thread.
+    """The drafts, at most one for each operator; thread-safe.
 
-    :param make_nonce: returns hexadecimal digits, never the same twice.
+    :param make_nonce: returns unique hexadecimal digits.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._drafts_by_operator: dict[str, Draft] = {}
 
     def find(self, operator: str) -> Draft | None:
-        """Return an operator's draft, if there is one."""
+        """Return the operator's draft, or ``None``."""
         with self._lock:
             return self._drafts_by_operator.get(operator)
 
@@ -84,18 +84,20 @@
         revision: int,
         change: abc.Callable[[differences.Tree], differences.Tree],
     ) -> bool:
-        """Change the draft, which begins from ``current`` if there is none.
+        """Edit the draft; without one, start a draft based on ``current``.
 
-        Reading and writing are one step: two tabs of one operator must not
-        lose each other's edits.
+        Reading and writing are atomic, so that two tabs of one operator
+        don't lose each other's edits.
 
-        :param revision: that the edited page was made from.
-        :returns: ``False`` if the draft is of another one; nothing changed.
+        :param revision: the revision that the edited page shows.
+        :param change: returns the edited document.
+        :returns: ``False`` if the draft is based on another revision; nothing
+            was changed then.
         """
         with self._lock:
             draft = self._drafts_by_operator.get(operator)
             if draft is None:
-                draft = self._begin(current)
+                draft = self._start_draft(current)
             if draft.base.revision != revision:
                 return False
             self._drafts_by_operator[operator] = msgspec.structs.replace(
@@ -106,25 +108,28 @@
     def carry_over(
         self, operator: str, current: controls.Configuration
     ) -> tuple[differences.Difference, ...]:
-        """Move the draft onto ``current``; return what was left out."""
+        """Rebase the draft on ``current``.
+
+        :returns: the operator's changes that conflict and were left out.
+        """
         with self._lock:
             draft = self._drafts_by_operator.get(operator)
             if draft is None:
                 return ()
-            begun = self._begin(current)
-            carried = differences.carry_over(
-                base=draft.base_tree, mine=draft.tree, theirs=begun.tree
+            rebased = self._start_draft(current)
+            merged = differences.carry_over(
+                base=draft.base_tree, mine=draft.tree, theirs=rebased.tree
             )
             self._drafts_by_operator[operator] = msgspec.structs.replace(
-                begun, tree=carried.tree
+                rebased, tree=merged.tree
             )
-            return carried.left_out
+            return merged.left_out
 
     def discard(self, operator: str, change_id: str | None = None) -> None:
-        """Drop the draft.
+        """Delete the draft.
 
-        :param change_id: only if it still has this content; edits made
-            while a change was on its way are kept.
+        :param change_id: delete it only if it still has this change id, so
+            that edits made while the change was being applied are kept.
         """
         with self._lock:
             draft = self._drafts_by_operator.get(operator)
@@ -133,6 +138,6 @@
             if change_id is None or draft.change_id == change_id:
                 del self._drafts_by_operator[operator]
 
-    def _begin(self, current: controls.Configuration) -> Draft:
+    def _start_draft(self, current: controls.Configuration) -> Draft:
         tree: typing.Any = json.loads(current.document)
         return Draft(base=current, tree=tree, nonce=self._make_nonce())
--- a/dandeliongw/borders/operators.py
+++ b/dandeliongw/borders/operators.py
@@ -91,7 +91,7 @@
         pydantic.StringConstraints(
             strip_whitespace=True,
             min_length=1,
-            max_length=controls.MOST_REASON_CHARACTERS,
+            max_length=controls.MAX_REASON_CHARACTERS,
         ),
     ]
     """Why the call may run again; shown with the operator's name."""
--- a/dandeliongw/borders/pages/__init__.py
+++ b/dandeliongw/borders/pages/__init__.py
@@ -1,1 +1,1 @@
-"""What the console shows: pages made from values, without any I/O."""
+"""The HTML of the console, generated without any I/O."""
--- a/dandeliongw/borders/pages/editing.py
+++ b/dandeliongw/borders/pages/editing.py
@@ -1,4 +1,4 @@
-"""Pages on which the document is changed."""
+"""HTML of the pages that edit the document."""
 
 from collections import abc
 import re
@@ -26,9 +26,10 @@
 def section(
     name: str, revision: int, tree: differences.Tree, form_token: str
 ) -> list[markup.Markup]:
-    """Show the items of one section with what can be done to each.
+    """Return the items of one section, with links and buttons to edit them.
 
-    :param revision: that the tree began from.
+    :param revision: the revision on which the tree is based.
+    :param tree: the document or draft.
     """
     rows = [
         (
@@ -62,15 +63,16 @@
     problems: abc.Sequence[exceptions.Problem],
     form_token: str,
 ) -> list[markup.Markup | None]:
-    """Show the form of one item.
+    """Return the form of one item.
 
-    :param key: of the item as it is in the draft; empty for a new one.
-    :param revision: that the tree began from.
-    :param value: what the fields hold.
+    :param key: the item's key in the draft; empty for a new item.
+    :param revision: the revision on which the tree is based.
+    :param value: the content of the fields.
+    :param problems: of the content, if it was posted and refused.
     """
     fields = forms.fields_of(name, tree)
     return [
-        _summary(problems, forms.unplaced(fields, problems)),
+        _summary(problems, forms.other_problems(fields, problems)),
         layout.form(
             'item',
             form_token,
@@ -78,9 +80,9 @@
             layout.hidden('key', key),
             layout.hidden('revision', str(revision)),
             forms.inputs(fields, value, problems),
-            markup.tag('button', 'Put into the draft'),
-            # The model's own messages are better than a browser's, and tell
-            # everything at once.
+            markup.tag('button', 'Save in the draft'),
+            # The model's messages are more helpful than the browser's, and
+            # list all problems together.
             novalidate=True,
         ),
     ]
@@ -93,7 +95,7 @@
 
 
 def pending(draft: drafts.Draft | None) -> markup.Markup | None:
-    """Remind of a draft that isn't applied yet."""
+    """Return a notice of a draft that isn't applied yet."""
     if draft is None or not draft.differences():
         return None
     return layout.notice(
@@ -105,9 +107,10 @@
 def own_changes(
     draft: drafts.Draft, apply: markup.Markup | None, form_token: str
 ) -> list[typing.Any]:
-    """Show what a draft changes and what can be done with it.
+    """Return the changes of a draft, and the forms to apply or discard it.
 
-    :param apply: the form that applies it, or why it can't be applied.
+    :param apply: the form that applies the draft, or the reasons why it
+        can't be applied; ``None`` to leave this out.
     """
     return [
         layout.paragraph(f'Made from revision {draft.base.revision}.'),
@@ -120,7 +123,7 @@
 def document_problems(
     draft: drafts.Draft, problems: abc.Iterable[exceptions.Problem]
 ) -> markup.Markup:
-    """Tell why a draft can't be applied, with links to its items."""
+    """Return why a draft can't be applied, with links to its items."""
     return layout.alert(
         'This draft cannot be applied yet:',
         layout.items(_document_problem(draft, each) for each in problems),
@@ -137,8 +140,9 @@
 ) -> markup.Markup:
     """Return the form that proposes a document.
 
-    It holds all that makes the change, so that sending it again is the same
-    change, also through another instance or after a restart.
+    It contains the complete change with its id, so that sending the form
+    again is a retry of the same change, also through another instance or
+    after a restart.
     """
     return layout.form(
         'apply',
@@ -150,23 +154,23 @@
     )
 
 
-def overtaken(
+def outdated_draft(
     draft: drafts.Draft,
     current: controls.Configuration,
     their_tree: differences.Tree,
     form_token: str,
 ) -> markup.Markup:
-    """Tell of a change that came while the draft was being made."""
+    """Return an alert about a change made after the draft was started."""
     theirs = differences.find(draft.base_tree, their_tree)
     return layout.alert(
         layout.paragraph(
             f'{current.author} has made revision {current.revision} since '
-            f'you began from revision {draft.base.revision}. Your draft '
-            'cannot be applied to it as it is; nothing of it is applied.'
+            f'you started from revision {draft.base.revision}. Your draft '
+            'cannot be applied to the new revision; nothing of it was applied.'
         ),
         difference_table(f'What {current.author} changed', theirs),
         layout.button_form(
-            'carry-over', form_token, 'Carry my changes over to it'
+            'carry-over', form_token, 'Apply my changes to the new revision'
         ),
     )
 
@@ -174,55 +178,61 @@
 def conflict(
     current: controls.Configuration, found: list[differences.Difference]
 ) -> list[markup.Markup]:
-    """Tell of a conflict when the draft is gone."""
+    """Return an alert about a conflict when the draft no longer exists.
+
+    :param found: differences between the current and the posted document.
+    """
     return [
         layout.alert(
             f'{current.author} has made revision {current.revision}. '
             'Nothing of your change was applied.'
         ),
-        difference_table('Your document, against the current one', found),
+        difference_table('Your document compared with the current one', found),
     ]
 
 
-def not_known(message: str, again: markup.Markup) -> list[markup.Markup]:
-    """Tell that nobody knows yet what became of a change.
+def unknown_result(
+    message: str, retry_form: markup.Markup
+) -> list[markup.Markup]:
+    """Return an alert about a change whose result is unknown.
 
-    :param again: the form that sends it again.
+    :param message: why it is unknown.
+    :param retry_form: the form that sends the change again.
     """
     return [
         layout.alert(
             f'{message}. The change may still take effect. Send it again to '
-            'learn what became of it; it is never made twice.'
+            'get its result; it is never applied twice.'
         ),
-        again,
+        retry_form,
     ]
 
 
 def change_id_reused(change_id: str) -> markup.Markup:
-    """Tell that a form names a change that was made before."""
+    """Return an alert about a change id that was used before."""
     return layout.alert(
-        f'{change_id} names another change that was made before. Nothing '
-        'was applied.'
+        f'The change id {change_id} was used for another change before. '
+        'Nothing was applied.'
     )
 
 
 def out_of_date(name: str) -> markup.Markup:
-    """Tell that a page was made from another revision than the draft."""
+    """Return an alert about a page and a draft of different revisions."""
     return layout.alert(
-        'The document has changed since this page was made. Nothing was '
-        'put into the draft. ',
-        layout.link(f'section?name={name}', 'Look at it as it is now'),
+        'The document has changed since this page was loaded. The draft was '
+        'not changed. ',
+        layout.link(f'section?name={name}', 'Show the current items'),
     )
 
 
 def left_out(
     found: abc.Sequence[differences.Difference],
 ) -> list[markup.Markup]:
-    """Tell which changes were not carried over."""
+    """Return the changes that were not carried over."""
     return [
         layout.alert(
-            'These items were changed by both of you. They are as the other '
-            'operator left them; change them again if need be.'
+            'These items were changed by both operators. The other '
+            "operator's changes were kept; edit the items again if needed."
         ),
         difference_table('Your changes that were left out', found),
     ]
@@ -231,7 +241,7 @@
 def difference_table(
     caption: str, found: abc.Iterable[differences.Difference]
 ) -> markup.Markup:
-    """Show what differs, one field a row."""
+    """Return a table of differences, with one row for each field."""
     rows = [
         (each.key, each.section, each.kind.value, field, *map(_cell, values))
         for each in found
@@ -254,27 +264,27 @@
 
 def _summary(
     problems: abc.Sequence[exceptions.Problem],
-    unplaced: abc.Sequence[exceptions.Problem],
+    other_problems: abc.Sequence[exceptions.Problem],
 ) -> markup.Markup | None:
     if not problems:
         return None
     return layout.alert(
-        f'Not put into the draft; problems: {len(problems)}. Each stands '
-        'beside its field.',
-        layout.items(map(str, unplaced)) if unplaced else None,
+        f'Not saved in the draft; problems: {len(problems)}. Each is shown '
+        'next to its field.',
+        layout.items(map(str, other_problems)) if other_problems else None,
     )
 
 
 def _document_problem(
     draft: drafts.Draft, problem: exceptions.Problem
 ) -> list[typing.Any]:
-    place = _ITEM_PATH.match(problem.path)
-    if place is None or place[1] not in differences.SECTIONS:
+    matched = _ITEM_PATH.match(problem.path)
+    if matched is None or matched[1] not in differences.SECTIONS:
         return [str(problem)]
-    keys = [*differences.items_by_key(draft.tree, place[1])]
-    key = keys[int(place[2])]
-    kind = _SINGULARS_BY_SECTION[place[1]]
+    keys = [*differences.items_by_key(draft.tree, matched[1])]
+    key = keys[int(matched[2])]
+    kind = _SINGULARS_BY_SECTION[matched[1]]
     return [
-        layout.link(_item_path(place[1], key), f'{kind} {key}'),
+        layout.link(_item_path(matched[1], key), f'{kind} {key}'),
         f': {problem}',
     ]
--- a/dandeliongw/borders/pages/forms.py
+++ b/dandeliongw/borders/pages/forms.py
@@ -1,7 +1,7 @@
-"""Forms made from the models, and what comes back from them.
+"""Forms generated from the document's models, and parsing of their values.
 
-A field of a model is a field of the form, so the console can't offer less
-or other than the document has.
+Each field of a model becomes a field of the form, so the console always
+offers exactly the fields that the document has.
 """
 
 from collections import abc
@@ -25,7 +25,7 @@
     'routes': document.Route,
     'accounts': document.Account,
 }
-#: Fields that name an item of another section.
+#: Fields that refer to an item of another section, and that section.
 _REFERENCES = {
     ('pools', 'service'): 'services',
     ('routes', 'service'): 'services',
@@ -33,7 +33,8 @@
     ('accounts', 'services'): 'services',
     ('accounts', 'priority'): 'priorities',
 }
-#: The longest ending goes first.
+#: Units by the ending of a field's name; longer endings come first, as the
+#: first match is used.
 _UNITS_BY_ENDING = {
     '_bytes_per_token': 'bytes per token',
     '_bytes_per_s': 'bytes per second',
@@ -50,9 +51,9 @@
 class Field(msgspec.Struct, frozen=True, kw_only=True):
     """One input of a form.
 
-    :param name: dotted for a field inside another model.
-    :param choices: what may be chosen; ``None`` for free text.
-    :param many: whether several may be chosen.
+    :param name: dotted path for a field of a nested model.
+    :param choices: the allowed values; ``None`` for free text.
+    :param many: whether several values may be selected.
     """
 
     name: str
@@ -64,7 +65,7 @@
 
     @property
     def label(self) -> str:
-        """The name in words, with the unit."""
+        """The name as readable text, with the unit."""
         name = self.name.replace('.', ' ')
         for ending, unit in _UNITS_BY_ENDING.items():
             if name.endswith(ending):
@@ -77,7 +78,7 @@
 def fields_of(section: str, tree: differences.Tree) -> list[Field]:
     """Return the fields of a section's form.
 
-    :param tree: the draft, whose items can be referred to.
+    :param tree: the draft, to whose items fields can refer.
     """
     found: list[Field] = []
     _add_fields(found, MODELS_BY_SECTION[section], section, '', tree)
@@ -85,10 +86,10 @@
 
 
 def read_item(fields: abc.Iterable[Field], form: Form) -> differences.Item:
-    """Return the item that a posted form describes.
+    """Return the item in a posted form.
 
-    Text that is no number stays as it is: the model's check then tells what
-    was given, and the form is shown again with it.
+    Text that isn't a number is kept as text. The model's validation then
+    reports it, and the form is shown again with the same text.
     """
     item: differences.Item = {}
     for field in fields:
@@ -101,7 +102,7 @@
 def check_item(
     section: str, item: differences.Item
 ) -> tuple[exceptions.Problem, ...]:
-    """Return the problems of one item by itself."""
+    """Validate one item by itself, and return its problems."""
     body = json.dumps(item).encode()
     try:
         models.parse(MODELS_BY_SECTION[section], body)
@@ -111,7 +112,7 @@
 
 
 def text(form: Form, name: str) -> str:
-    """Return one posted value; empty if absent or no plain text."""
+    """Return one posted value, stripped; empty if missing or not text."""
     value = form.get(name, '')
     if isinstance(value, list):
         value = value[-1]
@@ -123,15 +124,15 @@
     item: differences.Item,
     problems: abc.Sequence[exceptions.Problem],
 ) -> list[markup.Markup]:
-    """Return the labelled inputs, with what is wrong beside each."""
+    """Return the labelled inputs, each with its problems."""
     shown = []
     for field in fields:
-        own = [each for each in problems if _belongs(each, field)]
-        shown.append(_labelled(field, _find(item, field.name), own))
+        own = [each for each in problems if _belongs_to(each, field)]
+        shown.append(_labelled_input(field, _find(item, field.name), own))
     return shown
 
 
-def unplaced(
+def other_problems(
     fields: abc.Iterable[Field], problems: abc.Iterable[exceptions.Problem]
 ) -> list[exceptions.Problem]:
     """Return the problems that belong to no field of the form."""
@@ -139,7 +140,7 @@
     return [
         problem
         for problem in problems
-        if not any(_belongs(problem, field) for field in known)
+        if not any(_belongs_to(problem, field) for field in known)
     ]
 
 
@@ -212,7 +213,8 @@
 
 def _number(value: str) -> int | float | str:
     try:
-        # JSON's numbers only: Python's also take 1_000 and other digits.
+        # JSON numbers only: int() and float() also accept 1_000 and
+        # non-ASCII digits.
         found = json.loads(value)
     except ValueError:
         return value
@@ -237,11 +239,11 @@
     return found
 
 
-def _belongs(problem: exceptions.Problem, field: Field) -> bool:
+def _belongs_to(problem: exceptions.Problem, field: Field) -> bool:
     return problem.path.partition('[')[0] == field.name
 
 
-def _labelled(
+def _labelled_input(
     field: Field,
     value: typing.Any,
     problems: abc.Sequence[exceptions.Problem],
@@ -296,7 +298,7 @@
     chosen = show(value)
     choices = [*(field.choices or ())]
     if chosen and chosen not in choices:
-        # A dangling reference is shown as it is, not silently replaced.
+        # A reference to a missing item is shown, not silently replaced.
         choices.append(chosen)
     options = [
         markup.tag('option', each, value=each, selected=each == chosen)
@@ -327,7 +329,7 @@
 
 
 def show(value: typing.Any) -> str:
-    """Return a value of the document as a person would write it."""
+    """Return a value of the document as text for a form field."""
     if value is None:
         return ''
     if isinstance(value, bool):
--- a/dandeliongw/borders/pages/layout.py
+++ b/dandeliongw/borders/pages/layout.py
@@ -1,4 +1,4 @@
-"""What all pages have in common: head, navigation, tables and notices."""
+"""HTML that all pages share: head, navigation, tables, forms and notices."""
 
 from collections import abc
 import typing
@@ -46,10 +46,11 @@
     operator: str | None = None,
     form_token: str = '',
 ) -> bytes:
-    """Return a whole page.
+    """Return a complete page.
 
-    :param operator: who is signed in; without one there is no navigation.
-    :param form_token: for the button that signs out.
+    :param operator: the signed-in operator; ``None`` leaves out the
+        navigation.
+    :param form_token: for the sign-out button.
     """
     head = markup.tag(
         'head',
@@ -72,7 +73,7 @@
     headings: abc.Sequence[str],
     rows: abc.Iterable[abc.Sequence[typing.Any]],
 ) -> markup.Markup:
-    """Return a table whose first column names the row."""
+    """Return a table; the first cell of each row is its heading."""
     head = [markup.tag('th', each, scope='col') for each in headings]
     body = [
         markup.tag(
@@ -96,7 +97,7 @@
     *content: typing.Any,
     **attributes: typing.Any,
 ) -> markup.Markup:
-    """Return a form that posts to a page of the console."""
+    """Return a form that is posted to a page of the console."""
     return markup.tag(
         'form',
         hidden('form_token', form_token),
@@ -108,7 +109,7 @@
 
 
 def sign_in_form() -> markup.Markup:
-    """Return the form that takes the operator's token."""
+    """Return the form for the operator's token."""
     field = markup.tag(
         'input',
         type='password',
@@ -131,7 +132,7 @@
 def button_form(
     path: str, form_token: str, label: str, **values: str
 ) -> markup.Markup:
-    """Return a form that is a single button."""
+    """Return a form with a single button."""
     inputs = [hidden(name, value) for name, value in values.items()]
     return form(
         path,
@@ -153,12 +154,12 @@
 
 
 def notice(*content: typing.Any) -> markup.Markup:
-    """Return a passage that a screen reader announces in its turn."""
+    """Return a box that screen readers announce when they are idle."""
     return markup.tag('div', *content, class_='notice', role='status')
 
 
 def alert(*content: typing.Any) -> markup.Markup:
-    """Return a passage that a screen reader announces at once."""
+    """Return a box that screen readers announce immediately."""
     return markup.tag('div', *content, class_='alert', role='alert')
 
 
@@ -187,7 +188,7 @@
             link('draft', 'Review and apply'),
             aria_label='Document',
         ),
-        # No form may stand inside a paragraph.
+        # HTML allows no form inside a paragraph.
         markup.tag(
             'div',
             f'Signed in as {operator} ',
--- a/dandeliongw/borders/pages/markup.py
+++ b/dandeliongw/borders/pages/markup.py
@@ -1,8 +1,8 @@
-"""HTML that is escaped by construction.
+"""Generates HTML with automatic escaping.
 
-A page built of :func:`tag` can't hold unescaped text: whatever is not
-:class:`Markup` is escaped where it is put in. Templates would leave that to
-whoever writes them.
+A page built with :func:`tag` can't contain unescaped text: everything that
+isn't :class:`Markup` is escaped when it is inserted. With templates, this
+would depend on their authors.
 """
 
 from collections import abc
@@ -13,7 +13,7 @@
 
 
 class Markup(str):
-    """Text that is HTML already; only this module makes it."""
+    """Text that is HTML already; only this module creates it."""
 
     __slots__ = ()
 
@@ -25,9 +25,9 @@
 
     :param children: markup, text, or iterables of both; ``None`` is left
         out.
-    :param attributes: ``class_`` and ``for_`` for the reserved words, ``_``
-        for ``-``; ``True`` gives a bare attribute, ``None`` and ``False``
-        none.
+    :param attributes: ``class_`` and ``for_`` stand for the reserved words,
+        ``_`` stands for ``-``. ``True`` gives an attribute without a value;
+        ``None`` and ``False`` leave it out.
     """
     start = f'<{name}{"".join(_attributes(attributes))}>'
     if name in _VOID:
@@ -36,12 +36,12 @@
 
 
 def join(children: abc.Iterable[typing.Any]) -> Markup:
-    """Return the children one after the other, escaped where needed."""
+    """Return the concatenated children, escaped where needed."""
     return Markup(''.join(_flatten(children)))
 
 
 def page(head: Markup, body: Markup) -> bytes:
-    """Return a whole page."""
+    """Return a complete page."""
     content = tag('html', head, body, lang='en')
     return f'<!DOCTYPE html>\n{content}\n'.encode()
 
@@ -62,8 +62,8 @@
     for name, value in values.items():
         if value is None or value is False:
             continue
-        shown = name.rstrip('_').replace('_', '-')
+        html_name = name.rstrip('_').replace('_', '-')
         if value is True:
-            yield f' {shown}'
+            yield f' {html_name}'
         else:
-            yield f' {shown}="{html.escape(str(value))}"'
+            yield f' {html_name}="{html.escape(str(value))}"'
--- a/dandeliongw/borders/pages/status.py
+++ b/dandeliongw/borders/pages/status.py
@@ -1,4 +1,4 @@
-"""Pages that only show: instances, backend servers, load and history."""
+"""HTML of the read-only pages and of the quarantine."""
 
 from collections import abc
 import typing
@@ -14,7 +14,7 @@
 
 
 def overview(status: controls.Status) -> list[markup.Markup]:
-    """Show the revision, how far it has come, instances and leases."""
+    """Return the revision, its progress, the instances and the leases."""
     instances = [
         (
             each['instance_id'],
@@ -34,7 +34,7 @@
         layout.paragraph(
             f'Revision {status["revision"]}',
             f' by {status["author"]}' if status['author'] else '',
-            f', as instance {status["instance_id"]} knows it.',
+            f', as known to instance {status["instance_id"]}.',
         ),
         in_force(status['in_force']),
         layout.table(
@@ -46,26 +46,28 @@
     ]
 
 
-def in_force(found: controls.InForce) -> markup.Markup:
-    """Tell in a sentence how far a revision has come."""
-    total = found['instances']
-    settled = found['confirmed'] + found['expired']
+def in_force(progress: controls.InForce) -> markup.Markup:
+    """Return the progress of a revision as a sentence."""
+    total = progress['instances']
+    finished = progress['confirmed'] + progress['expired']
     sentence = (
-        f'Revision {found["revision"]} is in force on '
-        f'{found["confirmed"]} of {total} instances.'
+        f'Revision {progress["revision"]} is in force on '
+        f'{progress["confirmed"]} of {total} instances.'
     )
     rest = []
-    if found['expired']:
-        rest.append(f' Out of touch, admitting no work: {found["expired"]}.')
-    if settled < total:
-        rest.append(f' Still waited for: {total - settled}.')
+    if progress['expired']:
+        rest.append(
+            f' Disconnected, admitting no work: {progress["expired"]}.'
+        )
+    if finished < total:
+        rest.append(f' Pending: {total - finished}.')
     return layout.paragraph(sentence, rest)
 
 
 def backends(
     found: abc.Iterable[controls.BackendStatus],
 ) -> list[markup.Markup]:
-    """Show every backend server that has announced itself."""
+    """Return all backend servers that have announced themselves."""
     rows = [
         (
             each['backend_id'],
@@ -75,14 +77,14 @@
             each['state'],
             f'{each["used"]} of {each["slots"]}',
             yes_or_no(each['checks_fence']),
-            # As text: a link to an announced address could be a script.
+            # As text: the target of a link could be a script.
             each['url'],
         )
         for each in found
     ]
     headings = (
         *('Backend server', 'Service', 'Role', 'Data centre', 'State'),
-        *('Slots used', 'Checks fencing numbers', 'Address'),
+        *('Slots used', 'Checks fencing tokens', 'Address'),
     )
     return [layout.table('Backend servers', headings, rows)]
 
@@ -90,7 +92,7 @@
 def load(
     pools: abc.Iterable[controls.PoolStatus],
 ) -> list[markup.Markup]:
-    """Show slots and queues by pool."""
+    """Return slots and queues by pool."""
     rows = [
         (
             each['name'],
@@ -110,7 +112,7 @@
 
 
 def reasons(metrics: metrics_module.Metrics) -> list[markup.Markup]:
-    """Show this instance's counters by reason, since its start."""
+    """Return this instance's counters by reason, since its start."""
     groups: tuple[tuple[str, str, str, typing.Any], ...] = (
         ('Answers', 'answers_total', 'verdict', verdicts.Verdict),
         ('Refusals', 'refusals_total', 'reason', verdicts.RefusalReason),
@@ -137,7 +139,7 @@
 def history(
     changes: abc.Iterable[controls.HistoryEntry],
 ) -> list[markup.Markup]:
-    """Show who changed the document and when."""
+    """Return who changed the document and when."""
     rows = [
         (
             each['revision'],
@@ -154,22 +156,25 @@
 def quarantine(
     suspects: abc.Iterable[controls.SuspectEntry], form_token: str
 ) -> list[markup.Markup]:
-    """Show the calls under which backend servers ended.
+    """Return the calls that are suspected of ending backend servers.
 
-    :param form_token: for the forms that let a call through again.
+    :param form_token: for the forms that lift a quarantine.
     """
     rows = [
         (
             each['call'],
-            f'{each["held_s"]:.0f} s more' if each['held_s'] else 'no',
+            f'for {each["held_s"]:.0f} s' if each['held_s'] else 'no',
             ', '.join(end['backend_id'] for end in each['ends']) or NONE,
             _lifted(each['lifted']),
             _lift_form(each['call'], form_token) if each['held_s'] else NONE,
         )
         for each in suspects
     ]
-    headings = ('Call', 'Held back', 'Servers that ended', 'Lifted', 'Lift')
-    return [layout.table('Calls that end servers', headings, rows)]
+    headings = (
+        *('Call', 'Quarantined', 'Backend servers that ended'),
+        *('Lifted', 'Lift'),
+    )
+    return [layout.table('Calls suspected of ending servers', headings, rows)]
 
 
 def _lifted(lift: controls.LiftEntry | None) -> str:
@@ -186,7 +191,7 @@
         type='text',
         name='reason',
         required=True,
-        maxlength=controls.MOST_REASON_CHARACTERS,
+        maxlength=controls.MAX_REASON_CHARACTERS,
     )
     return layout.form(
         'lift',
@@ -198,7 +203,7 @@
 
 
 def yes_or_no(value: bool) -> str:
-    """Return a flag as a word."""
+    """Return a flag as ``yes`` or ``no``."""
     return 'yes' if value else 'no'
 
 
--- a/dandeliongw/borders/sessions.py
+++ b/dandeliongw/borders/sessions.py
@@ -1,9 +1,9 @@
-"""Signed cookies of operators who are signed in to the console.
+"""Sessions of the console, as signed cookies.
 
-The cookie holds no secret and the server keeps no list: the signature's key
-comes from the instances' own secret, so a session goes on at any instance
-and after a restart. It ends with its time, or when the operator's token is
-replaced in the settings.
+The cookie contains no secret and the server stores no sessions. The signing
+key is derived from the instances' shared secret, so a session is valid at
+any instance and after a restart. It ends when it expires, or when the
+operator's token is replaced in the settings.
 """
 
 from collections import abc
@@ -21,9 +21,10 @@
 
 
 class Sessions:
-    """Makes and checks cookies and form tokens.
+    """Creates and verifies session cookies and form tokens.
 
-    :param clock: seconds since the epoch; cookies outlive the process.
+    :param clock: returns seconds since the Unix epoch; a monotonic clock
+        wouldn't do, as cookies stay valid after a restart.
     """
 
     def __init__(
@@ -40,14 +41,14 @@
         self._key = hmac.digest(secret.encode(), _PURPOSE, 'sha256')
 
     def make_cookie(self, operator: settings_module.Operator) -> str:
-        """Return the cookie of an operator who has just shown the token."""
+        """Return a new cookie for an operator who has just signed in."""
         expires = int(self._clock()) + LIFETIME_S
         nonce = secrets.token_hex(_NONCE_BYTES)
         content = f'{operator.name}.{expires}.{nonce}'
         return f'{content}.{self._sign(content, operator)}'
 
     def find_operator(self, cookie: str) -> settings_module.Operator | None:
-        """Return whose cookie it is; ``None`` if forged or out of time."""
+        """Return the cookie's operator; ``None`` if forged or expired."""
         content, _, signature = cookie.rpartition('.')
         name, _, rest = content.partition('.')
         operator = self._operators_by_name.get(name)
@@ -56,19 +57,19 @@
         expected = self._sign(content, operator)
         if not hmac.compare_digest(expected.encode(), signature.encode()):
             return None
-        # Signed by us, so it has the form that make_cookie gave it.
+        # The signature is valid, so the format is that of make_cookie().
         expires = int(rest.partition('.')[0])
         return operator if self._clock() < expires else None
 
     def form_token(self, cookie: str) -> str:
-        """Return what every form of this session carries.
+        """Return the token in every form of this session (against CSRF).
 
-        Another site can make a browser send a form, but can't read this.
+        Another site can make a browser send a form, but can't read the token.
         """
         return self._digest('form', cookie)
 
     def is_form_token(self, cookie: str, given: str) -> bool:
-        """Whether a form was made for this session."""
+        """Whether the form token belongs to this session."""
         expected = self.form_token(cookie).encode()
         return hmac.compare_digest(expected, given.encode())
 
@@ -76,7 +77,8 @@
         return self._digest('cookie', content, operator.token_sha256)
 
     def _digest(self, *parts: str) -> str:
-        # Each part's length is signed too, so parts can't be shifted.
+        # The length of each part is signed too. Without it, characters could
+        # move from one part to the next under the same signature.
         message = ''.join(f'{len(part)}:{part}' for part in parts)
         return hmac.new(
             self._key, message.encode(), hashlib.sha256
--- a/dandeliongw/borders/tokens.py
+++ b/dandeliongw/borders/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens: kept as SHA-256 digests, compared in constant time."""
+"""Bearer tokens, stored as SHA-256 digests and compared in constant time."""
 
 import hashlib
 import hmac
@@ -7,17 +7,17 @@
 
 
 def digest(token: str) -> str:
-    """Return the SHA-256 of a token or key, in hexadecimal."""
+    """Return the SHA-256 digest of a token or key, in hexadecimal."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def find_operator(
     settings: settings_module.Settings, token: str
 ) -> settings_module.Operator | None:
-    """Return the operator whose token it is.
+    """Return the operator that has this token, or ``None``.
 
-    Every digest is compared, each in constant time: how long it takes tells
-    nothing about the digests.
+    All digests are compared, each in constant time, so that the duration
+    reveals nothing about them.
     """
     given = digest(token)
     found = None
--- a/dandeliongw/borders/web.py
+++ b/dandeliongw/borders/web.py
@@ -60,7 +60,7 @@
         # headers must not count the idle time of a new connection.
         self.conn.rfile.peek(1)
         limits = self.server.apply_limits()
-        with self.conn.reads.ending_in(limits.header_timeout_s):
+        with self.conn.reads.deadline_in(limits.header_timeout_s):
             super().parse_request()
 
     def simple_response(self, status: str, msg: str = '') -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -196,7 +196,7 @@
     def test_a_call_is_let_through_with_a_name_and_a_reason(self):
         self.browser.get('quarantine')
         self.assertIn(operators_fake.HELD_CALL, self.browser.text)
-        self.assertIn('540 s more', self.browser.text)
+        self.assertIn('for 540 s', self.browser.text)
         self.browser.send('lift', reason=' ')
         self.assertEqual(400, self.browser.status)
         self.browser.get('quarantine')
@@ -303,7 +303,7 @@
         self.apply(other)
         self.browser.get('draft')
         self.browser.send('carry-over')
-        self.assertIn('changed by both', self.browser.text)
+        self.assertIn('changed by both operators', self.browser.text)
         self.assertEqual(9, self.accepted()['priorities'][0]['max_wait_s'])
 
     def test_an_item_of_an_older_page_undoes_nothing(self):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Reads that come in bit by bit end by one deadline."""
+"""A deadline limits the total time of several reads."""
 
 import unittest
 from unittest import mock
@@ -8,7 +8,7 @@
 
 
 class Socket:
-    """Gives one byte a read; keeps the time-outs that were set."""
+    """Returns one byte for each read; records the timeouts that were set."""
 
     def __init__(self):
         self.timeouts = []
@@ -33,13 +33,13 @@
         self.inner = Socket()
         self.sock = _deadlines.DeadlineSocket(sock=self.inner)
 
-    def test_each_read_gets_what_is_left(self):
-        """Symptom: a caller that sends a byte a second is served for ever.
+    def test_timeout_of_each_read_is_the_remaining_time(self):
+        """A caller that sends one byte a second must time out, too.
 
-        Sequence: each byte comes within the time-out of the socket.
-        Cause: that time-out begins anew with each read.
+        Each byte comes within the timeout of the socket, which restarts
+        with each read.
         """
-        with self.sock.ending_in(3.0):
+        with self.sock.deadline_in(3.0):
             for _ in range(3):
                 self.sock.recv_into(bytearray(1))
                 self.now += 1.0
@@ -47,7 +47,7 @@
                 self.sock.recv_into(bytearray(1))
         self.assertEqual([3.0, 2.0, 1.0, 30.0], self.inner.timeouts)
 
-    def test_outside_of_it_the_time_out_is_the_socket_s_own(self):
+    def test_without_a_deadline_the_timeout_is_unchanged(self):
         self.now += 1000.0
         self.sock.recv_into(bytearray(1))
         self.assertEqual([], self.inner.timeouts)
--- a/tests/test_headers.py
+++ b/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Request headers that two programs could read as two different calls."""
+"""Strict parsing of request headers."""
 
 import io
 import unittest
@@ -14,11 +14,11 @@
 
 
 class StrictHeaderReaderTest(unittest.TestCase):
-    def test_names_are_alike_however_they_are_written(self):
+    def test_header_names_are_normalized(self):
         found = read('content-LENGTH: 3\r\nX-one:  a \r\n\r\n')
         self.assertEqual(found, {b'Content-Length': b'3', b'X-One': b'a'})
 
-    def test_repeated_ones_are_joined(self):
+    def test_repeated_headers_are_joined(self):
         found = read('X-A: 1\r\nX-A: 2\r\n\r\n')
         self.assertEqual(found, {b'X-A': b'1, 2'})
 
@@ -39,7 +39,7 @@
         'no colon\r\n\r\n',
         'X-A: 1\r\n',
     )
-    def test_doubtful_headers_are_refused(self, text):
-        """Symptom: a call inside another call's body is run."""
+    def test_ambiguous_headers_are_refused(self, text):
+        """Otherwise a call hidden in another call's body could run."""
         with self.assertRaises(ValueError):
             read(text)
