--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console as a browser sees it: every page fetched, every form posted."""
+"""The console as a browser uses it: fetches all pages, posts all forms."""
 
 import json
 import pathlib
@@ -33,7 +33,7 @@
 
 
 class Browser:
-    """Keeps the cookie and the page, follows links' ends, sends forms."""
+    """Stores the cookie and the page, follows redirects and sends forms."""
 
     def __init__(self, *, api: operators_fake.Api) -> None:
         self._api = api
@@ -60,7 +60,10 @@
         self._ask('POST', f'/console/{path}', body, headers or {})
 
     def send(self, action: str, /, **filled) -> None:
-        """Send the first form of this page that has this action."""
+        """Send the first form of the page that has this action.
+
+        :param filled: values of fields that replace those of the form.
+        """
         form = self.page.find('form', action=f'/console/{action}')
         self.post(action, **(form_values(form) | filled))
 
@@ -77,13 +80,13 @@
             self._ask('GET', f'{target.path}?{target.query}'.rstrip('?'))
             return
         self.path, self.status = path, answer.status
-        # Strict: a page that a browser would have to mend is an error.
+        # Strict: a page that a browser would have to repair is an error.
         html5lib.HTMLParser(strict=True).parse(answer.data.decode())
         self.page = bs4.BeautifulSoup(answer.data, 'html5lib')
 
 
 def form_values(form: bs4.Tag) -> dict[str, object]:
-    """Return what a browser would send for an untouched form."""
+    """Return what a browser would send for an unchanged form."""
     values: dict[str, object] = {}
     for field in form.find_all('input'):
         if field['type'] != 'checkbox':
@@ -97,7 +100,7 @@
 
 
 def filled_in(item: dict) -> dict[str, object]:
-    """Return an item of the document as a person would type it."""
+    """Return the form values for an item of the document."""
     values: dict[str, object] = {}
     for name, value in item.items():
         if isinstance(value, dict):
@@ -113,12 +116,12 @@
     def setUp(self):
         logger.remove()
         self.api = self.enterContext(operators_fake.border())
-        self.browser = self.another('token-of-ana')
+        self.browser = self.signed_in_browser('token-of-ana')
 
-    def another(self, token: str) -> Browser:
+    def signed_in_browser(self, token: str) -> Browser:
         return Browser(api=self.api).sign_in(token)
 
-    def accepted(self) -> dict:
+    def accepted_document(self) -> dict:
         return json.loads(self.api.control.current().document)
 
     def put(self, browser: Browser, section: str, /, key='', **item):
@@ -131,18 +134,19 @@
         browser.send('apply')
 
     @params(*STATUS_PAGES, *SECTION_PAGES, 'item?section=pools')
-    def test_pages_need_a_sign_in(self, path):
+    def test_pages_require_sign_in(self, path):
         stranger = Browser(api=self.api)
         stranger.get(path)
         self.assertEqual('/console/sign-in', stranger.path)
         self.browser.get(path)
-        self.assertEqual((200, f'/console/{path}'), self.answer())
+        self.assertEqual((200, f'/console/{path}'), self.status_and_path())
 
-    def answer(self) -> tuple[int, str]:
+    def status_and_path(self) -> tuple[int, str]:
         return self.browser.status, self.browser.path
 
     @params(*STATUS_PAGES, *SECTION_PAGES, 'item?section=pools', 'sign-in')
-    def test_pages_can_be_used_by_keyboard_and_reader(self, path):
+    def test_pages_are_accessible(self, path):
+        """By keyboard and with a screen reader."""
         self.put(self.browser, 'priorities', **URGENT)
         self.browser.get(path)
         page = self.browser.page
@@ -154,12 +158,12 @@
             label = page.find('label', attrs={'for': field.get('id')})
             self.assertTrue(label or field.find_parent('label'), field)
 
-    def test_a_wrong_token_is_refused(self):
-        stranger = self.another('token-of-nobody')
+    def test_wrong_token_is_refused(self):
+        stranger = self.signed_in_browser('token-of-nobody')
         self.assertEqual(401, stranger.status)
         self.assertEqual('', stranger.cookie)
 
-    def test_the_cookie_is_kept_from_scripts_and_other_sites(self):
+    def test_cookie_is_hidden_from_scripts_and_other_sites(self):
         stranger = Browser(api=self.api)
         stranger.get('sign-in')
         answer = self.api.request(
@@ -172,16 +176,15 @@
 
     @params(*ACTIONS)
     def test_forms_of_other_sites_are_refused(self, action):
-        """Symptom: the document changes though no operator meant it.
+        """Guards against cross-site request forgery.
 
-        Sequence: an operator who is signed in opens another site, which
-        makes the browser send a form here. Cause: a form is believed for
-        its cookie alone.
+        Another site could make the browser of a signed-in operator send a
+        form; the cookie alone must not be enough.
         """
         self.browser.get('')
         form = self.browser.page.find('form', action='/console/sign-out')
         token = form_values(form)['form_token']
-        other = self.another('token-of-bat')
+        other = self.signed_in_browser('token-of-bat')
         origin = {'Origin': 'http://elsewhere.example'}
         self.browser.post(action)
         self.assertEqual(403, self.browser.status)
@@ -193,7 +196,7 @@
             self.browser.get(action)
             self.assertEqual(405, self.browser.status)
 
-    def test_a_call_is_let_through_with_a_name_and_a_reason(self):
+    def test_lift_records_operator_and_reason(self):
         self.browser.get('quarantine')
         self.assertIn(operators_fake.HELD_CALL, self.browser.text)
         self.assertIn('for 540 s', self.browser.text)
@@ -202,10 +205,10 @@
         self.browser.get('quarantine')
         self.browser.send('lift', reason='mended')
         self.assertEqual([('ana', 'mended')], self.api.control.lifts)
-        # What operators write is shown as they wrote it.
+        # The operators' texts are shown unchanged.
         self.assertIn('by <i>ben</i>, 4 s ago: <b>', self.browser.text)
 
-    def test_nothing_from_users_is_markup(self):
+    def test_text_from_users_is_escaped(self):
         for path in ('backends', 'load'):
             self.browser.get(path)
             self.assertEqual([], self.browser.page.find_all('script'))
@@ -219,7 +222,7 @@
         self.assertEqual(404, self.browser.status)
         self.assertEqual([], self.browser.page.find_all('script'))
 
-    def test_forms_make_the_same_document_as_the_api(self):
+    def test_forms_produce_the_same_document_as_the_api(self):
         order = ('priorities', 'services', 'pools', 'routes', 'accounts')
         for section in order:
             for item in BRAZOS[section]:
@@ -236,17 +239,19 @@
         self.browser.get('history')
         self.assertIn('ana', self.browser.text)
 
-    def test_an_item_is_edited_and_removed(self):
+    def test_item_is_edited_and_removed(self):
         self.put(self.browser, 'priorities', **URGENT)
         self.put(self.browser, 'priorities', key='urgent', name='now')
         self.apply(self.browser)
-        self.assertEqual('now', self.accepted()['priorities'][0]['name'])
+        self.assertEqual(
+            'now', self.accepted_document()['priorities'][0]['name']
+        )
         self.browser.get('section?name=priorities')
         self.browser.send('remove')
         self.browser.get('draft')
         self.assertIn('removed', self.browser.text)
         self.browser.send('apply')
-        self.assertEqual([], self.accepted()['priorities'])
+        self.assertEqual([], self.accepted_document()['priorities'])
 
     @params(
         ({'rank': '0,5'}, 'valid integer'),
@@ -255,16 +260,16 @@
         ({'name': ''}, 'required'),
         ({'name': 'taken'}, 'one already'),
     )
-    def test_a_wrong_value_stays_in_the_form(self, wrong, told):
+    def test_wrong_value_stays_in_the_form(self, wrong, expected):
         self.put(self.browser, 'priorities', **(URGENT | {'name': 'taken'}))
         self.put(self.browser, 'priorities', **(URGENT | wrong))
         self.assertEqual(400, self.browser.status)
         ((name, value),) = wrong.items()
         field = self.browser.page.find(id=name)
         self.assertEqual(value, field['value'])
-        self.assertIn(told, field.find_parent('p').get_text())
+        self.assertIn(expected, field.find_parent('p').get_text())
 
-    def test_a_draft_with_problems_cannot_be_applied(self):
+    def test_draft_with_problems_cannot_be_applied(self):
         service = {'name': 'portal', 'kind': 'plain', 'timeout_s': 5}
         self.put(self.browser, 'services', **service)
         self.browser.get('draft')
@@ -275,13 +280,13 @@
         self.browser.get(link['href'].removeprefix('/console/'))
         self.assertEqual('portal', self.browser.page.find(id='name')['value'])
 
-    def test_a_conflict_shows_what_the_other_changed(self):
-        """Symptom: one operator's change undoes another's unseen.
+    def test_conflict_shows_the_other_change(self):
+        """A change must not silently undo that of another operator.
 
-        Sequence: both begin from one revision, both apply. Cause: the
-        second form holds the whole document as it was before the first.
+        Both edit the same revision and apply; the second form contains the
+        whole document as it was before the first change.
         """
-        other = self.another('token-of-bat')
+        other = self.signed_in_browser('token-of-bat')
         self.put(self.browser, 'priorities', **URGENT)
         patient = {'name': 'patient', 'rank': 1, 'max_wait_s': 30.0}
         self.put(other, 'priorities', **patient)
@@ -291,29 +296,33 @@
         self.assertEqual(409, self.browser.status)
         self.assertIn('bat has made revision 1', self.browser.text)
         self.assertIn('patient', self.browser.text)
-        self.assertEqual([patient], self.accepted()['priorities'])
+        self.assertEqual([patient], self.accepted_document()['priorities'])
         self.browser.send('carry-over')
         self.browser.send('apply')
-        self.assertEqual([patient, URGENT], self.accepted()['priorities'])
+        self.assertEqual(
+            [patient, URGENT], self.accepted_document()['priorities']
+        )
 
-    def test_an_item_that_both_changed_is_left_out_and_told(self):
-        other = self.another('token-of-bat')
+    def test_item_changed_by_both_is_left_out_and_shown(self):
+        other = self.signed_in_browser('token-of-bat')
         self.put(self.browser, 'priorities', **URGENT)
         self.put(other, 'priorities', **(URGENT | {'max_wait_s': 9}))
         self.apply(other)
         self.browser.get('draft')
         self.browser.send('carry-over')
         self.assertIn('changed by both operators', self.browser.text)
-        self.assertEqual(9, self.accepted()['priorities'][0]['max_wait_s'])
+        self.assertEqual(
+            9, self.accepted_document()['priorities'][0]['max_wait_s']
+        )
 
-    def test_an_item_of_an_older_page_undoes_nothing(self):
-        """Symptom: an operator's change is undone by another's form.
+    def test_item_of_an_outdated_page_is_refused(self):
+        """The form of an older revision must not undo a newer change.
 
-        Sequence: one opens an item's form; another changes that item and
-        applies; the first sends the form. Cause: a draft that begins from
-        the new revision takes the item as it was in the old one.
+        One operator opens an item's form; another changes the item and
+        applies; then the first sends the form. A draft of the new revision
+        would get the item of the old one.
         """
-        other = self.another('token-of-bat')
+        other = self.signed_in_browser('token-of-bat')
         self.put(other, 'priorities', **URGENT)
         self.apply(other)
         self.browser.get(URGENT_LINK)
@@ -324,12 +333,12 @@
         self.browser.get('draft')
         self.assertIn('There are no changes', self.browser.text)
 
-    def test_a_form_sent_again_is_the_same_change(self):
-        """Symptom: a change is made twice, or over somebody's later one.
+    def test_form_sent_again_is_the_same_change(self):
+        """A retry must neither apply a change twice nor undo a later one.
 
-        Sequence: the change is accepted, the answer is lost, another
-        change follows, the operator sends the form again. Cause: the form
-        doesn't name its change.
+        The change is accepted but the answer is lost; another change
+        follows; the operator sends the form again. The change id in the form
+        identifies the retry.
         """
         self.put(self.browser, 'priorities', **URGENT)
         self.api.control.answers_lost = True
@@ -337,16 +346,18 @@
         self.assertEqual(503, self.browser.status)
         self.assertIn('may still take effect', self.browser.text)
         self.api.control.answers_lost = False
-        other = self.another('token-of-bat')
+        other = self.signed_in_browser('token-of-bat')
         self.put(other, 'priorities', key='urgent', max_wait_s=9)
         self.apply(other)
         self.browser.send('apply')
         self.assertIn('Revision 1 is accepted', self.browser.text)
-        self.assertEqual(9, self.accepted()['priorities'][0]['max_wait_s'])
+        self.assertEqual(
+            9, self.accepted_document()['priorities'][0]['max_wait_s']
+        )
         self.browser.get('draft')
         self.assertIn('There are no changes', self.browser.text)
 
-    def test_a_form_outlives_the_instance_that_made_it(self):
+    def test_form_is_valid_after_a_restart_of_the_instance(self):
         self.put(self.browser, 'priorities', **URGENT)
         self.browser.get('draft')
         restarted = self.enterContext(operators_fake.border())
@@ -355,20 +366,20 @@
         current = restarted.control.current()
         self.assertEqual([URGENT], json.loads(current.document)['priorities'])
 
-    def test_discarding(self):
+    def test_draft_is_discarded(self):
         self.put(self.browser, 'priorities', **URGENT)
         self.browser.get('draft')
         self.browser.send('discard')
         self.assertIn('There are no changes', self.browser.text)
 
-    def test_signing_out(self):
+    def test_sign_out(self):
         self.browser.get('')
         self.browser.send('sign-out')
         self.assertEqual('/console/sign-in', self.browser.path)
         self.browser.get('draft')
         self.assertEqual('/console/sign-in', self.browser.path)
 
-    def test_no_majority_is_told(self):
+    def test_missing_majority_is_shown(self):
         self.api.control.cut_off = True
         self.browser.get('section?name=pools')
         self.assertEqual(503, self.browser.status)
@@ -386,14 +397,14 @@
     def make(self, settings) -> sessions.Sessions:
         return sessions.Sessions(settings=settings, clock=lambda: self.now)
 
-    def test_it_holds_at_any_instance_until_its_time(self):
+    def test_session_is_valid_at_any_instance_until_it_expires(self):
         other = self.make(operators_fake.make_settings())
         self.now += sessions.LIFETIME_S - 1
         self.assertEqual(self.ana, other.find_operator(self.cookie))
         self.now += 1
         self.assertIsNone(other.find_operator(self.cookie))
 
-    def test_it_ends_when_the_token_is_replaced(self):
+    def test_session_ends_when_the_token_is_replaced(self):
         replaced = self.ana.model_copy(update={'token_sha256': 'ab' * 32})
         changed = self.settings.model_copy(update={'operators': (replaced,)})
         self.assertIsNone(self.make(changed).find_operator(self.cookie))
@@ -406,18 +417,18 @@
         lambda cookie: re.sub(r'\.\d+\.', '.9999999999.', cookie),
         lambda cookie: cookie.rpartition('.')[0] + '.é',
     )
-    def test_a_forged_one_is_refused(self, forge):
+    def test_forged_cookie_is_refused(self, forge):
         forged = forge(self.cookie)
         self.assertIsNone(self.sessions.find_operator(forged))
 
 
 class DraftTest(unittest.TestCase):
-    def test_an_edit_after_sending_is_another_change(self):
-        """Symptom: an edit is told as accepted but isn't in the document.
+    def test_edit_after_sending_has_another_change_id(self):
+        """Otherwise an edit is reported as accepted but is not applied.
 
-        Sequence: a change is sent and its answer lost; the operator edits
-        on and applies. Cause: both went under one change id, so the second
-        got the first one's result.
+        A change is sent and its answer is lost; the operator edits further
+        and applies. With the same change id, the second change would get the
+        result of the first one.
         """
         found = drafts.Drafts(make_nonce=lambda: 'ab')
         current = control.Configuration(
