--- a/dandeliongw/borders/_console_editing.py
+++ b/dandeliongw/borders/_console_editing.py
@@ -129,7 +129,7 @@
         """Show the progress of an accepted change."""
         revision = _browser.read_revision(form, 'revision')
         progress = status_pages.in_force(self._control.in_force(revision))
-        link = layout.link(f'accepted?revision={revision}', 'Reload')
+        link = layout.link(f'accepted?revision={revision}', 'Check again')
         title = f'Revision {revision} is accepted'
         return show(who, title, progress, layout.paragraph(link))
 
--- a/dandeliongw/borders/answers.py
+++ b/dandeliongw/borders/answers.py
@@ -28,15 +28,15 @@
         gate: Gate,
         metrics: metrics_module.Metrics,
         request_id: str,
-        carrier: relay.Relay,
+        call_relay: relay.Relay,
     ) -> None:
         self._gate = gate
         self._metrics = metrics
         self._request_id = request_id
-        self._service = carrier.call.service
+        self._service = call_relay.call.service
         self._began_at = time.monotonic()
         self._last_at = self._began_at
-        self._pieces = carrier.pieces()
+        self._pieces = call_relay.pieces()
         self._first: typing.Any = None
 
     def first(self) -> typing.Any:
--- a/dandeliongw/borders/callers.py
+++ b/dandeliongw/borders/callers.py
@@ -99,7 +99,7 @@
             gate=self._gate,
             metrics=self._metrics,
             request_id=request_id,
-            carrier=self._gate.open_relay(
+            call_relay=self._gate.open_relay(
                 call=completion.call, work=work, request_id=request_id
             ),
         )
@@ -146,7 +146,7 @@
             gate=self._gate,
             metrics=self._metrics,
             request_id=request_id,
-            carrier=self._gate.open_relay(
+            call_relay=self._gate.open_relay(
                 call=call, work=work, request_id=request_id
             ),
         )
--- a/dandeliongw/borders/gateway.py
+++ b/dandeliongw/borders/gateway.py
@@ -22,7 +22,7 @@
 from .. import hosts
 from .. import metrics as metrics_module
 from .. import verdict
-from . import _body
+from . import _forwarded_body
 from . import calls
 from ..entry import relay
 from . import web
@@ -156,11 +156,11 @@
                 why=refusal.message,
             )
             return reply.refuse(refusal)
-        carrier = self._gate.open_passing(
+        call_relay = self._gate.open_passing(
             call=call, work=work, facts=facts, caller=incoming.conn.socket
         )
         forwarded = _ForwardedCall(
-            carrier=carrier,
+            call_relay=call_relay,
             gate=self._gate,
             reply=reply,
             facts=facts,
@@ -215,9 +215,9 @@
         reader = incoming.conn.rfile
         try:
             if b'Transfer-Encoding' in incoming.inheaders:
-                return _body.read_chunked(reader, max_bytes)
+                return _forwarded_body.read_chunked(reader, max_bytes)
             length = int(incoming.inheaders.get(b'Content-Length', b'0'))
-            body = _body.read_known(reader, length, max_bytes)
+            body = _forwarded_body.read_known(reader, length, max_bytes)
             # Without this, the HTTP server would wait for the body again: it
             # doesn't count bytes that are read from the connection itself.
             incoming.rfile.remaining = 0
@@ -277,7 +277,7 @@
     def __init__(
         self,
         *,
-        carrier: relay.Relay,
+        call_relay: relay.Relay,
         gate: Gate,
         reply: _Reply,
         facts: Facts,
@@ -286,14 +286,14 @@
         self._gate = gate
         self._metrics = metrics
         self._reply = reply
-        self._request_id = carrier.request_id
-        self._items = carrier.pieces()
+        self._request_id = call_relay.request_id
+        self._items = call_relay.pieces()
         self._began_at = clock.now()
         self._first_at: float | None = None
         self._pieces = 0
-        self._call = carrier.call
+        self._call = call_relay.call
         self._log = logger.bind(
-            request_id=facts.request_id, host=carrier.call.host
+            request_id=facts.request_id, host=call_relay.call.host
         )
 
     def answer(self) -> abc.Iterable[bytes]:
--- a/dandeliongw/borders/pages/status.py
+++ b/dandeliongw/borders/pages/status.py
@@ -170,10 +170,7 @@
         )
         for each in suspects
     ]
-    headings = (
-        *('Call', 'Quarantined', 'Backend servers that ended'),
-        *('Lifted', 'Lift'),
-    )
+    headings = ('Call', 'Quarantined', 'Ended servers', 'Lifted', 'Lift')
     return [layout.table('Calls suspected of ending servers', headings, rows)]
 
 
--- a/dandeliongw/borders/web.py
+++ b/dandeliongw/borders/web.py
@@ -51,7 +51,7 @@
 
 
 class _Request(cheroot.server.HTTPRequest):
-    """Refuses ambiguous requests and closes their connections."""
+    """Refuses ambiguous requests; announces that the connection is closed."""
 
     header_reader = _headers.StrictHeaderReader()
 
--- a/tests/test_body.py
+++ b/tests/test_body.py
@@ -5,7 +5,7 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import _body
+from dandeliongw.borders import _forwarded_body
 from dandeliongw.borders import calls
 from dandeliongw import verdict
 
@@ -21,7 +21,7 @@
 
     def read(self, data):
         self.reader = io.BytesIO(data)
-        return _body.read_chunked(self.reader, MAX_BYTES)
+        return _forwarded_body.read_chunked(self.reader, MAX_BYTES)
 
     @params(
         (b'3\r\nabc\r\n0\r\n\r\nnext', b'abc'),
@@ -63,10 +63,10 @@
 class KnownLengthTest(unittest.TestCase):
     def test_truncated_body_is_refused(self):
         with self.assertRaises(calls.BadCall):
-            _body.read_known(io.BytesIO(b'ab'), 3, MAX_BYTES)
+            _forwarded_body.read_known(io.BytesIO(b'ab'), 3, MAX_BYTES)
 
     def test_body_over_the_limit_is_refused_unread(self):
         reader = io.BytesIO(b'x' * 101)
         with self.assertRaises(calls.BadCall):
-            _body.read_known(reader, 101, MAX_BYTES)
+            _forwarded_body.read_known(reader, 101, MAX_BYTES)
         self.assertEqual(reader.tell(), 0)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -50,22 +50,22 @@
         #: Number of calls to leave unanswered.
         self.calls_to_hold = 0
         #: Relays of the unanswered calls, and a semaphore that counts them.
-        self.carriers = []
+        self.call_relays = []
         self.held = threading.Semaphore(0)
 
     def open_relay(self, *, call, work, request_id):
         self.opened.append((call, work))
         self.open_ids.add(request_id)
-        carrier = relay.Relay(
+        call_relay = relay.Relay(
             request_id=request_id,
             call=call,
             work=work,
             backends=None,
-            post=lambda make_event: self._post(carrier, make_event),
+            post=lambda make_event: self._post(call_relay, make_event),
         )
-        return carrier
+        return call_relay
 
-    def _post(self, carrier, make_event):
+    def _post(self, call_relay, make_event):
         event = make_event(now=0.0)
         if isinstance(event, events.RequestClosed):
             self.closed.release()
@@ -73,19 +73,21 @@
             return
         if self.calls_to_hold:
             self.calls_to_hold -= 1
-            self.carriers.append(carrier)
+            self.call_relays.append(call_relay)
             self.held.release()
             return
         if self.refusal is not None:
-            self.refuse(carrier)
+            self.refuse(call_relay)
             return
-        carrier.give(
+        call_relay.give(
             effects.Replay(request_id=event.request_id, outcome=RECORDED)
         )
 
-    def refuse(self, carrier):
-        carrier.give(
-            effects.Refuse(request_id=carrier.request_id, refusal=self.refusal)
+    def refuse(self, call_relay):
+        call_relay.give(
+            effects.Refuse(
+                request_id=call_relay.request_id, refusal=self.refusal
+            )
         )
 
     def close_relay(self, request_id):
@@ -423,7 +425,7 @@
             gate=gate,
             metrics=metrics.Metrics(),
             request_id='r',
-            carrier=gate.open_relay(
+            call_relay=gate.open_relay(
                 call=call, work=relay.Work(), request_id='r'
             ),
         )
@@ -465,8 +467,8 @@
                 self.assertTrue(served.gate.held.acquire(timeout=TIMEOUT_S))
             answer = served.send(raw(BOOKING))
             self.assertEqual(answer.error['reason'], 'instance_full')
-            for carrier in served.gate.carriers:
-                served.gate.refuse(carrier)
+            for call_relay in served.gate.call_relays:
+                served.gate.refuse(call_relay)
 
 
 class Pages(unittest.TestCase):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -53,11 +53,11 @@
         return self
 
     def get(self, path: str) -> None:
-        self._ask('GET', f'/console/{path}')
+        self._request('GET', f'/console/{path}')
 
     def post(self, path: str, /, headers=None, **fields) -> None:
         body = urllib.parse.urlencode(fields, doseq=True)
-        self._ask('POST', f'/console/{path}', body, headers or {})
+        self._request('POST', f'/console/{path}', body, headers or {})
 
     def send(self, action: str, /, **filled) -> None:
         """Send the first form of the page that has this action.
@@ -67,7 +67,7 @@
         form = self.page.find('form', action=f'/console/{action}')
         self.post(action, **(form_values(form) | filled))
 
-    def _ask(self, method, path, body=None, headers=None) -> None:
+    def _request(self, method, path, body=None, headers=None) -> None:
         given = {'Cookie': self.cookie} | (headers or {})
         if body is not None:
             given['Content-Type'] = 'application/x-www-form-urlencoded'
@@ -77,7 +77,7 @@
             self.cookie = self.set_cookie.partition(';')[0]
         if answer.status == 303:
             target = urllib.parse.urlsplit(answer.headers['Location'])
-            self._ask('GET', f'{target.path}?{target.query}'.rstrip('?'))
+            self._request('GET', f'{target.path}?{target.query}'.rstrip('?'))
             return
         self.path, self.status = path, answer.status
         # Strict: a page that a browser would have to repair is an error.
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -105,18 +105,18 @@
     def open_passing(self, *, call, work, facts, caller):
         self.opened.append((call, work))
         script = iter(self.script)
-        carrier = relay.Relay(
+        call_relay = relay.Relay(
             request_id='r',
             call=call,
             work=work,
             backends=self,
-            post=lambda make: self._post(carrier, script, make(now=0.0)),
+            post=lambda make: self._post(call_relay, script, make(now=0.0)),
         )
-        return carrier
+        return call_relay
 
-    def _post(self, carrier, script, event):
+    def _post(self, call_relay, script, event):
         if isinstance(event, events.RequestArrived | events.StepEnded):
-            carrier.give(next(script))
+            call_relay.give(next(script))
         if isinstance(event, events.RequestClosed):
             self.closed.release()
 
@@ -163,7 +163,7 @@
 
 
 @contextlib.contextmanager
-def border(gate, counts=None):
+def serving(gate, counts=None):
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
     application = gateway.Gateway(
         gate=gate, dialect=Dialect(), metrics=counts or metrics.Metrics()
@@ -183,8 +183,8 @@
     return test_callers.raw(line, body, 'X-Name: n1', *headers)
 
 
-def ask(gate, sent):
-    with border(gate) as port, connect(port) as caller:
+def send(gate, sent):
+    with serving(gate) as port, connect(port) as caller:
         caller.sendall(sent)
         return test_callers.read_answer(caller)
 
@@ -202,7 +202,7 @@
             'X-Hop: h',
             'Keep-Alive: timeout=3',
         )
-        ask(gate, sent)
+        send(gate, sent)
         ((call, work),) = gate.opened
         self.assertEqual((call.host, call.path), ('here', '/a//b/'))
         self.assertEqual(
@@ -232,7 +232,7 @@
         made = []
         for each in sent:
             gate = Gate(refused)
-            ask(gate, each)
+            send(gate, each)
             ((call, _),) = gate.opened
             self.assertEqual('127.0.0.1', call.address)
             made.append(fingerprints.Fingerprints(secret=None).of(call))
@@ -245,13 +245,13 @@
             gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
             header = (f'Authorization: {value}',) if value else ()
             line = test_callers.raw('GET /a', b'', 'X-Name: n1', *header)
-            ask(gate, line)
+            send(gate, line)
             ((call, _),) = gate.opened
             made.append(fingerprints.Fingerprints(secret=None).of(call))
         self.assertEqual(is_same, made[0] == made[1])
 
     def test_stream_is_forwarded_unchanged(self):
-        answer = ask(Gate(DECODE, COMPLETE), raw())
+        answer = send(Gate(DECODE, COMPLETE), raw())
         self.assertEqual((answer.status, answer.body), (200, b''.join(EVENTS)))
         self.assertEqual(answer.headers['x-seal'], 's')
         self.assertNotIn('connection', answer.headers)
@@ -261,7 +261,7 @@
         reply = engine.Reply(status=200, content_type='', body=b'')
         called = Gate(CALL, COMPLETE, reply=reply)
         for gate in (Gate(DECODE, COMPLETE), called):
-            with border(gate, counts) as port, connect(port) as caller:
+            with serving(gate, counts) as port, connect(port) as caller:
                 caller.sendall(raw())
                 test_callers.read_answer(caller)
                 gate.closed.acquire(timeout=test_callers.TIMEOUT_S)
@@ -277,7 +277,7 @@
         gate = Gate(
             DECODE, refuse(REASON.BACKEND_FAILED, MAY_HAVE_RUN), last=broken
         )
-        with border(gate) as port, connect(port) as caller:
+        with serving(gate) as port, connect(port) as caller:
             caller.sendall(raw())
             got = b''
             while more := caller.recv(65536):
@@ -294,7 +294,7 @@
             body=b'sorry',
             headers=(('X-Seal', 's'), ('Content-Length', '99')),
         )
-        answer = ask(
+        answer = send(
             Gate(
                 CALL, refuse(REASON.BACKEND_FAILED, MAY_HAVE_RUN), reply=reply
             ),
@@ -305,7 +305,7 @@
 
     def test_call_that_has_not_run_gets_503_after_a_failure(self):
         reply = engine.Reply(status=500, content_type='', body=b'')
-        answer = ask(
+        answer = send(
             Gate(CALL, refuse(REASON.NO_BACKEND, NOT_RUN), reply=reply), raw()
         )
         self.assertEqual(answer.status, 503)
@@ -325,7 +325,7 @@
         self, reason, known, status
     ):
         """Otherwise callers would resend a booking that was made already."""
-        answer = ask(Gate(refuse(reason, known, 0.25)), raw())
+        answer = send(Gate(refuse(reason, known, 0.25)), raw())
         self.assertEqual(answer.status, status)
         wait = answer.headers.get('retry-after')
         self.assertEqual(wait, '0.25' if status == 503 else None)
@@ -333,7 +333,7 @@
     def test_connections_are_closed_while_shutting_down(self):
         gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
         gate.is_leaving = True
-        self.assertTrue(ask(gate, raw()).closes)
+        self.assertTrue(send(gate, raw()).closes)
 
 
 class BadInputTest(unittest.TestCase):
@@ -350,7 +350,7 @@
     def test_ambiguous_call_ends_its_connection(self, sent):
         """Otherwise the rest of the call could be run as another call."""
         gate = Gate()
-        with border(gate) as port, connect(port) as caller:
+        with serving(gate) as port, connect(port) as caller:
             caller.sendall(sent + raw())
             answer = test_callers.read_answer(caller)
             self.assertIn(answer.status, (400, 413))
@@ -363,7 +363,7 @@
         chunked = raw(
             'POST /a', b'3\r\nabc\r\n0\r\n\r\n', 'Transfer-Encoding: chunked'
         )
-        with border(gate) as port, connect(port) as caller:
+        with serving(gate) as port, connect(port) as caller:
             for sent in (chunked, raw('GET /second')):
                 caller.sendall(sent)
                 test_callers.read_answer(caller)
