--- a/dandeliongw/borders/_console_base.py
+++ b/dandeliongw/borders/_console_base.py
@@ -22,8 +22,8 @@
 Handler = abc.Callable[..., bytes]
 
 
-class SignedIn(msgspec.Struct, frozen=True, kw_only=True):
-    """The signed-in operator, and the form token of the session."""
+class ConsoleSession(msgspec.Struct, frozen=True, kw_only=True):
+    """A session: the name of the signed-in operator, and the form token."""
 
     operator: str
     form_token: str
@@ -35,10 +35,10 @@
     @functools.wraps(handler)
     def show(self: 'Pages', **form: typing.Any) -> bytes:
         _browser.allow('GET', 'HEAD')
-        who = self._signed_in()
-        if who is None:
+        session = self._find_session()
+        if session is None:
             raise _browser.see_other('sign-in')
-        return handler(self, who, form)
+        return handler(self, session, form)
 
     return show
 
@@ -53,13 +53,13 @@
     def act(self: 'Pages', **form: typing.Any) -> bytes:
         _browser.allow('POST')
         _browser.check_origin()
-        who = self._signed_in()
-        if who is None:
+        session = self._find_session()
+        if session is None:
             raise cherrypy.HTTPError(403, 'Sign in, then send it again.')
         given = forms.text(form, 'form_token')
         if not self._sessions.is_form_token(_browser.cookie(), given):
             raise cherrypy.HTTPError(403, 'This form is of another session.')
-        return handler(self, who, form)
+        return handler(self, session, form)
 
     return act
 
@@ -84,12 +84,12 @@
         self._sessions = sessions.Sessions(settings=settings, clock=clock)
         self._drafts = drafts.Drafts()
 
-    def _signed_in(self) -> SignedIn | None:
+    def _find_session(self) -> ConsoleSession | None:
         cookie = _browser.cookie()
         operator = self._sessions.find_operator(cookie)
         if operator is None:
             return None
-        return SignedIn(
+        return ConsoleSession(
             operator=operator.name,
             form_token=self._sessions.form_token(cookie),
         )
@@ -100,21 +100,26 @@
             raise cherrypy.HTTPError(503, current.message)
         return current
 
-    def _edited_document(self, who: SignedIn) -> tuple[int, differences.Tree]:
+    def _edited_document(
+        self, session: ConsoleSession
+    ) -> tuple[int, differences.Tree]:
         """Return the draft, or else the current document.
 
         :return: the revision on which it is based, and the document.
         """
-        draft = self._drafts.find(who.operator)
+        draft = self._drafts.find(session.operator)
         if draft is not None:
             return draft.base.revision, draft.tree
         current = self._current()
         return current.revision, json.loads(current.document)
 
 
-def show(who: SignedIn, title: str, *content: typing.Any) -> bytes:
+def show(session: ConsoleSession, title: str, *content: typing.Any) -> bytes:
     """Return a page with the navigation for signed-in operators."""
     cherrypy.response.headers.update(_browser.HEADERS)
     return layout.page(
-        title, *content, operator=who.operator, form_token=who.form_token
+        title,
+        *content,
+        operator=session.operator,
+        form_token=session.form_token,
     )
--- a/dandeliongw/borders/_console_editing.py
+++ b/dandeliongw/borders/_console_editing.py
@@ -15,9 +15,9 @@
 from . import control as controls
 from . import drafts
 from ._console_base import action
+from ._console_base import ConsoleSession
 from ._console_base import page
 from ._console_base import show
-from ._console_base import SignedIn
 from .pages import editing
 from .pages import forms
 from .pages import layout
@@ -29,13 +29,15 @@
 
     @cherrypy.expose
     @page
-    def section(self, who: SignedIn, form: forms.Form) -> bytes:
+    def section(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show one section of the draft, or of the current document."""
         name = _browser.read_section(form, 'name')
-        revision, tree = self._edited_document(who)
-        content = editing.section(name, revision, tree, who.form_token)
-        draft = self._drafts.find(who.operator)
-        return show(who, name.capitalize(), editing.pending(draft), content)
+        revision, tree = self._edited_document(session)
+        content = editing.section(name, revision, tree, session.form_token)
+        draft = self._drafts.find(session.operator)
+        return show(
+            session, name.capitalize(), editing.pending(draft), content
+        )
 
     @cherrypy.expose
     def item(self, **form: typing.Any) -> bytes:
@@ -45,57 +47,57 @@
         return self._show_item(**form)
 
     @page
-    def _show_item(self, who: SignedIn, form: forms.Form) -> bytes:
+    def _show_item(self, session: ConsoleSession, form: forms.Form) -> bytes:
         name, key = _browser.read_section(form), forms.text(form, 'key')
-        _, tree = self._edited_document(who)
+        _, tree = self._edited_document(session)
         items = differences.items_by_key(tree, name)
         if key and key not in items:
             raise cherrypy.HTTPError(404, 'There is no such item any more.')
-        return self._item_form(who, name, key, items.get(key, {}), ())
+        return self._item_form(session, name, key, items.get(key, {}), ())
 
     @action
-    def _put_item(self, who: SignedIn, form: forms.Form) -> bytes:
+    def _put_item(self, session: ConsoleSession, form: forms.Form) -> bytes:
         name, key = _browser.read_section(form), forms.text(form, 'key')
-        _, tree = self._edited_document(who)
+        _, tree = self._edited_document(session)
         value = forms.read_item(forms.fields_of(name, tree), form)
         problems = forms.check_item(name, value)
         problems = problems or _check_unique(tree, name, key, value)
         if problems:
             cherrypy.response.status = 400
-            return self._item_form(who, name, key, value, problems)
-        return self._replace(who, form, name, key, value)
+            return self._item_form(session, name, key, value, problems)
+        return self._replace(session, form, name, key, value)
 
     @cherrypy.expose
     @action
-    def remove(self, who: SignedIn, form: forms.Form) -> bytes:
+    def remove(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Remove an item from the draft."""
         name, key = _browser.read_section(form), forms.text(form, 'key')
-        return self._replace(who, form, name, key, None)
+        return self._replace(session, form, name, key, None)
 
     @cherrypy.expose
     @page
-    def draft(self, who: SignedIn, form: forms.Form) -> bytes:
+    def draft(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show the changes of the draft, and the form that applies it."""
-        return self._review(who)
+        return self._review(session)
 
     @cherrypy.expose
     @action
-    def discard(self, who: SignedIn, form: forms.Form) -> bytes:
+    def discard(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Delete the draft."""
-        self._drafts.discard(who.operator)
+        self._drafts.discard(session.operator)
         raise _browser.see_other('draft')
 
     @cherrypy.expose
     @action
-    def carry_over(self, who: SignedIn, form: forms.Form) -> bytes:
+    def carry_over(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Rebase the draft on the current document."""
-        left_out = self._drafts.carry_over(who.operator, self._current())
+        left_out = self._drafts.carry_over(session.operator, self._current())
         notes = editing.left_out(left_out) if left_out else []
-        return self._review(who, *notes)
+        return self._review(session, *notes)
 
     @cherrypy.expose
     @action
-    def apply(self, who: SignedIn, form: forms.Form) -> bytes:
+    def apply(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Propose the document in the form."""
         document = _browser.read_document(form)
         change_id = _browser.read_change_id(form)
@@ -103,39 +105,39 @@
         result = changes.propose(
             self._control,
             change_id=change_id,
-            author=who.operator,
+            author=session.operator,
             expected_revision=revision,
             document=document,
         )
         if isinstance(result, controls.Applied):
-            self._drafts.discard(who.operator, change_id)
+            self._drafts.discard(session.operator, change_id)
             raise _browser.see_other('accepted', revision=result.revision)
         if isinstance(result, controls.Unavailable):
             cherrypy.response.status = 503
             retry_form = _apply_form(
-                who, document, change_id, revision, 'Send the change again'
+                session, document, change_id, revision, 'Send the change again'
             )
             content = editing.unknown_result(result.message, retry_form)
-            return show(who, 'Result unknown', content)
+            return show(session, 'Result unknown', content)
         cherrypy.response.status = 409
         if isinstance(result, controls.ChangeIdReused):
             alert = editing.change_id_reused(result.change_id)
-            return show(who, 'Not applied', alert)
-        return self._explain_conflict(who, document, result.current)
+            return show(session, 'Not applied', alert)
+        return self._explain_conflict(session, document, result.current)
 
     @cherrypy.expose
     @page
-    def accepted(self, who: SignedIn, form: forms.Form) -> bytes:
+    def accepted(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show the progress of an accepted change."""
         revision = _browser.read_revision(form, 'revision')
         progress = status_pages.in_force(self._control.in_force(revision))
         link = layout.link(f'accepted?revision={revision}', 'Check again')
         title = f'Revision {revision} is accepted'
-        return show(who, title, progress, layout.paragraph(link))
+        return show(session, title, progress, layout.paragraph(link))
 
     def _replace(
         self,
-        who: SignedIn,
+        session: ConsoleSession,
         form: forms.Form,
         name: str,
         key: str,
@@ -151,7 +153,7 @@
         :param value: the new item, or ``None`` to remove it.
         """
         was_edited = self._drafts.edit(
-            who.operator,
+            session.operator,
             self._current(),
             _browser.read_revision(form, 'revision'),
             lambda tree: differences.replace(tree, name, key, value),
@@ -159,17 +161,19 @@
         if was_edited:
             raise _browser.see_other('section', name=name)
         cherrypy.response.status = 409
-        return show(who, 'The page is out of date', editing.out_of_date(name))
+        return show(
+            session, 'The page is out of date', editing.out_of_date(name)
+        )
 
     def _item_form(
         self,
-        who: SignedIn,
+        session: ConsoleSession,
         name: str,
         key: str,
         value: differences.Item,
         problems: abc.Sequence[exceptions.Problem],
     ) -> bytes:
-        revision, tree = self._edited_document(who)
+        revision, tree = self._edited_document(session)
         content = editing.item(
             name=name,
             key=key,
@@ -177,63 +181,67 @@
             tree=tree,
             value=value,
             problems=problems,
-            form_token=who.form_token,
+            form_token=session.form_token,
         )
-        return show(who, editing.item_title(name, key), content)
+        return show(session, editing.item_title(name, key), content)
 
-    def _review(self, who: SignedIn, *notes: typing.Any) -> bytes:
+    def _review(self, session: ConsoleSession, *notes: typing.Any) -> bytes:
         title = 'Review and apply'
-        draft = self._drafts.find(who.operator)
+        draft = self._drafts.find(session.operator)
         if draft is None or not draft.differences():
             no_changes = layout.paragraph('There are no changes.')
-            return show(who, title, *notes, no_changes)
+            return show(session, title, *notes, no_changes)
         current = self._current()
         if current.revision != draft.base.revision:
-            notes = (*notes, _outdated(who, draft, current))
+            notes = (*notes, _outdated(session, draft, current))
             apply = None
         else:
-            apply = _apply_or_problems(who, draft)
-        content = editing.own_changes(draft, apply, who.form_token)
-        return show(who, title, *notes, content)
+            apply = _apply_or_problems(session, draft)
+        content = editing.own_changes(draft, apply, session.form_token)
+        return show(session, title, *notes, content)
 
     def _explain_conflict(
         self,
-        who: SignedIn,
+        session: ConsoleSession,
         document: documents.Document,
         current: controls.Configuration,
     ) -> bytes:
         title = 'Another change came first'
-        draft = self._drafts.find(who.operator)
+        draft = self._drafts.find(session.operator)
         if draft is not None and draft.base.revision != current.revision:
-            return show(who, title, _outdated(who, draft, current))
+            return show(session, title, _outdated(session, draft, current))
         # Without the draft, the base of the change is unknown.
         found = differences.find(
             json.loads(current.document),
             json.loads(documents.document_bytes(document)),
         )
-        return show(who, title, editing.conflict(current, found))
+        return show(session, title, editing.conflict(current, found))
 
 
 def _outdated(
-    who: SignedIn, draft: drafts.Draft, current: controls.Configuration
+    session: ConsoleSession,
+    draft: drafts.Draft,
+    current: controls.Configuration,
 ) -> typing.Any:
     tree = json.loads(current.document)
-    return editing.outdated_draft(draft, current, tree, who.form_token)
+    return editing.outdated_draft(draft, current, tree, session.form_token)
 
 
-def _apply_or_problems(who: SignedIn, draft: drafts.Draft) -> typing.Any:
+def _apply_or_problems(
+    session: ConsoleSession, draft: drafts.Draft
+) -> typing.Any:
     try:
         body = json.dumps(draft.tree).encode()
         document = documents.parse_document(body)
     except exceptions.InvalidInput as error:
         return editing.document_problems(draft, error.problems)
     return _apply_form(
-        who, document, draft.change_id, draft.base.revision, 'Apply'
+        session, document, draft.change_id, draft.base.revision, 'Apply'
     )
 
 
 def _apply_form(
-    who: SignedIn,
+    session: ConsoleSession,
     document: documents.Document,
     change_id: str,
     expected_revision: int,
@@ -244,7 +252,7 @@
         document=documents.document_bytes(document).decode(),
         change_id=change_id,
         expected_revision=expected_revision,
-        form_token=who.form_token,
+        form_token=session.form_token,
     )
 
 
--- a/dandeliongw/borders/console.py
+++ b/dandeliongw/borders/console.py
@@ -15,9 +15,9 @@
 from . import tokens
 from ._browser import error_page
 from ._console_base import action
+from ._console_base import ConsoleSession
 from ._console_base import page
 from ._console_base import show
-from ._console_base import SignedIn
 from .pages import editing
 from .pages import forms
 from .pages import layout
@@ -57,57 +57,57 @@
 
     @cherrypy.expose
     @action
-    def sign_out(self, who: SignedIn, form: forms.Form) -> bytes:
+    def sign_out(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Delete the session cookie."""
         _browser.set_cookie('', 0)
         raise _browser.see_other('sign-in')
 
     @cherrypy.expose
     @page
-    def index(self, who: SignedIn, form: forms.Form) -> bytes:
+    def index(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show instances, leases and the progress of the last change."""
-        draft = self._drafts.find(who.operator)
+        draft = self._drafts.find(session.operator)
         content = status_pages.overview(self._control.status())
-        return show(who, 'Overview', editing.pending(draft), content)
+        return show(session, 'Overview', editing.pending(draft), content)
 
     @cherrypy.expose
     @page
-    def backends(self, who: SignedIn, form: forms.Form) -> bytes:
+    def backends(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show the backend servers."""
         content = status_pages.backends(self._control.backends())
-        return show(who, 'Backend servers', content)
+        return show(session, 'Backend servers', content)
 
     @cherrypy.expose
     @page
-    def load(self, who: SignedIn, form: forms.Form) -> bytes:
+    def load(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show slots and queues."""
         content = status_pages.load(self._control.status()['pools'])
-        return show(who, 'Slots and queues', content)
+        return show(session, 'Slots and queues', content)
 
     @cherrypy.expose
     @page
-    def reasons(self, who: SignedIn, form: forms.Form) -> bytes:
+    def reasons(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show refusals, retries and wasted prefill by reason."""
         title = f'Refusals and retries of {self._settings.instance_id}'
-        return show(who, title, status_pages.reasons(self._metrics))
+        return show(session, title, status_pages.reasons(self._metrics))
 
     @cherrypy.expose
     @page
-    def quarantine(self, who: SignedIn, form: forms.Form) -> bytes:
+    def quarantine(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show the calls in quarantine, and other suspected ones."""
         content = status_pages.quarantine(
-            self._control.suspects(), who.form_token
+            self._control.suspects(), session.form_token
         )
-        return show(who, 'Quarantine', content)
+        return show(session, 'Quarantine', content)
 
     @cherrypy.expose
     @action
-    def lift(self, who: SignedIn, form: forms.Form) -> bytes:
+    def lift(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Lift the quarantine of a call."""
         call = _browser.read_call(form)
         is_known = self._control.lift(
             call=call,
-            operator=who.operator,
+            operator=session.operator,
             reason=_browser.read_reason(form),
         )
         if not is_known:
@@ -118,10 +118,10 @@
 
     @cherrypy.expose
     @page
-    def history(self, who: SignedIn, form: forms.Form) -> bytes:
+    def history(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Show who changed the document and when."""
         content = status_pages.history(self._control.history())
-        return show(who, 'History', content)
+        return show(session, 'History', content)
 
 
 def _sign_in_page(problem: str | None = None) -> bytes:
--- a/dandeliongw/borders/pages/status.py
+++ b/dandeliongw/borders/pages/status.py
@@ -194,8 +194,8 @@
         'lift',
         form_token,
         layout.hidden('call', call),
-        markup.tag('label', 'Why it may run again', field),
-        markup.tag('button', 'Let it run'),
+        markup.tag('label', 'Why the call may run again', field),
+        markup.tag('button', 'Lift the quarantine'),
     )
 
 
