--- a/dandeliongw/borders/gateway.py
+++ b/dandeliongw/borders/gateway.py
@@ -1,8 +1,9 @@
 """HTTP front end for calls by host route, which are forwarded unchanged.
 
 One WSGI application for one port. A :class:`Dialect` parses the headers that
-are specific to a platform; the document's host routes select the pool. The
-handler's thread stays with its call until the answer has ended.
+are specific to a platform; the document's host routes map a host and a path
+to services. The handler's thread stays with its call until the answer has
+ended.
 """
 
 from collections import abc
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -188,7 +188,7 @@
 BOOKING = 'POST /services/portal/bookings'
 
 
-class BadInput(unittest.TestCase):
+class BadInputTest(unittest.TestCase):
     @params(
         ({'prompt': ['a']}, 'prompt: given ["a"]'),
         ({'prompt': ''}, 'prompt: given ""'),
@@ -343,7 +343,7 @@
         )
 
 
-class PlainCalls(unittest.TestCase):
+class PlainCallsTest(unittest.TestCase):
     @params(
         '/lookup/',
         '/a//b',
@@ -391,7 +391,7 @@
         self.assertEqual(digests[1], digests[2])
 
 
-class Ends(unittest.TestCase):
+class AnswerEndTest(unittest.TestCase):
     @params(completion(), completion(stream=True), raw(BOOKING))
     def test_refused_call_is_closed(self, call):
         """Without this, each refused call would leak a relay and a watch.
@@ -471,7 +471,7 @@
                 served.gate.refuse(call_relay)
 
 
-class Pages(unittest.TestCase):
+class CallersPageTest(unittest.TestCase):
     def test_callers_page_lists_every_reason_with_its_status(self):
         page = pathlib.Path('docs/CALLERS.md').read_text()
         for reason in verdict.RefusalReason:
