--- a/tests/on_platform.py
+++ b/tests/on_platform.py
@@ -1,4 +1,4 @@
-"""Makes the platform's adapter importable, and examples of its messages."""
+"""Makes the platform's adapter importable; has examples of its messages."""
 
 import copy
 import pathlib
@@ -95,9 +95,10 @@
 
 
 def changed(message, path, value):
-    """Return a message with one field changed, or left out for ``None``.
+    """Return a copy of a message with one field changed.
 
-    :param path: of names and indices.
+    :param path: the names and indices that lead to the field.
+    :param value: the new value; ``None`` removes the field.
     """
     copied = copy.deepcopy(message)
     target = copied
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -1,4 +1,4 @@
-"""The runner tells a proof from a partial sweep and from a vacuous one."""
+"""The model checker accepts complete searches that reach wanted states."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 
 class ModelcheckTest(unittest.TestCase):
-    def test_a_complete_sweep_counts_its_states(self):
+    def test_a_complete_search_counts_its_states(self):
         self.assertEqual((6, []), modelcheck.check_model(bounded()))
 
     def test_a_violation_comes_with_its_steps(self):
@@ -34,22 +34,22 @@
             ['small is violated:\n    1. add\n    2. add'], faults
         )
 
-    def test_a_partial_sweep_is_no_proof(self):
+    def test_a_partial_search_is_no_proof(self):
         _, faults = modelcheck.check_model(bounded(max_states=3))
         self.assertIn('not exhaustive', faults[0])
 
-    def test_a_model_in_which_nothing_happens_is_no_proof(self):
+    def test_a_model_that_misses_a_wanted_state_is_no_proof(self):
         model = bounded(reached={'ten': lambda state: state['n'] == 10})
         _, faults = modelcheck.check_model(model)
         self.assertEqual(['reaches ten: no state does'], faults)
 
-    def test_a_mutant_ends_at_its_first_violation(self):
+    def test_the_search_of_a_mutant_ends_at_its_first_violation(self):
         found = modelcheck.find_counterexample([bounded(safe_below=3)])
         self.assertEqual('small', found[0])
         self.assertEqual(4, len(found[1]))
         self.assertIsNone(modelcheck.find_counterexample([bounded()]))
 
-    def test_every_specification_keeps_the_contract(self):
+    def test_every_specification_follows_the_contract(self):
         modules = modelcheck.find_specifications(modelcheck.SPECS_FOLDER)
         self.assertIn('specs.register_spec', [m.__name__ for m in modules])
         for module in modules:
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration becomes the document, or is refused."""
+"""Translation of the operators' configuration into the document."""
 
 import json
 import unittest
@@ -27,7 +27,7 @@
         kept = document.parse_document(body).source
         self.assertEqual(json.loads(kept), on_platform.CONFIGURATION)
 
-    def test_a_stream_that_may_go_on_elsewhere(self):
+    def test_a_resumable_stream(self):
         route = self.made.route_table.find('one.example', '/s/x')
         self.assertEqual(route.repeat, 'resume')
         self.assertEqual((route.max_runs, route.timeout_s), (2, 14.0))
@@ -65,7 +65,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Nothing of a configuration that is refused comes into force."""
+    """An invalid configuration is refused as a whole."""
 
     @params(
         (['version'], None, 'version'),
@@ -86,7 +86,7 @@
         paths = ' '.join(each.path for each in caught.exception.problems)
         self.assertIn(named, paths)
 
-    def test_weights_that_add_up_to_nothing(self):
+    def test_weights_that_add_up_to_zero(self):
         message = json.loads(json.dumps(on_platform.CONFIGURATION))
         for target in message['routes'][1]['backends']:
             target['weight'] = 0
@@ -95,6 +95,6 @@
         self.assertIn('weights add up to 0', str(caught.exception))
 
     @params(b'', b'{', b'[]', b'"text"', b'\xff', b'{"version": 7')
-    def test_what_is_cut_short_or_no_object(self, body):
+    def test_a_body_that_is_truncated_or_no_object_is_refused(self, body):
         with self.assertRaises(exceptions.InvalidInput):
             configuration.parse(body)
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -18,23 +18,25 @@
 from adapter import control
 from adapter import ports
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class Desk:
+    """Records the messages of backend servers."""
+
     def __init__(self):
-        self.said = []
+        self.messages = []
 
     def announce(self, announcement):
-        self.said.append(announcement)
+        self.messages.append(announcement)
         return backends.PresenceAnswer.ACCEPTED
 
     def leave(self, leaving):
-        self.said.append(leaving)
+        self.messages.append(leaving)
 
 
 class Operators:
-    """Holds one document, as the register would."""
+    """Stores one document, in place of the register."""
 
     def __init__(self):
         self.order = 0
@@ -77,8 +79,8 @@
         yield f'http://127.0.0.1:{port.number}'
 
 
-def ask(application, method, path, body=None):
-    """Return status and body of one call."""
+def request(application, method, path, body=None):
+    """Return status and body of the answer to one request."""
     encoded = body
     if body is not None and not isinstance(body, bytes):
         encoded = json.dumps(body).encode()
@@ -89,7 +91,7 @@
             body=encoded,
             headers={'Content-Type': 'application/json'},
             retries=False,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
         return answer.status, answer.data
 
@@ -107,52 +109,52 @@
             inner=inner, desk=self.desk, operators=self.operators
         )
 
-    def ask(self, method, path, body=None):
-        return ask(self.application, method, path, body)
+    def request(self, method, path, body=None):
+        return request(self.application, method, path, body)
 
     def test_a_heartbeat_announces_a_backend_server(self):
-        status, _ = self.ask('PUT', '/instances/i-1', on_platform.BEAT)
+        status, _ = self.request('PUT', '/instances/i-1', on_platform.BEAT)
         self.assertEqual(status, 200)
-        (said,) = self.desk.said
+        (message,) = self.desk.messages
         self.assertEqual(
-            (said.backend_id, said.role, said.url, said.sequence),
+            (message.backend_id, message.role, message.url, message.sequence),
             ('i-1', 'decode', 'http://10.128.0.9:8080', 4),
         )
 
-    def test_a_service_without_engines_says_no_stage(self):
+    def test_a_service_without_engines_sends_no_stage(self):
         beat = on_platform.changed(on_platform.BEAT, ['stage'], None)
-        self.ask('PUT', '/instances/i-1', beat)
-        self.assertEqual(self.desk.said[0].role, 'plain')
+        self.request('PUT', '/instances/i-1', beat)
+        self.assertEqual(self.desk.messages[0].role, 'plain')
 
     @params(
         ('PUT', on_platform.changed(on_platform.BEAT, ['state'], 'draining')),
         ('DELETE', None),
     )
-    def test_a_leave_is_final_for_its_id(self, method, body):
-        """Symptom: a backend server that left gets work again.
+    def test_a_departure_is_final_for_its_id(self, method, body):
+        """Guards against sending work to a backend server that has left.
 
-        Sequence: it leaves; a heartbeat from before arrives seconds later.
-        Cause: the heartbeat's number would be above that of the leave.
+        A heartbeat sent before the departure may arrive seconds after it. The
+        departure's sequence number must be above that of any heartbeat.
         """
-        status, _ = self.ask(method, '/instances/i-1', body)
+        status, _ = self.request(method, '/instances/i-1', body)
         self.assertEqual(status, 200)
-        (said,) = self.desk.said
-        self.assertIsInstance(said, backends.Leaving)
-        self.assertGreater(said.sequence, 10**12)
+        (message,) = self.desk.messages
+        self.assertIsInstance(message, backends.Leaving)
+        self.assertGreater(message.sequence, 10**12)
 
     @params(
         ('PUT', {**on_platform.BEAT, 'state': 'draining', 'born': 1790}, 1790),
         ('DELETE', {'born': 1790}, 1790),
         ('DELETE', None, None),
     )
-    def test_a_leave_is_of_one_start(self, method, body, incarnation):
-        self.ask(method, '/instances/i-1', body)
-        self.assertEqual(self.desk.said[0].incarnation, incarnation)
+    def test_a_departure_has_its_incarnation(self, method, body, incarnation):
+        self.request(method, '/instances/i-1', body)
+        self.assertEqual(self.desk.messages[0].incarnation, incarnation)
 
     def test_a_start_time_is_the_incarnation(self):
         beat = {**on_platform.BEAT, 'born': 1_790_000_000_000}
-        self.ask('PUT', '/instances/i-1', beat)
-        self.assertEqual(self.desk.said[0].incarnation, 1_790_000_000_000)
+        self.request('PUT', '/instances/i-1', beat)
+        self.assertEqual(self.desk.messages[0].incarnation, 1_790_000_000_000)
 
     @params(
         ('PUT', b'\xff\xfe'),
@@ -161,52 +163,52 @@
         ('DELETE', b'\xff'),
         ('DELETE', {'born': 'now'}),
     )
-    def test_what_can_not_be_read_says_nothing(self, method, body):
-        status, _ = self.ask(method, '/instances/i-1', body)
+    def test_an_unreadable_message_has_no_effect(self, method, body):
+        status, _ = self.request(method, '/instances/i-1', body)
         self.assertIn(status, (400, 413))
-        self.assertEqual(self.desk.said, [])
+        self.assertEqual(self.desk.messages, [])
 
     @params(['address'], ['service'], ['sequence'], ['slots'], ['state'])
     def test_a_heartbeat_that_lacks_a_field_is_refused(self, path):
         beat = on_platform.changed(on_platform.BEAT, path, None)
-        status, body = self.ask('PUT', '/instances/i-1', beat)
+        status, body = self.request('PUT', '/instances/i-1', beat)
         self.assertEqual(status, 400)
         self.assertIn(path[0], body.decode())
-        self.assertEqual(self.desk.said, [])
+        self.assertEqual(self.desk.messages, [])
 
     def test_a_configuration_is_read_back_as_it_was_sent(self):
         sent = json.dumps(on_platform.CONFIGURATION, indent=3).encode()
-        self.assertEqual(self.ask('PUT', '/config', sent)[0], 200)
-        self.assertEqual(self.ask('GET', '/config'), (200, sent))
+        self.assertEqual(self.request('PUT', '/config', sent)[0], 200)
+        self.assertEqual(self.request('GET', '/config'), (200, sent))
 
-    def test_one_that_is_overtaken_is_acknowledged_without_effect(self):
-        self.ask('PUT', '/config', on_platform.CONFIGURATION)
+    def test_an_old_version_is_acknowledged_without_effect(self):
+        self.request('PUT', '/config', on_platform.CONFIGURATION)
         older = {**on_platform.CONFIGURATION, 'version': 6, 'routes': []}
         same = {**on_platform.CONFIGURATION, 'routes': []}
         for message in (older, same):
-            self.assertEqual(self.ask('PUT', '/config', message)[0], 200)
-        _, body = self.ask('GET', '/config')
+            self.assertEqual(self.request('PUT', '/config', message)[0], 200)
+        _, body = self.request('GET', '/config')
         self.assertEqual(json.loads(body), on_platform.CONFIGURATION)
 
-    def test_a_bad_one_is_refused_and_not_stored(self):
+    def test_an_invalid_configuration_is_refused_and_not_stored(self):
         bad = on_platform.changed(
             on_platform.CONFIGURATION, ['routes', 0, 'timeoutMs'], 0
         )
-        status, body = self.ask('PUT', '/config', bad)
+        status, body = self.request('PUT', '/config', bad)
         self.assertEqual(status, 400)
         self.assertIn('timeoutMs', body.decode())
         self.assertEqual(self.operators.order, 0)
 
     @params(('PUT', on_platform.CONFIGURATION), ('GET', None))
-    def test_without_a_majority_nothing_is_said_of_it(self, method, body):
+    def test_without_a_majority_it_is_unavailable(self, method, body):
         self.operators.is_available = False
-        self.assertEqual(self.ask(method, '/config', body)[0], 503)
+        self.assertEqual(self.request(method, '/config', body)[0], 503)
 
-    def test_before_the_first_one_there_is_none_to_read(self):
-        self.assertEqual(self.ask('GET', '/config')[0], 503)
+    def test_before_the_first_configuration_it_is_unavailable(self):
+        self.assertEqual(self.request('GET', '/config')[0], 503)
 
-    def test_the_products_own_calls_go_on(self):
-        self.assertEqual(self.ask('GET', '/v1/members'), (200, b'inner'))
+    def test_other_paths_reach_the_inner_application(self):
+        self.assertEqual(self.request('GET', '/v1/members'), (200, b'inner'))
 
 
 def make_entry(name, region):
@@ -225,10 +227,10 @@
     def resolve(self, region='here'):
         application = ports.make_directory(self.state, 2.0)
         path = f'/resolve?name=a.example&region={region}&zone=z'
-        status, body = ask(application, 'GET', path)
+        status, body = request(application, 'GET', path)
         return status, json.loads(body)
 
-    def test_callers_are_told_the_entries_of_their_region(self):
+    def test_callers_get_the_entries_of_their_region(self):
         self.state.found = [
             make_entry('one', 'here'),
             make_entry('two', 'there'),
@@ -237,19 +239,21 @@
             self.resolve(), (200, {'addresses': ['one:8149'], 'ttlS': 2.0})
         )
 
-    def test_others_are_better_than_none(self):
+    def test_without_an_entry_in_the_region_callers_get_the_others(self):
         self.state.found = [make_entry('two', 'there')]
         self.assertEqual(self.resolve()[1]['addresses'], ['two:8149'])
 
-    def test_an_empty_list_is_no_answer(self):
+    def test_without_any_entry_the_directory_is_unavailable(self):
         self.assertEqual(self.resolve()[0], 503)
 
     def test_metrics(self):
         application = ports.make_metrics(self.state)
-        self.assertEqual(ask(application, 'GET', '/metrics'), (200, b'up 1\n'))
+        self.assertEqual(
+            request(application, 'GET', '/metrics'), (200, b'up 1\n')
+        )
 
     @params((True, 200), (False, 503))
     def test_readiness(self, is_ready, status):
         self.state.is_ready = is_ready
         application = ports.make_readiness(self.state)
-        self.assertEqual(ask(application, 'GET', '/readiness')[0], status)
+        self.assertEqual(request(application, 'GET', '/readiness')[0], status)
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""What callers say in headers, and what they may not say."""
+"""Parsing of callers' headers, and removal of those they may not send."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 
 
 class DialectTest(unittest.TestCase):
-    def test_what_a_caller_says(self):
+    def test_the_headers_of_a_call(self):
         facts = read()
         self.assertEqual(facts.request_id, '9c41d07b')
         self.assertEqual(facts.deadline_s, 14.0)
@@ -44,11 +44,11 @@
         ((('X-Request-Id', 'a b'),), ''),
         ((), ''),
     )
-    def test_a_refusal_is_told_with_the_callers_id(self, given, request_id):
-        """Symptom: a refused call leaves no line that its id leads to.
+    def test_the_request_id_is_read_alone(self, given, request_id):
+        """Guards against refused calls without a log line under their id.
 
-        Sequence: a call with an id comes with a header that can't be read.
-        Cause: the id was known only of calls that were read whole.
+        The id must be readable even if another header of the call is invalid
+        and the call is refused because of it.
         """
         dialect = headers.Dialect()
         self.assertEqual(dialect.read_request_id(given), request_id)
@@ -68,12 +68,11 @@
         'Kv-Fetch',
         'X-Not-Executed',
     )
-    def test_what_only_the_system_may_say_is_dropped(self, name):
-        """Symptom: a caller's call goes on from another caller's memory.
+    def test_headers_that_callers_may_not_send_are_removed(self, name):
+        """Guards against access to another caller's KV cache.
 
-        Sequence: a caller sends a header that tells engines where to take
-        a KV cache from.
-        Cause: headers that are not known would be passed on.
+        A caller could send the header that names the KV cache from which an
+        engine continues, and it must not be passed on like other headers.
         """
         names = {each.lower() for each, _ in read((name, 'x')).headers}
         self.assertNotIn(name.lower(), names)
@@ -90,11 +89,11 @@
         ('X-Token-Count', '1'),
         ('X-Token-Count', '1,-2'),
     )
-    def test_what_can_not_be_read_is_refused_by_name(self, name, value):
+    def test_an_invalid_header_is_refused_and_named(self, name, value):
         with self.assertRaises(calls.BadCall) as caught:
             read((name, value))
         self.assertIn(name, str(caught.exception))
 
     @params('much', '', '-4')
-    def test_a_guess_that_can_not_be_read_is_none(self, value):
+    def test_an_invalid_length_hint_is_ignored(self, value):
         self.assertEqual(read(('X-Length-Hint', value)).expected_tokens, 0)
--- a/tests/test_platform_machine.py
+++ b/tests/test_platform_machine.py
@@ -1,4 +1,4 @@
-"""The platform's settings file becomes the product's settings."""
+"""Translation of the platform's settings file into dandeliongw's settings."""
 
 import json
 import pathlib
@@ -37,22 +37,22 @@
         self.assertEqual(made.unconfirmed, 'serve')
         self.assertLess(made.timeouts.confirm_ttl_s, 2.0)
 
-    def test_retries_are_the_systems(self):
+    def test_the_retry_budget_follows_from_the_bounds(self):
         bounds = {**on_platform.MACHINE['bounds'], 'budgetSlack': 400}
         made = translate(bounds={**bounds, 'retryBudgetRatio': 0.1})
         self.assertEqual((0.1, 300.0), (made.retries.part, made.retries.saved))
         self.assertEqual(0.2, translate().retries.part)
 
-    def test_a_shutdown_uses_its_grace(self):
-        """Symptom: streams are cut off at each restart, seconds too early.
+    def test_a_shutdown_uses_its_grace_period(self):
+        """Guards against aborting open streams seconds too early.
 
-        Sequence: an entry is stopped with long streams open.
-        Cause: the time left for leaving was taken off twice over.
+        It happens at every stop of an entry if the time for leaving the
+        cluster is subtracted from the grace period twice.
         """
         timeouts = translate().timeouts
-        cut_off_s = timeouts.entries_ttl_s + timeouts.shutdown_s
-        self.assertGreater(cut_off_s, 8.0 * 5 / 6)
-        self.assertLess(cut_off_s, 8.0 - 0.5)
+        aborted_at_s = timeouts.entries_ttl_s + timeouts.shutdown_s
+        self.assertGreater(aborted_at_s, 8.0 * 5 / 6)
+        self.assertLess(aborted_at_s, 8.0 - 0.5)
 
     def test_a_voter_keeps_its_name_and_takes_no_callers(self):
         made = translate(
@@ -66,10 +66,10 @@
         self.assertFalse(made.takes_callers)
 
     def test_two_starts_of_an_entry_are_two_instances(self):
-        """Symptom: an entry that restarts is ended, again and again.
+        """Guards against a restarted entry being stopped repeatedly.
 
-        Sequence: the time of day steps back; an entry restarts.
-        Cause: under its old name it would have the lower incarnation.
+        If the time of day steps back before an entry restarts, the entry
+        would have a lower incarnation under its old id.
         """
         first, second = translate(), translate()
         self.assertNotEqual(first.instance_id, second.instance_id)
@@ -100,15 +100,15 @@
         (['seeds'], ['10.1.0.40:x'], 'seeds[0]'),
         (['listen', 'front'], 'front', 'listen'),
     )
-    def test_an_address_that_is_none_is_named(self, path, value, named):
+    def test_an_invalid_address_is_named(self, path, value, named):
         message = on_platform.changed(on_platform.MACHINE, path, value)
         with self.assertRaises(exceptions.InvalidInput) as caught:
             machine.translate(load(message))
         (problem,) = caught.exception.problems
         self.assertEqual(problem.path, named)
 
-    def test_a_file_that_is_not_there_is_told(self):
+    def test_a_missing_file_is_named(self):
         with self.assertRaises(exceptions.InvalidInput) as caught:
             machine.load(pathlib.Path('/nowhere/settings.json'))
-        told = caught.exception.format_message()
-        self.assertIn('/nowhere/settings.json', told)
+        message = caught.exception.format_message()
+        self.assertIn('/nowhere/settings.json', message)
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its adapter and nowhere else."""
+"""The platform's names are used in its adapter only."""
 
 import pathlib
 import re
@@ -9,9 +9,9 @@
 from adapter import headers
 from adapter import wire
 
-#: Of the platform and of many others: these are no one's in particular.
+#: Names that many other systems use, too.
 COMMON = {'X-Request-Id', 'Last-Event-Id'}
-#: Where they may stand: the adapter, its tests and its pages.
+#: Files that may contain the names: the adapter, its tests and its pages.
 ALLOWED = re.compile(
     r'platform/|deploy/|journal/|tests/test_platform|tests/on_platform'
     r'|docs/(PLATFORM-DESIGN|FINDINGS|OPERATIONS)|docs/incidents'
@@ -20,7 +20,7 @@
 
 
 def names():
-    """Return the headers and the fields that are like nothing of ours."""
+    """Return the headers and fields that only the platform uses."""
     found = {
         value
         for name, value in vars(headers).items()
@@ -45,14 +45,14 @@
 
 
 class NamesTest(unittest.TestCase):
-    def test_there_are_names_to_look_for(self):
+    def test_the_names_are_found(self):
         self.assertLessEqual({'X-Kv-Source', 'pathPrefix'}, names())
 
-    def test_they_stand_nowhere_else(self):
-        """Symptom: a change of the platform's is a change all over.
+    def test_no_other_file_contains_the_names(self):
+        """Guards against a change of the platform that affects all code.
 
-        Cause: a name of its own that was used inside, where it means less
-        than the project's.
+        It happens where code outside the adapter uses the platform's names;
+        they are also less clear there than the project's own.
         """
         pattern = re.compile('|'.join(rf'\b{each}\b' for each in names()))
         found = [
@@ -63,6 +63,6 @@
         ]
         self.assertEqual(found, [])
 
-    def test_the_folder_hides_no_module_of_the_language(self):
+    def test_the_folder_hides_no_module_of_the_standard_library(self):
         folder = pathlib.Path(on_platform.FOLDER)
         self.assertFalse((folder / '__init__.py').exists())
--- a/tests/test_platform_replicas.py
+++ b/tests/test_platform_replicas.py
@@ -1,4 +1,4 @@
-"""Calls and orders to the platform's backend servers, right and wrong ones."""
+"""Calls and orders to the platform's backend servers, and their failures."""
 
 import json
 import unittest
@@ -113,7 +113,7 @@
 
 
 class PrefillTest(unittest.TestCase):
-    def test_the_call_goes_with_its_stage(self):
+    def test_the_call_is_sent_with_its_stage(self):
         body = json.dumps({'handle': 'h1', 'tokens': 10}).encode()
         with raw_server.serving(answer(body=body)) as made:
             found = prefill(made.url)
@@ -127,7 +127,7 @@
         self.assertEqual(headers['x-other'], 'o')
         self.assertNotIn('last-event-id', headers)
 
-    def test_a_stream_that_broke_is_read_on_from_there(self):
+    def test_a_broken_stream_is_resumed_after_its_last_event(self):
         body = json.dumps({'handle': 'h1', 'tokens': 10}).encode()
         with raw_server.serving(answer(body=body)) as made:
             prefill(made.url, pieces_held=7)
@@ -158,7 +158,7 @@
 
 
 class StreamTest(unittest.TestCase):
-    def test_events_pass_as_they_came(self):
+    def test_events_are_passed_on_unchanged(self):
         reply = answer(body=EVENTS)
         with raw_server.serving(reply) as made:
             head, *pieces, end = stream(made.url)
@@ -170,7 +170,7 @@
         self.assertTrue(end.is_end)
         self.assertEqual(end.offset, 2)
 
-    def test_one_that_refuses_has_not_run(self):
+    def test_a_refused_stream_has_not_run(self):
         with raw_server.serving(NOT_EXECUTED) as made:
             with self.assertRaises(engine.EngineError) as caught:
                 stream(made.url)
@@ -203,7 +203,7 @@
         answer(body=EVENTS, X_Response_Seal=''),
     )
     def test_a_stream_that_breaks_has_no_end(self, reply):
-        """Symptom: a caller takes half a stream for all of it."""
+        """Guards against an incomplete stream that looks complete."""
         with raw_server.serving(reply) as made:
             with self.assertRaises(engine.EngineError) as caught:
                 stream(made.url)
@@ -211,18 +211,17 @@
 
 
 class PlainTest(unittest.TestCase):
-    def test_the_answer_comes_back_as_it_was(self):
+    def test_the_answer_is_returned_unchanged(self):
         with raw_server.serving(answer(500, b'sorry')) as made:
             reply = call(made.url)
         self.assertEqual((reply.status, reply.body), (500, b'sorry'))
         self.assertEqual(dict(reply.headers)['X-Response-Seal'], 's')
 
-    def test_an_answer_to_another_call_is_none(self):
-        """Symptom: a caller gets what somebody else asked for.
+    def test_an_answer_to_another_call_is_refused(self):
+        """Guards against sending a caller the answer to another call.
 
-        Sequence: a backend server answers an earlier call late, on a kept
-        connection.
-        Cause: answers would be told apart by their order only.
+        A backend server may answer an earlier call late, on a connection that
+        is reused. The order of the answers does not show it; the id does.
         """
         with raw_server.serving(
             answer(body=b'theirs', **{'X-Request-Id': 'c0'})
@@ -239,19 +238,19 @@
         (NOT_EXECUTED, NOT_RUN),
         (answer(421), NOT_RUN),
     )
-    def test_what_is_proved_of_a_failure(self, reply, known):
-        """Symptom: a caller gets a success without a result.
+    def test_whether_a_failed_call_may_have_run(self, reply, known):
+        """Guards against a successful status without a result.
 
-        Sequence: a faulty backend server spoils an answer.
-        Cause: what came with a good status would be passed on.
+        A faulty backend server may corrupt an answer that has a successful
+        status; such an answer must not be passed on.
         """
         with raw_server.serving(reply) as made:
             with self.assertRaises(engine.EngineError) as caught:
                 call(made.url)
         self.assertIs(caught.exception.known, known)
 
-    def test_a_connection_serves_the_next_call(self):
-        """Gain: no connection for each call, which backend servers price."""
+    def test_a_connection_is_reused_for_the_next_call(self):
+        """Each new connection has a cost at the backend server."""
 
         def twice(connection):
             for _ in range(2):
@@ -278,7 +277,7 @@
         )
 
     @params(200, 202)
-    def test_an_engine_is_told_its_stage(self, status):
+    def test_an_order_contains_the_stage(self, status):
         with raw_server.serving(answer(status)) as made:
             self.order(made.url)
             ((path, headers, body),) = made.calls
@@ -308,7 +307,7 @@
         self.assertIs(caught.exception.known, known)
         self.assertEqual(caught.exception.reason, reason)
 
-    def test_no_other_order_is_given(self):
+    def test_other_orders_are_refused(self):
         with self.assertRaises(engine.EngineError) as caught:
             self.order('http://127.0.0.1:1', 'load_model')
         self.assertIs(caught.exception.known, NOT_RUN)
