--- a/tests/test_platform_replicas.py
+++ b/tests/test_platform_backend_calls.py
@@ -14,8 +14,8 @@
 from tests import on_platform
 from tests import raw_server
 
+from adapter import backend_calls
 from adapter import orders
-from adapter import replicas
 
 assert on_platform.FOLDER.exists()
 
@@ -59,7 +59,7 @@
 
 
 def backends(shared=None):
-    return replicas.Replicas(
+    return backend_calls.BackendCalls(
         work=WORK,
         facts=FACTS,
         pool=shared or pool.Pool(),
