--- a/specs/claims_spec.py
+++ b/specs/claims_spec.py
@@ -1,19 +1,21 @@
-"""One key's claims: rounds, withdrawals, syncs, lost disks, repairs.
-
-Three holders. A state is ``(holders, attempts, repair)``. Holders stand in
-sorted order, so that states that differ by their names only are one state.
-``docs/CLAIMS.md`` names the function behind every transition.
-
-What is folded together, and why nothing is lost by it:
-
-* A message that was sent may arrive at any later time, once, again or never;
-  so none is kept: its arrival is a step that its sender's past allows.
-* A reply is noted by its attempt when the holder gives it. A late one is
-  noted early but used late, as decisions are steps of their own; one that is
-  lost is noted and never used.
-* An entry that crashes is an attempt that takes no more steps. A *ghost* is
-  an attempt whose entry died when its puts had been sent.
-* Time-outs are steps that can be taken at any moment.
+"""Specification of the claims of one key.
+
+It covers rounds, withdrawals, syncs, lost disks and repairs, with three
+holders. A state is ``(holders, attempts, repair)``. Holders are sorted, so
+that states which differ only in the names of holders are one state.
+``docs/CLAIMS.md`` names the function of the code for every transition.
+
+The model is simplified in these ways, and none of them hides a behaviour:
+
+* A message that was sent may arrive at any later time, once, repeatedly or
+  never. So messages are not part of the state: the arrival is a step that is
+  possible if the sender's state shows that the message was sent.
+* An attempt records a reply at the moment when the holder sends it. A late
+  reply is recorded early and used late, as decisions are separate steps. A
+  lost reply is recorded and never used.
+* A crashed entry is an attempt that takes no more steps. A *ghost* is an
+  attempt whose entry crashed after it had sent its puts.
+* Time-outs are steps that are possible at any time.
 """
 
 import typing
@@ -25,10 +27,10 @@
 HOLDERS = 3
 MAJORITY = 2
 
-# What a slot says of its attempt.
+# State of the attempt in a slot.
 CLAIMED, WITHDRAWN, RECORDED, CONTESTED = range(4)
-# Status of an attempt. GONE: it ended without running, and withdraws;
-# TOLD: it told an outcome, its own or another's.
+# Status of an attempt. GONE: it ended without running, and withdraws.
+# TOLD: it has reported an outcome to its caller, its own or another's.
 IDLE, ASKING, GRANTED, RAN, GONE, REPLAYING, TOLD = range(7)
 # Status of a holder's disk.
 COUNTED, LOST, JOINING = range(3)
@@ -38,15 +40,15 @@
 
 
 class Holder(typing.NamedTuple):
-    """A holder, and what each attempt knows of it.
+    """A holder, and its replies to each attempt.
 
-    :param slot: in memory; ``(round, attempt, what)`` or ``FREE``.
+    :param slot: in memory; ``(round, attempt, state)`` or ``FREE``.
     :param synced: the slot on the disk.
-    :param epoch: the highest one that it acts under.
-    :param sources: how many others a joining one has copied.
-    :param given: to a joining one: whether this holder was copied.
-    :param seen: by attempt: the last reply, or ``FREE``.
-    :param changed: bits of attempts in whose time the slot has changed.
+    :param epoch: the highest epoch that it acts under.
+    :param sources: if it is joining: number of holders that it has copied.
+    :param is_copied: whether the joining holder has copied this one.
+    :param seen: the last reply to each attempt, or ``FREE``.
+    :param changed: bits of attempts during which the slot has changed.
     """
 
     slot: Slot
@@ -54,27 +56,28 @@
     disk: int
     epoch: int
     sources: int
-    given: bool
+    is_copied: bool
     seen: tuple[Slot, ...]
     changed: int
 
 
 class Attempt(typing.NamedTuple):
-    """An attempt at its entry.
+    """An attempt to run the call, at its entry.
 
-    :param barred: a caller was told "not run" after it had begun.
-    :param ran: it was let loose on a backend server.
+    :param is_reported_not_run: after it began, an answer "not run" was sent to a caller,
+        so it must not run any more.
+    :param ran: it was sent to a backend server.
     """
 
     status: int
     round: int
     epoch: int
-    barred: bool
+    is_reported_not_run: bool
     ran: bool
 
 
 class Repair(typing.NamedTuple):
-    """The register's epoch, and what may still go wrong."""
+    """The epoch in the register, and how many faults may still happen."""
 
     epoch: int
     losses: int
@@ -83,45 +86,57 @@
 
 SAFEGUARDS_BY_NAME = {
     'sync_before_grant': 'a crash frees a slot that was granted',
-    'sync_before_refusal': 'a crash frees a slot that proved a round dead',
-    'majority_before_run': 'two attempts run on a holder each',
-    'one_owner_in_a_round': 'a slot counts for two attempts of a round',
-    'withdrawal_uses_slot_up': 'a freed slot makes a second majority',
-    'withdrawal_of_own_only': "another attempt's slot looks withdrawn",
-    'withdrawn_never_runs': 'a late grant runs what was said not to run',
-    'unseen_holders_feared': 'the next round starts while one may have won',
+    'sync_before_refusal': 'a crash frees a slot that was evidence that a'
+    ' round had ended',
+    'majority_before_run': 'two attempts run, each granted by one holder',
+    'one_owner_in_a_round': 'a slot counts for two attempts of one round',
+    'withdrawal_uses_slot_up': 'a freed slot is part of a second majority',
+    'withdrawal_of_own_only': "another attempt's slot is marked withdrawn",
+    'withdrawn_never_runs': 'an attempt reported as not run runs after a late'
+    ' grant',
+    'unseen_holders_feared': 'the next round starts although an attempt may'
+    ' have won this one at holders that did not reply',
     'expired_never_reruns': 'a slow attempt runs beside its successor',
-    'lower_round_refused': 'a late put takes a slot back from a later round',
-    'grants_of_one_round': 'grants of a dead round make a majority',
-    'withdrawal_before_begin': 'told "not run", an earlier send then runs',
-    'later_round_before_begin': 'the same, by way of a round of others',
-    'empty_disk_is_unknown': 'an empty disk answers "free"',
-    'catching_up_not_counted': 'a joining holder answers before it knows',
-    'copy_from_majority': 'a joining holder misses what one other knows',
-    'copy_under_new_epoch': 'a grant slips in behind the copy',
+    'lower_round_refused': 'a late put replaces the claim of a later round',
+    'grants_of_one_round': 'grants of earlier rounds count towards a majority',
+    'withdrawal_before_begin': 'an earlier attempt runs after "not run"'
+    ' was answered',
+    'later_round_before_begin': 'an earlier attempt runs after "not run"'
+    ' was answered, in a later round that others began',
+    'empty_disk_is_unknown': 'a holder with an empty disk replies "free"',
+    'catching_up_not_counted': 'a joining holder replies before it has copied'
+    ' the claims',
+    'copy_from_majority': 'a joining holder misses a claim that only one of'
+    ' the others has',
+    'copy_under_new_epoch': 'a source grants a claim after it was copied',
     'copy_synced': 'a crash frees a slot of a holder that was repaired',
-    'old_epoch_refused': 'the same, where the holder forgets to look',
-    'grants_of_one_epoch': 'grants of a lost disk make a majority',
+    'old_epoch_refused': 'a source grants a claim of the old epoch after it'
+    ' was copied',
+    'grants_of_one_epoch': 'grants of a lost disk count towards a majority',
     'epoch_synced': 'a restarted holder grants under the old epoch',
-    'contested_never_resolved': 'one of two is picked, the other ran',
-    'used_slot_contests': 'a withdrawn slot is overlooked in a merge',
-    'outcome_on_majority': 'a told outcome is lost with one disk',
-    'replay_written_back': 'an outcome is told from a disk that is lost',
-    'outcomes_of_one_epoch': 'an outcome slips in behind the copy',
+    'contested_never_resolved': 'a merge keeps one of two claims, and the'
+    ' other one ran',
+    'used_slot_contests': 'a merge ignores a withdrawn slot',
+    'outcome_on_majority': 'a reported outcome is lost with one disk',
+    'replay_written_back': 'a replayed outcome was on one disk only, which is'
+    ' then lost',
+    'outcomes_of_one_epoch': 'a source records an outcome after it was copied',
 }
 
 
 class Bounds(typing.NamedTuple):
-    """What happens in a model, and how often.
+    """Which events a model has, and how many of each.
 
     :param full: attempts with a working entry.
-    :param ghosts: attempts whose entry gave up, or died, after its puts.
-    :param rounds: how many rounds there are.
-    :param withdrawals: whether an attempt may give up and say so.
+    :param ghosts: attempts whose entry gave up or crashed after its puts.
+    :param rounds: number of rounds.
+    :param crashes: number of holders' crashes.
+    :param losses: number of lost disks.
+    :param withdrawals: whether an attempt may give up and withdraw.
     :param abandons: whether a granted attempt may be abandoned.
     :param outcomes: whether outcomes are recorded and replayed.
-    :param resends: whether the second attempt begins only when the first
-        has run, whose entry then dies before it can tell the outcome.
+    :param resends: whether the second attempt begins only after the first
+        has run, whose entry then crashes before it reports the outcome.
     """
 
     full: int = 2
@@ -136,12 +151,12 @@
 
     @property
     def attempts(self) -> int:
-        """How many attempts there are in all."""
+        """Return the number of attempts, ghosts included."""
         return self.full + self.ghosts
 
 
 class State(typing.NamedTuple):
-    """All of it; ``minicheck`` sees the same three fields."""
+    """The whole state; these are the fields that invariants get."""
 
     holders: tuple[Holder, ...]
     attempts: tuple[Attempt, ...]
@@ -152,7 +167,10 @@
 
 
 class Claims:
-    """The transitions, with one safeguard left out or none."""
+    """The transitions of the model.
+
+    :param without: the safeguard to leave out, or ``None``.
+    """
 
     def __init__(self, *, bounds: Bounds, without: str | None) -> None:
         self.bounds = bounds
@@ -222,8 +240,8 @@
         return steps
 
     def begin(self, state: State, number: int, attempt: Attempt) -> list[Step]:
-        # One that begins late is one that asks and is not heard; so this is
-        # a step of its own only where the moment matters.
+        # An attempt that begins late behaves like one whose messages arrive
+        # late. So this is a separate step only where the time matters.
         before = state.attempts[number - 1] if number else None
         if before and before.status == IDLE:
             return []
@@ -256,10 +274,10 @@
         steps = self.grant(state, number, attempt)
         if self.bounds.withdrawals:
             gone = attempt._replace(status=GONE)
-            lost = _with_attempt(state, number, gone)
+            withdrawn = _with_attempt(state, number, gone)
             if not self.lacks('withdrawn_never_runs'):
-                lost = _forget_seen(lost, number)
-            steps.append((f'lose {number}', lost))
+                withdrawn = _forget_seen(withdrawn, number)
+            steps.append((f'lose {number}', withdrawn))
         if any(seen[2:3] == (RECORDED,) for seen in _seen(state, number)):
             if self.bounds.outcomes:
                 replaying = attempt._replace(status=REPLAYING)
@@ -283,8 +301,8 @@
         enough = 1 if self.lacks('majority_before_run') else MAJORITY
         if own < enough:
             return []
-        # What is granted may run at any time; unless it may be abandoned
-        # instead, it counts as run at once.
+        # A granted attempt may run at any time. Unless it may be abandoned
+        # instead, it counts as run immediately.
         granted = attempt._replace(status=RAN, ran=True)
         if self.bounds.abandons:
             granted = attempt._replace(status=GRANTED)
@@ -313,7 +331,10 @@
     def may_have_winner(
         self, number: int, attempt: Attempt, seen: list[Slot]
     ) -> bool:
-        """The rule of ``claim_slots.rivals``."""
+        """Return whether another attempt may have won the round.
+
+        This is the rule of ``claim_slots.rivals``.
+        """
         shown = [one for one in seen if one[2] != CONTESTED]
         unseen = HOLDERS - len(shown)
         if self.lacks('unseen_holders_feared'):
@@ -339,7 +360,9 @@
         steps = [(f'{number} runs', _with_attempt(state, number, ran))]
         if self.bounds.abandons:
             others = tuple(
-                other._replace(barred=other.status not in (IDLE, GONE))
+                other._replace(
+                    is_reported_not_run=other.status not in (IDLE, GONE)
+                )
                 for other in state.attempts
             )
             told = state._replace(attempts=others)
@@ -355,33 +378,38 @@
     def tell(self, state: State, number: int, attempt: Attempt) -> list[Step]:
         if not self.bounds.outcomes:
             return []
-        kept = sum(seen[2:3] == (RECORDED,) for seen in _seen(state, number))
+        recorded = sum(
+            seen[2:3] == (RECORDED,) for seen in _seen(state, number)
+        )
         enough = MAJORITY
         if attempt.status == RAN and self.lacks('outcome_on_majority'):
             enough = 1
         if attempt.status == REPLAYING and self.lacks('replay_written_back'):
             enough = 1
-        if kept < enough:
+        if recorded < enough:
             return []
         told = attempt._replace(status=TOLD)
         told_state = _with_attempt(state, number, told)
         return [(f'{number} tells', _forget_seen(told_state, number))]
 
     def learn_epoch(self, state: State, number: int, attempt: Attempt) -> Step:
-        learnt = _with_attempt(
+        updated = _with_attempt(
             state, number, attempt._replace(epoch=attempt.epoch + 1)
         )
         keeps = 'grants_of_one_epoch'
         if attempt.status in (RAN, REPLAYING):
             keeps = 'outcomes_of_one_epoch'
         if not self.lacks(keeps):
-            learnt = _forget_seen(learnt, number)
-        return (f'entry of {number} learns the epoch', learnt)
+            updated = _forget_seen(updated, number)
+        return (f'entry of {number} learns the epoch', updated)
 
     # Messages, at a holder.
 
-    def counts(self, state: State, holder: Holder, epoch: int) -> bool:
-        """The rule of ``Holder._accepts``."""
+    def accepts(self, state: State, holder: Holder, epoch: int) -> bool:
+        """Return whether the holder accepts messages of this epoch.
+
+        This is the rule of ``Holder._accepts``.
+        """
         if holder.disk == LOST:
             return self.lacks('empty_disk_is_unknown')
         if holder.disk == JOINING:
@@ -391,30 +419,30 @@
             return True
         return holder.epoch == epoch
 
-    def counts_once(self, state: State, holder: Holder, newest: int) -> bool:
-        """Whether a message of this or an earlier epoch may come now."""
+    def accepts_up_to(self, state: State, holder: Holder, newest: int) -> bool:
+        """Return whether it accepts some message up to the newest epoch."""
         if holder.disk == COUNTED:
             return holder.epoch <= newest or self.lacks('old_epoch_refused')
-        return self.counts(state, holder, min(holder.epoch, newest))
+        return self.accepts(state, holder, min(holder.epoch, newest))
 
     def put(
         self, state: State, number: int, at: int, round: int
     ) -> list[Step]:
         attempt, holder = state.attempts[number], state.holders[at]
-        if not self.gives_way(holder.slot, round):
+        if not self.accepts_put(holder.slot, round):
             return []
-        if not self.counts_once(state, holder, attempt.epoch):
+        if not self.accepts_up_to(state, holder, attempt.epoch):
             return []
         slot = (round, number, CLAIMED)
         written = self.write(state, at, slot)
         holder = written.holders[at]
         is_asked = attempt.status == ASKING and round == attempt.round
         if is_asked and number < self.bounds.full and not self.bounds.crashes:
-            if self.counts(state, holder, attempt.epoch):
+            if self.accepts(state, holder, attempt.epoch):
                 _, written = self.see(written, number, at, holder)
         return [(f'put {number} round {round}', written)]
 
-    def gives_way(self, slot: Slot, round: int) -> bool:
+    def accepts_put(self, slot: Slot, round: int) -> bool:
         if slot == FREE:
             return True
         if slot[2] == RECORDED:
@@ -428,7 +456,7 @@
     ) -> list[Step]:
         attempt = state.attempts[number]
         slot = holder.slot
-        if not self.counts(state, holder, attempt.epoch):
+        if not self.accepts(state, holder, attempt.epoch):
             return []
         if slot == FREE or slot[0] < attempt.round:
             return []
@@ -437,7 +465,7 @@
             'sync_before_grant' if is_own else 'sync_before_refusal'
         )
         if not unsafe:
-            # The reply has waited for the sync.
+            # The holder syncs before it replies.
             holder = Holder(slot, slot, *holder[2:])
         return [self.see(state, number, at, holder)]
 
@@ -452,7 +480,7 @@
     ) -> list[Step]:
         attempt = state.attempts[number]
         slot = holder.slot
-        if not self.counts(state, holder, holder.epoch):
+        if not self.accepts(state, holder, holder.epoch):
             return []
         mine = slot[:2] == (attempt.round, number) and slot[2] == CLAIMED
         if slot and self.lacks('withdrawal_of_own_only'):
@@ -475,7 +503,7 @@
         epochs = [attempt.epoch]
         if self.lacks('outcomes_of_one_epoch'):
             epochs = list(range(attempt.epoch + 1))
-        if not any(self.counts(state, holder, one) for one in epochs):
+        if not any(self.accepts(state, holder, one) for one in epochs):
             return []
         steps = []
         if holder.slot[2:] != (RECORDED,):
@@ -501,8 +529,8 @@
             for number in range(self.bounds.full):
                 if state.attempts[number].status == ASKING:
                     changed |= 1 << number
-        # A sync that nobody waits for changes nothing but what a crash
-        # leaves; so it is part of the reply that waits for it.
+        # A sync that no reply waits for matters only to a crash. So syncs
+        # are part of the replies that wait for them.
         synced = holder.synced if state.repair.crashes else slot
         changed |= holder.changed
         written = Holder(slot, synced, *holder[2:7], changed)
@@ -520,9 +548,9 @@
             if repair.crashes and holder.disk != LOST:
                 steps.append(self.crash(state, at, holder))
         if holder.epoch < repair.epoch and holder.disk != LOST:
-            learnt = holder._replace(epoch=holder.epoch + 1)
+            updated = holder._replace(epoch=holder.epoch + 1)
             steps.append(
-                ('holder learns the epoch', _with_holder(state, at, learnt))
+                ('holder learns the epoch', _with_holder(state, at, updated))
             )
         return steps
 
@@ -533,7 +561,7 @@
         left = state.repair._replace(crashes=state.repair.crashes - 1)
         after = state._replace(repair=left)
         if holder.disk == JOINING:
-            # It copies anew, and keeps nothing of what it had copied.
+            # It discards what it has copied and starts again.
             after = _forget_copies(after)
             crashed = crashed._replace(slot=FREE, synced=FREE, sources=0)
         after = _with_holder(after, at, crashed)
@@ -581,11 +609,13 @@
         if joining.sources >= needed:
             return [self.count(state, at)]
         for source, holder in enumerate(state.holders):
-            if source == at or holder.given:
+            if source == at or holder.is_copied:
                 continue
             if holder.epoch < epoch and not self.lacks('copy_under_new_epoch'):
                 continue
-            copied = _with_holder(state, source, holder._replace(given=True))
+            copied = _with_holder(
+                state, source, holder._replace(is_copied=True)
+            )
             merged = self.merge(joining.slot, holder.slot)
             target = joining._replace(sources=joining.sources + 1)
             if merged != joining.slot:
@@ -597,7 +627,10 @@
         return steps
 
     def merge(self, one: Slot, other: Slot) -> Slot:
-        """The rule of ``claim_slots.merge``."""
+        """Return the slot that a joining holder keeps of two.
+
+        This is the rule of ``claim_slots.merge``.
+        """
         if FREE in (one, other):
             return one or other
         if RECORDED in (one[2], other[2]):
@@ -628,7 +661,10 @@
 
 
 def _distinct(holders: tuple[Holder, ...]) -> list[tuple[int, Holder]]:
-    """Return the first of each run of equal holders; the rest do the same."""
+    """Return the first of each run of equal holders.
+
+    The steps of the others lead to the same states.
+    """
     return [
         (at, holder)
         for at, holder in enumerate(holders)
@@ -651,7 +687,7 @@
 
 
 def _forget_copies(state: State) -> State:
-    holders = (one._replace(given=False) for one in state.holders)
+    holders = (one._replace(is_copied=False) for one in state.holders)
     return state._replace(holders=tuple(holders))
 
 
@@ -677,11 +713,13 @@
 
 
 def not_run_is_true(state: dict[str, typing.Any]) -> bool:
-    return not any(one.barred and one.ran for one in state['attempts'])
+    return not any(
+        one.is_reported_not_run and one.ran for one in state['attempts']
+    )
 
 
 def told_outcome_stays(state: dict[str, typing.Any]) -> bool:
-    """No majority that can answer is without a told outcome."""
+    """Every majority that can reply includes a reported outcome."""
     if not any(one.status == TOLD for one in state['attempts']):
         return True
     without = sum(
@@ -708,7 +746,7 @@
 OUTCOMES = Bounds(full=1, losses=2, outcomes=True)
 REPLAYS = Bounds(full=2, losses=1, outcomes=True, resends=True)
 
-SWEPT = (
+CHECKED_BOUNDS = (
     ROUNDS,
     CRASHES._replace(ghosts=0),
     ABANDONS,
@@ -717,8 +755,9 @@
     OUTCOMES,
     REPLAYS,
 )
-#: Where the harm of a missing safeguard shows; elsewhere: ``ROUNDS``.
-SHOWN_BY_SAFEGUARD = {
+#: Bounds under which a missing safeguard violates an invariant; ``ROUNDS``
+#: for safeguards that are not listed.
+BOUNDS_BY_SAFEGUARD = {
     'sync_before_grant': CRASHES,
     'sync_before_refusal': CRASHES,
     'withdrawn_never_runs': ABANDONS,
@@ -751,7 +790,7 @@
     'disk with (0, 0, 0) is lost',
     'holder joins with an empty disk',
 )
-#: Steps that lead to where the harm begins, to keep these searches short.
+#: First steps of the searches for a violation, which keep them short.
 PREFIX_BY_SAFEGUARD = {
     'withdrawn_never_runs': (
         'begin 0',
@@ -808,7 +847,7 @@
         'put 1 round 0',
     ),
 }
-SWEPT_FROM_PREFIX = (
+CHECKED_FROM_PREFIX = (
     'sync_before_refusal',
     'later_round_before_begin',
     'copy_synced',
@@ -818,14 +857,17 @@
 
 
 def _follow(claims: Claims, labels: tuple[str, ...]) -> State:
-    """Return the state that these steps lead to."""
+    """Return the state after the steps with these labels.
+
+    :raises ValueError: if a step is not possible.
+    """
     state = claims.initial()
     for label in labels:
         found = [
             after for name, after in claims.transitions(state) if name == label
         ]
         if not found:
-            raise ValueError(f'no step {label!r} after those before it')
+            raise ValueError(f'step {label!r} is not possible here')
         state = found[0]
     return state
 
@@ -862,7 +904,10 @@
 
 
 def _reached(bounds: Bounds) -> dict[str, typing.Any]:
-    """Return what has to happen in a model, lest it prove nothing."""
+    """Return predicates that some state must meet, by name.
+
+    Without these, a model in which nothing happens would pass.
+    """
     reached = {
         'a run': lambda state: any(one.ran for one in state['attempts'])
     }
@@ -887,15 +932,19 @@
 
 
 def build(*, without: str | None = None) -> tuple[specs.BoundedModel, ...]:
-    """Return the models to sweep, or the one that shows the harm."""
+    """Return all models, or the one that violates an invariant.
+
+    :param without: the safeguard to leave out, or ``None``.
+    """
     if without is not None:
-        bounds = SHOWN_BY_SAFEGUARD.get(without, ROUNDS)
+        bounds = BOUNDS_BY_SAFEGUARD.get(without, ROUNDS)
         prefix = PREFIX_BY_SAFEGUARD.get(without, ())
         return (_model(bounds, without, prefix),)
-    # Models that are too large as a whole: from the state on in which a
-    # missing safeguard shows, so that it is that which makes the harm.
+    # These models are too large to be checked from the initial state. They
+    # start at the state from which the mutant is searched, which shows that
+    # a violation found there is due to the missing safeguard.
     partial = tuple(
-        _model(SHOWN_BY_SAFEGUARD[name], prefix=PREFIX_BY_SAFEGUARD[name])
-        for name in SWEPT_FROM_PREFIX
+        _model(BOUNDS_BY_SAFEGUARD[name], prefix=PREFIX_BY_SAFEGUARD[name])
+        for name in CHECKED_FROM_PREFIX
     )
-    return tuple(_model(bounds) for bounds in SWEPT) + partial
+    return tuple(_model(bounds) for bounds in CHECKED_BOUNDS) + partial
