--- a/specs/claims_spec.py
+++ b/specs/claims_spec.py
@@ -64,8 +64,8 @@
 class Attempt(typing.NamedTuple):
     """An attempt to run the call, at its entry.
 
-    :param is_reported_not_run: after it began, an answer "not run" was sent to a caller,
-        so it must not run any more.
+    :param is_reported_not_run: "not run" was answered to a caller after it
+        began, so it must not run any more.
     :param ran: it was sent to a backend server.
     """
 
--- a/specs/lease_change_spec.py
+++ b/specs/lease_change_spec.py
@@ -1,10 +1,11 @@
-"""Specification of a change of the grantors under leases that are held.
-
-The old set is one grantor, the new set is another one, so that no majority
-of one set overlaps the other's by luck. Two candidates want one lease. Each
-hears of the change at any time or never, messages are late, lost and
-doubled, and the old grantor may restart. Ticks and worst clocks are as in
-``lease_spec``; docs/LEASES.md maps the transitions to the code.
+"""Specification of a change of the grantors while leases are held.
+
+The old set has one grantor and the new set has another one, so that no
+majority of one set overlaps a majority of the other by chance. Two candidates
+compete for one lease. Each is notified of the change at any time or never.
+Messages are delayed, lost and duplicated, and the old grantor may restart.
+Ticks and clock drift are as in ``lease_spec``; docs/LEASES.md names the
+function of the code for each transition.
 """
 
 from collections import abc
@@ -25,29 +26,36 @@
 WAITING, SETTLING, READY = range(3)
 
 SAFEGUARDS_BY_NAME = {
-    'both_majorities': 'during the change an epoch is granted by the old set'
-    ' alone, and the new one never hears of it',
+    'both_majorities': 'during the change the old set alone grants an epoch,'
+    ' of which the new set has no record',
     'read_epochs': 'the new set starts without epochs and grants them again',
-    'fence': 'a claim that counts on the old set alone is granted after the'
-    ' new set has read the epochs',
-    'synced_fence': 'the old grantor restarts after the read and takes'
-    ' claims that count on it alone',
-    'settle_after_read': 'a lease of the old set still runs when the new set'
-    ' grants',
-    'finish_after_catch_up': 'the old set is dropped before the new one has'
+    'fence': 'a claim that needs a majority of the old set only is granted'
+    ' after the new set has read the epochs',
+    'synced_fence': 'the old grantor restarts after the read and grants'
+    ' claims that need a majority of the old set only',
+    'settle_after_read': 'a lease of the old set has not expired when the new'
+    ' set grants',
+    'finish_after_catch_up': 'the old set is removed before the new one has'
     ' caught up',
 }
 
 
 class Voter(typing.NamedTuple):
-    """A grantor, with the time left to each candidate from its answer.
-
-    :param fence: claims under an older set are refused.
+    """A grantor, and its answers to the candidates.
+
+    :param epoch: the highest epoch that it has granted or read.
+    :param holder: the candidate that the epoch was granted to.
+    :param grant_left: ticks until the grant expires.
+    :param wait: ticks until it may grant to another candidate.
+    :param fence: the oldest sets of which it accepts claims.
+    :param progress: how far it has caught up.
+    :param left_by_candidate: ticks for which a candidate may count this
+        grantor's answer.
     """
 
     epoch: int = 0
     holder: int = NOBODY
-    stands: int = 0
+    grant_left: int = 0
     wait: int = 0
     fence: int = OLD
     progress: int = READY
@@ -57,9 +65,10 @@
 class Candidate(typing.NamedTuple):
     """A candidate or holder.
 
-    :param known: the sets that it counts majorities of.
+    :param known: the sets of which it counts majorities.
+    :param claim_left: ticks for which an answer to its latest claim counts.
     :param claimed: the sets named by its latest claim.
-    :param left: time left of the lease, by what it counted.
+    :param left: remaining ticks of its lease.
     """
 
     phase: int = IDLE
@@ -71,7 +80,12 @@
 
 
 class State(typing.NamedTuple):
-    """The whole system."""
+    """The whole system.
+
+    :param force: the sets in force.
+    :param restarts: restarts of the old grantor that may still happen.
+    :param is_granted_twice: an epoch was granted to two holders.
+    """
 
     force: int
     old: Voter
@@ -87,9 +101,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Machine:
-    """The transitions, with at most one safeguard left out.
+    """The transitions of the model.
 
-    :param ticks: how long a grant stands and a holder counts.
+    :param ticks: duration of grants and leases.
+    :param epochs: number of epochs.
+    :param restarts: most restarts of the old grantor.
+    :param without: the safeguard to leave out, or ``None``.
     """
 
     ticks: int
@@ -134,7 +151,7 @@
         if not self.has('finish_after_catch_up'):
             is_caught_up = True
         if state.force == JOINT and is_caught_up:
-            # A grantor that has not caught up does so at the set in force.
+            # One that has not caught up yet takes part in the new set as is.
             ready = new._replace(progress=READY)
             yield 'change ends', state._replace(force=NEW, new=ready)
         if state.restarts:
@@ -152,7 +169,7 @@
         return state._replace(old=old, new=new)
 
     def restart(self, state: State) -> State:
-        old = state.old._replace(stands=0, wait=self.ticks)
+        old = state.old._replace(grant_left=0, wait=self.ticks)
         if not self.has('synced_fence'):
             old = old._replace(fence=OLD)
         return state._replace(old=old, restarts=state.restarts - 1)
@@ -160,7 +177,7 @@
     # Candidates
 
     def candidate_steps(self, state: State, who: int) -> Steps:
-        # Candidate 0 is whichever asks first.
+        # The candidates are interchangeable: let candidate 0 claim first.
         if who and not state.candidates[0].epoch:
             return
         own = state.candidates[who]
@@ -182,7 +199,7 @@
         return _without_answers(_with(state, who, own), who)
 
     def count(self, state: State, who: int) -> State:
-        """Let a candidate count what the sets that it knows have granted."""
+        """Update a candidate's lease from the grants of the sets it counts."""
         own = state.candidates[who]
         old = state.old.left_by_candidate[who]
         new = state.new.left_by_candidate[who]
@@ -214,13 +231,13 @@
         for name in ('old', 'new'):
             voter = getattr(state, name)
             if _may_free(voter, own, who):
-                freed = voter._replace(stands=0)
+                freed = voter._replace(grant_left=0)
                 yield f'{name} is released', state._replace(**{name: freed})
 
     def granted(self, voter: Voter, own: Candidate, who: int) -> Voter:
         left = max(voter.left_by_candidate[who], own.claim_left)
         return _with_left(voter, who, left)._replace(
-            epoch=own.epoch, holder=who, stands=self.ticks
+            epoch=own.epoch, holder=who, grant_left=self.ticks
         )
 
     # Time
@@ -248,11 +265,11 @@
         return True
     if own.epoch <= voter.epoch or voter.wait:
         return False
-    return voter.holder == who or not voter.stands
+    return voter.holder == who or not voter.grant_left
 
 
 def _may_free(voter: Voter, own: Candidate, who: int) -> bool:
-    if voter.holder != who or not voter.stands:
+    if voter.holder != who or not voter.grant_left:
         return False
     return own.epoch > voter.epoch or own.phase == IDLE
 
@@ -261,7 +278,7 @@
 def _aged_voter(voter: Voter) -> Voter:
     lefts = tuple(max(left - 1, 0) for left in voter.left_by_candidate)
     return voter._replace(
-        stands=max(voter.stands - 1, 0),
+        grant_left=max(voter.grant_left - 1, 0),
         wait=max(voter.wait - 1, 0),
         left_by_candidate=lefts,
     )
@@ -295,7 +312,7 @@
 
 
 def build(*, without: str | None = None) -> tuple[specs.BoundedModel, ...]:
-    """Return the models, or the smaller one with one safeguard left out."""
+    """Return both models, or the smaller one without one safeguard."""
     restarting = Machine(ticks=1, epochs=2, restarts=1, without=without)
     if without is not None:
         return (_bounded(restarting),)
@@ -309,7 +326,7 @@
         reached['two_holders_in_turn'] = lambda s: (
             set(s['owner_by_epoch']) == set(CANDIDATES)
         )
-    # A lease of one tick ends while the new set settles.
+    # A lease of one tick expires before the new set may grant.
     if machine.ticks > 1:
         reached['held_through_the_change'] = lambda s: any(
             own.phase == HELD and own.known == NEW for own in s['candidates']
--- a/specs/lease_spec.py
+++ b/specs/lease_spec.py
@@ -1,16 +1,16 @@
-"""Specification of leases with epochs and of the orders that they guard.
-
-Two candidates want one lease of three grantors, and its holder sends orders
-to one engine. Messages are lost, late and doubled: a claim may reach any
-grantor at any time or never, and a candidate that takes no step is a frozen
-one. Grantors restart or lose their disk at any moment.
-
-Time is a tick that lowers every timer. Clocks that run apart are in the
-timers' start values, each at its worst: what a grantor counts is what its
-fastest clock counts, what a holder counts is what its slowest clock counts.
-Both are ``ticks`` long: the margin is what makes the holder's count no longer
-than the grantor's. docs/LEASES.md maps each transition
-to the function of the code that takes it.
+"""Specification of leases with epochs, and of orders sent under a lease.
+
+Two candidates compete for one lease of three grantors, and its holder sends
+orders to one engine. Messages are lost, delayed and duplicated: a claim may
+reach any grantor at any time or never. A candidate that takes no step is
+frozen. Grantors may restart or lose their disk at any time.
+
+Time passes in ticks, which lower every timer. Clock drift is part of the
+timers' start values, at its worst: grantors have the fastest clock that is
+allowed, holders the slowest. Both timers are ``ticks`` long: it is the margin
+that makes the holder's timer no longer than the grantor's.
+
+docs/LEASES.md names the function of the code for each transition.
 """
 
 from collections import abc
@@ -22,49 +22,61 @@
 
 import specs
 
-#: Longest time from the check before a send until the order takes effect.
+#: Most ticks from the check before a send until the order takes effect.
 LONGEST_ORDER = 2
 
 CANDIDATES = (0, 1)
 NOBODY = -1
-#: In place of the time left: an answer that has not arrived.
+#: In place of the remaining time: the answer has not arrived yet.
 IN_FLIGHT = -1
 
 IDLE, ASKING, HELD = range(3)
 
 SAFEGUARDS_BY_NAME = {
-    'majority': 'two candidates, granted by one grantor each, both hold',
-    'standing_grant': 'a grantor grants what it has granted to another',
+    'majority': 'two candidates hold the lease, granted by one grantor each',
+    'standing_grant': 'a grantor grants the lease although its grant to'
+    ' another candidate has not expired',
     'higher_epoch': 'one epoch is granted to two holders, or to two starts'
     ' of one instance',
-    'margin': 'a slow holder counts longer than a fast grantor',
-    'counted_from_send': 'a late answer is counted from its receipt, when'
-    " the grantor's count has nearly run out",
-    'wait_after_restart': 'a grantor forgets a grant that still stands and'
-    ' grants the name again',
+    'margin': "the lease lasts longer by a slow holder's clock than by a fast"
+    " grantor's",
+    'counted_from_send': 'the lease of a late answer starts at its receipt,'
+    " when the grantor's timer has nearly expired",
+    'wait_after_restart': 'a grantor forgets a grant that has not expired'
+    ' and grants the lease again',
     'synced_epoch': 'a grantor forgets an epoch, which is granted twice',
-    'lost_disk_refused': 'a grantor without its disk counts as one that'
+    'lost_disk_refused': 'a grantor that has lost its disk acts as if it had'
     ' never granted anything',
-    'wait_before_read': 'a grantor without its disk reads the others before'
-    ' its own forgotten grant was counted by a candidate',
-    'ready_sources': 'two grantors without disks learn from each other that'
-    ' nothing was ever granted',
-    'reported_by_majority': 'a grantor that reads one epoch granted to two'
-    ' candidates makes a majority for the second',
-    'stop_before_release': 'a holder goes on while its successor begins',
-    'check_before_send': 'a holder frozen past its lease sends when it wakes',
+    'wait_before_read': 'a grantor that has lost its disk reads from the'
+    ' others before a candidate has counted the grant that it forgot',
+    'ready_sources': 'two grantors that have lost their disks read from each'
+    ' other that nothing was ever granted',
+    'reported_by_majority': 'a grantor that reads that one epoch was granted'
+    ' to two candidates completes a majority for the second',
+    'stop_before_release': 'a holder continues while its successor begins',
+    'check_before_send': 'a holder that was frozen until its lease had'
+    ' expired sends an order when it resumes',
     'longest_order': "a predecessor's order takes effect after the"
     " successor's, at an engine that ignores fencing numbers",
-    'fence': 'an engine takes an old order after a newer one',
+    'fence': 'an engine accepts an old order after a newer one',
 }
 
 
 class Voter(typing.NamedTuple):
-    """A grantor, with the time left to each candidate from its answer."""
+    """A grantor, and its answers to the candidates.
+
+    :param epoch: the highest epoch that it has granted or read.
+    :param holder: the candidate that the epoch was granted to.
+    :param grant_left: ticks until the grant expires.
+    :param wait: ticks after a restart until it may grant again.
+    :param lost: whether its disk was lost and it has not caught up.
+    :param left_by_candidate: ticks for which a candidate may count this
+        grantor's answer.
+    """
 
     epoch: int = 0
     holder: int = NOBODY
-    stands: int = 0
+    grant_left: int = 0
     wait: int = 0
     lost: bool = False
     left_by_candidate: tuple[int, int] = (0, 0)
@@ -74,7 +86,13 @@
 
 
 class Candidate(typing.NamedTuple):
-    """A candidate or holder, with the order it handed to a socket."""
+    """A candidate or holder, and the order that it has sent.
+
+    :param claim_left: ticks for which an answer to its latest claim counts.
+    :param settle: ticks until it may send orders.
+    :param order_left: ticks within which the order may still take effect.
+    :param order_epoch: the fencing number of the order.
+    """
 
     phase: int = IDLE
     epoch: int = 0
@@ -85,7 +103,13 @@
 
 
 class State(typing.NamedTuple):
-    """The whole system; grantors are sorted, as their names don't matter."""
+    """The whole system; grantors are sorted, as they are interchangeable.
+
+    :param engine: the highest fencing number that the engine has received.
+    :param faults: restarts and lost disks that may still happen.
+    :param is_reversed: an order took effect after one of a later epoch.
+    :param is_granted_twice: an epoch was granted to two holders.
+    """
 
     voters: Voters
     candidates: tuple[Candidate, Candidate]
@@ -101,11 +125,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Machine:
-    """The transitions, with at most one safeguard left out.
+    """The transitions of the model.
 
-    :param ticks: how long a grant stands, and a restarted grantor waits.
+    :param epochs: number of epochs.
+    :param faults: most restarts and lost disks.
+    :param ticks: duration of a grant, and of a grantor's wait after a
+        restart.
+    :param sends_orders: whether holders send orders.
     :param checks_fence: whether the engine refuses old fencing numbers.
-    :param faults: how many restarts and lost disks there may be.
+    :param without: the safeguard to leave out, or ``None``.
     """
 
     epochs: int
@@ -129,11 +157,11 @@
 
     @property
     def hold(self) -> int:
-        """Return the holder's count, from the send of its claim."""
+        """Return the ticks that a lease lasts, from the send of its claim."""
         return self.ticks if self.has('margin') else self.ticks + 1
 
     def left(self, state: State, who: int) -> int:
-        """Return the time left that a majority has granted."""
+        """Return the remaining ticks that a majority has granted."""
         needed = 2 if self.has('majority') else 1
         return _left(state.voters, who, needed)
 
@@ -146,7 +174,7 @@
         for who in CANDIDATES:
             found += self.candidate_steps(state, who)
         for index, voter in enumerate(state.voters):
-            # Of grantors in the same state, one stands for all.
+            # Grantors in the same state have the same steps.
             if state.voters.index(voter) == index:
                 found += self.voter_steps(state, index)
         return found
@@ -156,7 +184,7 @@
     def candidate_steps(self, state: State, who: int) -> Steps:
         own = state.candidates[who]
         if own.phase != HELD:
-            # Candidate 0 is whichever asks first.
+            # The candidates are interchangeable: let candidate 0 claim first.
             if who and not state.candidates[0].epoch:
                 return
             for epoch in range(own.epoch + 1, self.epochs + 1):
@@ -203,7 +231,7 @@
         return state._replace(is_reversed=True)
 
     def gain(self, state: State, who: int) -> State:
-        """Let a candidate hold as soon as a majority has granted."""
+        """Make a candidate the holder once a majority has granted."""
         own = state.candidates[who]
         if own.phase != ASKING or not self.left(state, who) > 0:
             return state
@@ -231,7 +259,7 @@
                     self.grant(state, index, who),
                 )
             if self.may_free(state, voter, who):
-                freed = voter._replace(stands=0)
+                freed = voter._replace(grant_left=0)
                 yield (
                     f'{voter.epoch} is released',
                     _with_voter(state, index, freed),
@@ -273,12 +301,12 @@
             return False
         if voter.holder == who or not self.has('standing_grant'):
             return True
-        return not voter.stands
+        return not voter.grant_left
 
     def grant(self, state: State, index: int, who: int) -> State:
         own = state.candidates[who]
         voter = state.voters[index]._replace(
-            epoch=own.epoch, holder=who, stands=self.ticks
+            epoch=own.epoch, holder=who, grant_left=self.ticks
         )
         left = max(voter.left_by_candidate[who], own.claim_left)
         if not self.has('counted_from_send'):
@@ -287,8 +315,8 @@
         return self.gain(_with_voter(state, index, granted), who)
 
     def may_free(self, state: State, voter: Voter, who: int) -> bool:
-        """Return whether a release of the standing grant may arrive."""
-        if voter.holder != who or not voter.stands:
+        """Return whether a release of the current grant may arrive."""
+        if voter.holder != who or not voter.grant_left:
             return False
         own = state.candidates[who]
         if own.epoch > voter.epoch or own.phase == IDLE:
@@ -297,7 +325,7 @@
 
     def restarted(self, voter: Voter) -> Voter:
         wait = self.ticks if self.has('wait_after_restart') else 0
-        restarted = voter._replace(stands=0, wait=wait)
+        restarted = voter._replace(grant_left=0, wait=wait)
         if not self.has('synced_epoch'):
             return restarted._replace(epoch=0, holder=NOBODY)
         return restarted
@@ -313,7 +341,7 @@
         highest = max(others)
         reports = {(other.epoch, other.holder) for other in others}
         holder = highest.holder
-        # Only a grant that a majority reports may be renewed here.
+        # The grant may be renewed here only if a majority reports it.
         if self.has('reported_by_majority') and len(reports) > 1:
             holder = NOBODY
         return state.voters[index]._replace(
@@ -352,7 +380,7 @@
         for left in voter.left_by_candidate
     )
     return voter._replace(
-        stands=max(voter.stands - 1, 0),
+        grant_left=max(voter.grant_left - 1, 0),
         wait=max(voter.wait - 1, 0),
         left_by_candidate=lefts,
     )
@@ -398,17 +426,19 @@
     return state._replace(voters=_unanswered(state.voters, who))
 
 
-#: What each sweep is for: ages of answers, losses straight after another,
-#: and orders to both kinds of engines.
+#: Answers of any age.
 _AGES = Machine(epochs=2, faults=1)
+#: Two faults in quick succession.
 _SECOND_LOSS = Machine(epochs=2, faults=2, ticks=1)
-#: A lease of one tick would end before its holder has waited long enough.
+#: Orders to an engine that ignores fencing numbers. With one tick, a lease
+#: would expire before its holder may send.
 _IGNORING = Machine(epochs=2, faults=0, sends_orders=True)
+#: Orders to an engine that checks fencing numbers.
 _CHECKING = Machine(
     epochs=2, faults=1, ticks=1, sends_orders=True, checks_fence=True
 )
 
-#: The smallest machine that needs a safeguard, where it is another one.
+#: The smallest model that needs the safeguard, unless it is _SECOND_LOSS.
 _MACHINES_BY_SAFEGUARD = {
     'counted_from_send': dataclasses.replace(_AGES, faults=0),
     'check_before_send': _IGNORING,
@@ -418,7 +448,7 @@
 
 
 def build(*, without: str | None = None) -> tuple[specs.BoundedModel, ...]:
-    """Return all models, or the one that needs the safeguard left out."""
+    """Return all models, or the one that needs the missing safeguard."""
     if without is None:
         machines = (_AGES, _SECOND_LOSS, _CHECKING, _IGNORING)
         return tuple(_bounded(machine) for machine in machines)
--- a/specs/quarantine_spec.py
+++ b/specs/quarantine_spec.py
@@ -1,19 +1,20 @@
-"""Specification of the evidence on one call, and how entries come to share it.
-
-Three entries run the call, or are kept from it. A run ends well, ends its
-backend server, or has its connection reset. What an entry knows is a set of
-starts that ended and a set of those that don't count any more, as in
-``coordination/_cases.py``; starts are bits. A message may be lost: it is a
-step that need not be taken. In a *period* every entry hears of all the
-others' evidence, as it does by comparing within the time in which a change
-has to settle (``coordination/quarantine.py``). What an entry learnt and did
-not tell anyone is lost with it.
-
-A held call may be tried: one entry, its home, lets one send through at a time
-(``coordination/_trials.py``). A grant is over when a period has passed after
-the trial, which is much shorter than the time that it is given.
-
-Who is to blame where several calls ran on a server is not modelled.
+"""Specification of how entries share the evidence against one call.
+
+Three entries run the call or hold it back. A run succeeds, crashes its
+backend server, or ends with a connection reset. Each entry has two sets: the
+starts of backend servers that ended under the call, and those of them that
+were cleared and don't count any more, as in ``coordination/_cases.py``. A
+start is one bit. A message that is lost is a step that is not taken. In a
+*period* every entry receives the evidence of all others, as comparisons
+ensure within the time in which a change has to settle
+(``coordination/quarantine.py``). If an entry restarts, evidence that only it
+had is lost.
+
+A held call may be tried: one entry, its home, grants one trial at a time
+(``coordination/_trials.py``). The grant ends when a period has passed after
+the trial, which is much shorter than the time that a trial may take.
+
+It is not modelled which call is to blame if several ran on one server.
 """
 
 from collections import abc
@@ -27,43 +28,50 @@
 import specs
 
 ENTRIES = (0, 1, 2)
-#: The entry that says which send of a held call is tried.
+#: The entry that grants the trials of a held call.
 HOME = 0
-#: Ends that hold a call.
-ENOUGH = 3
+#: A call is held after this many backend servers ended under it.
+HOLD_AFTER_ENDS = 3
 
 SAFEGUARDS_BY_NAME = {
-    'union': 'an entry takes over what another one knows, and forgets its own',
-    'distinct_starts': 'one end that is told twice counts as two',
-    'ends_only': 'a connection that was reset counts as an end',
-    'told_others': 'each entry counts what it saw itself',
-    'compared_again': 'an entry that started, or missed news, never learns',
-    'clears_by_name': 'what a run cleared comes back with the next message',
-    'clears_travel': 'an entry that saw no run end well goes on holding',
-    'home_grants': 'each entry tries a send of its own',
-    'trials_end': 'one trial after the other ends a server',
+    'union': "an entry replaces its evidence by another entry's",
+    'distinct_starts': 'an end that is reported twice counts as two',
+    'ends_only': 'a connection reset counts as the end of a server',
+    'told_others': 'each entry counts only the ends that it observed itself',
+    'compared_again': 'an entry that restarted, or missed a message, never'
+    ' receives the evidence',
+    'clears_by_name': 'evidence that a successful run cleared returns with'
+    ' the next message',
+    'clears_travel': 'an entry that observed no successful run continues to'
+    ' hold the call',
+    'home_grants': 'each entry grants a trial of its own',
+    'trials_end': 'one trial after another ends a server',
 }
-#: Those that only the model with trials is about.
+#: Safeguards that matter only in the model with trials.
 TRIAL_SAFEGUARDS = ('home_grants', 'trials_end')
 
 
 class State(typing.NamedTuple):
-    """The whole system; the first three are by entry.
+    """The whole system; the first three fields have a value per entry.
 
     :param known: starts that ended under the call.
     :param cleared: starts that don't count any more.
-    :param surplus: ends counted beyond those of different starts.
-    :param running: bits of entries with a run under way.
-    :param fresh: bits of entries that started since the last period.
-    :param ended: starts that ended.
-    :param gone: starts that a run which ended well has cleared.
-    :param lost: starts that only an entry knew which has ended since.
+    :param surplus: ends that were counted more than once.
+    :param running: bits of entries that run the call.
+    :param fresh: bits of entries that restarted since the last period.
+    :param ended: number of starts that ended.
+    :param gone: starts that a successful run has cleared.
+    :param lost: starts recorded only by an entry that has restarted since.
+    :param successes: successful runs that may still happen.
+    :param resets: connection resets that may still happen.
+    :param restarts: restarts of entries that may still happen.
     :param trying: bits of entries whose run is a trial.
-    :param is_granted: the home has let a trial through that is not over.
+    :param is_granted: the home has granted a trial that is not over.
     :param fatal: starts that ended under a trial.
-    :param is_settled: a period has passed since there was enough evidence.
+    :param is_settled: at the last period there was enough evidence.
     :param is_compared: nothing has happened since the last period.
-    :param is_late: an entry in touch has sent the call after that.
+    :param is_late: after ``is_settled``, an entry that had not restarted
+        since the last period has sent the call.
     """
 
     known: tuple[int, ...]
@@ -90,9 +98,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Machine:
-    """The transitions, with at most one safeguard left out.
+    """The transitions of the model.
 
     :param ends: most starts that end.
+    :param successes: most successful runs.
+    :param resets: most connection resets.
+    :param restarts: most restarts of entries.
+    :param trials: whether a held call may be tried.
+    :param without: the safeguard to leave out, or ``None``.
     """
 
     ends: int
@@ -200,10 +213,10 @@
         state = state._replace(resets=state.resets - 1)
         if self.has('ends_only'):
             return state
-        # A start that has not ended, and never will in this model.
-        phantom = 1 << self.ends + state.resets
+        # The bit of a start that does not end in this model.
+        live_start = 1 << self.ends + state.resets
         return state._replace(
-            known=put(state.known, who, state.known[who] | phantom)
+            known=put(state.known, who, state.known[who] | live_start)
         )
 
     def succeed(self, state: State, who: int) -> State:
@@ -217,13 +230,13 @@
             return state._replace(cleared=put(state.cleared, who, cleared))
         return state._replace(known=put(state.known, who, 0))
 
-    # News
+    # Exchange of evidence
 
     def tell(self, state: State, who: int, other: int) -> State:
         known, cleared = state.known[who], state.cleared[who]
         surplus = state.surplus[other]
         if not self.has('distinct_starts') and known & state.known[other]:
-            surplus = min(surplus + 1, ENOUGH)
+            surplus = min(surplus + 1, HOLD_AFTER_ENDS)
         if self.has('union'):
             known |= state.known[other]
         if not self.has('clears_travel'):
@@ -244,7 +257,8 @@
         real = (1 << state.ended) - 1
         return after._replace(
             fresh=0,
-            is_settled=count(real & ~(state.gone | state.lost)) >= ENOUGH,
+            is_settled=count(real & ~(state.gone | state.lost))
+            >= HOLD_AFTER_ENDS,
             is_compared=True,
         )
 
@@ -272,38 +286,41 @@
 
 
 def holds(state: State, who: int) -> bool:
-    """Whether an entry keeps the call from backend servers."""
+    """Return whether an entry holds the call back."""
     counted = count(state.known[who] & ~state.cleared[who])
-    return counted + state.surplus[who] >= ENOUGH
+    return counted + state.surplus[who] >= HOLD_AFTER_ENDS
 
 
 def nothing_late(state: dict[str, typing.Any]) -> bool:
-    """Once all have heard of three ends, no entry in touch sends it."""
+    """No entry sends the call once all have evidence of three ends.
+
+    An entry that has restarted since the last period may still send it.
+    """
     return not state['is_late']
 
 
 def held_for_ends(state: dict[str, typing.Any]) -> bool:
-    """An entry that holds the call knows three starts that did end."""
+    """An entry that holds the call has recorded three starts that ended."""
     seen = _of(state)
     real = (1 << seen.ended) - 1
     return all(
-        count(seen.known[who] & real) >= ENOUGH
+        count(seen.known[who] & real) >= HOLD_AFTER_ENDS
         for who in ENTRIES
         if holds(seen, who)
     )
 
 
 def cleared_for_good(state: dict[str, typing.Any]) -> bool:
-    """When all have compared, none holds a call for what was cleared."""
+    """After a comparison, no entry holds a call due to cleared evidence."""
     seen = _of(state)
     left = count(((1 << seen.ended) - 1) & ~seen.gone)
-    if not seen.is_compared or left >= ENOUGH:
+    if not seen.is_compared or left >= HOLD_AFTER_ENDS:
         return True
     return not any(holds(seen, who) for who in ENTRIES)
 
 
 def one_trial(state: dict[str, typing.Any]) -> bool:
-    """No two entries try the call at a time."""
+    """No two entries try the call at the same time."""
     return count(state['trying']) <= 1
 
 
@@ -349,7 +366,10 @@
 
 
 def build(*, without: str | None = None) -> tuple[specs.BoundedModel, ...]:
-    """Return the models; see :mod:`specs`."""
+    """Return the models; see :mod:`specs`.
+
+    :param without: the safeguard to leave out, or ``None``.
+    """
     trials = _model('5 ends, trials', without, ends=5, trials=True)
     if without in TRIAL_SAFEGUARDS:
         return (trials,)
