--- a/specs/register_formation.py
+++ b/specs/register_formation.py
@@ -1,8 +1,8 @@
-"""How the first voters form the register, while disks are lost.
+"""Model of the formation of the register by the first voters.
 
-Two attempts form. Any instance's disk may be lost at any step and come back
-empty under another identity. As long as one disk that took part is left, no
-second register may come to be beside the first.
+Two attempts try to form it. The disk of any instance may be lost at any step;
+the instance then has an empty disk with another identity. As long as one disk
+that took part in the formation remains, no second register may be formed.
 """
 
 from collections import abc
@@ -13,15 +13,17 @@
 import specs
 
 INSTANCES = 3
-#: Ballots 1 and 2 form.
+#: The ballots that try to form the register.
 FORMING = (1, 2)
 NONE = -1
 
 
 class Disk(typing.NamedTuple):
-    """What one disk holds.
+    """The contents of one disk.
 
-    :param bound: the disks of the formation that it promised to.
+    :param promised: the ballot that it promised.
+    :param accepted: the ballot that it accepted.
+    :param bound: the disks that take part in the formation it promised.
     """
 
     promised: int = 0
@@ -31,9 +33,12 @@
 
 
 class Attempt(typing.NamedTuple):
-    """A ballot that forms.
+    """A ballot that tries to form the register.
 
     :param reports: the disk that each instance reported as empty.
+    :param promised: the disks that promised, as bits.
+    :param is_accepting: whether enough disks have promised.
+    :param holders: the disks that accepted, as bits.
     """
 
     reports: tuple[int, ...] = (NONE,) * INSTANCES
@@ -43,9 +48,9 @@
 
 
 class State(typing.NamedTuple):
-    """The whole of it.
+    """The whole system.
 
-    :param disk_by_instance: which disk each instance has now.
+    :param disk_by_instance: the current disk of each instance.
     """
 
     disks: tuple[Disk, ...]
@@ -54,9 +59,10 @@
 
 
 class FormationModel:
-    """Builds the transitions, with one safeguard left out or none.
+    """Builds the transitions of the model.
 
-    :param losses: how many disks may be lost.
+    :param losses: most disks that are lost.
+    :param without: the safeguard to leave out, or ``None``.
     """
 
     def __init__(self, *, losses: int, without: str | None) -> None:
@@ -80,7 +86,10 @@
     def reports(
         self, state: State, ballot: int
     ) -> abc.Iterator[tuple[str, State]]:
-        """Register._on_disk_query and _form_if_all_are_empty."""
+        """Yield the reports of empty disks to a ballot.
+
+        Register._on_disk_query and _form_if_all_are_empty.
+        """
         attempt = state.attempts[ballot - 1]
         for instance, number in enumerate(state.disk_by_instance):
             if attempt.reports[instance] != NONE:
@@ -96,7 +105,7 @@
     def promises(
         self, state: State, ballot: int
     ) -> abc.Iterator[tuple[str, State]]:
-        """Acceptor.prepare and Attempt._advance_formation."""
+        """Yield steps of Acceptor.prepare and Attempt._advance_formation."""
         attempt = state.attempts[ballot - 1]
         needed = INSTANCES
         if self.without == 'all_disks_form':
@@ -122,7 +131,7 @@
     def acceptances(
         self, state: State, ballot: int
     ) -> abc.Iterator[tuple[str, State]]:
-        """Acceptor.accept."""
+        """Yield the steps of Acceptor.accept."""
         attempt = state.attempts[ballot - 1]
         for number in attempt.reports:
             disk = state.disks[number]
@@ -139,7 +148,7 @@
             )
 
     def lose(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """A disk is lost; its instance comes back with an empty one."""
+        """Yield the losses of a disk; its instance gets an empty one."""
         lost = sum(disk.is_lost for disk in state.disks)
         if lost >= self.losses:
             return
@@ -155,10 +164,10 @@
                 ),
             )
 
-    # What must hold
+    # Invariants
 
     def one_register_is_formed(self, state: dict[str, typing.Any]) -> bool:
-        """Every formation that a majority accepted has the same voters."""
+        """All formations that a majority accepted have the same voters."""
         return len(self.formed(state)) <= 1
 
     def formed(self, state: dict[str, typing.Any]) -> set[tuple[int, ...]]:
@@ -170,7 +179,7 @@
         }
 
     def build(self) -> specs.BoundedModel:
-        """Return the model within its bounds."""
+        """Return the model with its bounds."""
         initial = State(
             disks=(Disk(),) * INSTANCES,
             disk_by_instance=tuple(range(INSTANCES)),
--- a/specs/register_reads.py
+++ b/specs/register_reads.py
@@ -1,9 +1,10 @@
-"""How an instance learns that its configuration is still the current one.
+"""Model of how an instance confirms that its configuration is current.
 
-Changes are written one after the other on three voters. One instance
-asks, one voter checks; asks, checks and answers may be late or lost, and
-checks may overlap. Times are ages in steps, kept up to the time to live, so
-that a sweep covers any length of time.
+Changes are written to three voters one after another. One instance sends
+requests for confirmation ("asks"), and one voter checks the ballot with a
+majority. Asks, checks and answers may be delayed or lost, and checks may
+overlap. Times are ages in steps. They stop at the time to live, so that the
+check covers any length of time.
 """
 
 from collections import abc
@@ -17,21 +18,25 @@
 TTL = 2
 VOTERS = 3
 QUORUM = 2
-#: The age of what has not happened.
+#: The age of an event that has not happened.
 NEVER = -1
 
 
 class Ask(typing.NamedTuple):
-    """An ask, or an instance's confirmation by its answer."""
+    """A request for confirmation, its answer, or the confirmation from it.
+
+    :param age: steps since the request was sent.
+    :param ballot: the ballot that is confirmed.
+    """
 
     age: int
     ballot: int = 0
 
 
 class Check(typing.NamedTuple):
-    """A voter's majority check.
+    """A check with a majority, which a voter runs.
 
-    :param answers: whether it began after the ask that waits had come.
+    :param answers: whether it began after the waiting ask had arrived.
     :param reports: the ballot that each voter reported.
     """
 
@@ -40,16 +45,16 @@
 
 
 class State(typing.NamedTuple):
-    """The whole of it.
+    """The whole system.
 
-    :param accepted: the ballot that each voter holds.
-    :param chosen_ages: how long ago each ballot was chosen.
-    :param ask: the latest one, on its way to the voter.
+    :param accepted: the latest ballot that each voter accepted.
+    :param chosen_ages: steps since each ballot was chosen.
+    :param ask: the latest ask, in transit to the voter.
     :param waiting: the ask that waits at the voter.
-    :param checks: those under way, the oldest first.
-    :param answers: answers under way: the ballot and the age of the ask.
-    :param confirmed: what the instance acts on.
-    :param told: the latest ballot that it said it had confirmed.
+    :param checks: the checks in progress, the oldest first.
+    :param answers: the answers in transit: the ballot and the age of the ask.
+    :param confirmed: the confirmation that the instance acts on.
+    :param told: the latest ballot that it reported as confirmed.
     """
 
     accepted: tuple[int, ...]
@@ -63,11 +68,12 @@
 
 
 class ReadsModel:
-    """Builds the transitions, with one safeguard left out or none.
+    """Builds the transitions of the model.
 
-    :param changes: how many are written.
-    :param answers: how many answers may be under way at once.
-    :param checks: the same of checks.
+    :param changes: number of changes that are written.
+    :param answers: most answers in transit at one time.
+    :param checks: most checks in progress at one time.
+    :param without: the safeguard to leave out, or ``None``.
     """
 
     def __init__(
@@ -100,13 +106,16 @@
             chosen_ages=tuple(map(_older, state.chosen_ages)),
             ask=_older_ask(state.ask),
             waiting=_older_ask(state.waiting),
-            # An answer as old as that lets nothing be admitted any more.
+            # Answers of that age have expired.
             answers=tuple(a for a in answers if a.age < TTL),
             confirmed=_older_ask(state.confirmed),
         )
 
     def writes(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Acceptor.accept; the second change follows the first."""
+        """Yield the steps of Acceptor.accept.
+
+        A change is written only after the one before it was chosen.
+        """
         for ballot in self.ballots:
             before = ballot - 1
             if before and state.chosen_ages[before - 1] == NEVER:
@@ -126,10 +135,13 @@
                 )
 
     def asks(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Asker.tick and Checker.ask: the latest ask takes the place."""
+        """Yield the steps of Asker.tick and Checker.ask.
+
+        The latest ask replaces one that is in transit or waiting.
+        """
         yield 'an ask leaves', state._replace(ask=Ask(age=0))
         if state.ask is not None:
-            # What has begun may have read before the ask was sent.
+            # Checks in progress may have read before the ask was sent.
             checks = tuple(c._replace(answers=False) for c in state.checks)
             yield (
                 'the ask arrives',
@@ -137,7 +149,7 @@
             )
 
     def checks(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Checker._begin_if_due, on_report and settle."""
+        """Yield the steps of Checker._begin_if_due, on_report and settle."""
         if len(state.checks) < self.most_checks:
             check = Check(
                 answers=state.waiting is not None, reports=(NEVER,) * VOTERS
@@ -164,7 +176,10 @@
                 yield from self.end_check(state, place, ballot)
 
     def confirmable(self, check: Check) -> list[int]:
-        """Check.confirms: a quorum holds exactly this ballot."""
+        """Return the ballots that Check.confirms allows.
+
+        A quorum must have accepted exactly this ballot.
+        """
         reports = [report for report in check.reports if report != NEVER]
         if self.without == 'quorum_confirms':
             return reports
@@ -175,11 +190,14 @@
     def end_check(
         self, state: State, place: int, ballot: int
     ) -> abc.Iterator[tuple[str, State]]:
-        """Checker._end: answer whoever asked before it began."""
+        """Yield the step of Checker._end.
+
+        It answers the ask that arrived before the check began.
+        """
         answers = state.checks[place].answers
         if self.without == 'check_after_ask':
             answers = True
-        # With it those end that had begun before it.
+        # Checks that began earlier end, too.
         done = state._replace(checks=state.checks[place + 1 :])
         if state.waiting is None or not answers:
             yield f'check {place} ends', done
@@ -193,7 +211,7 @@
             )
 
     def answers(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Register._on_confirmed and _confirm."""
+        """Yield the steps of Register._on_confirmed and _confirm."""
         for number, answer in enumerate(state.answers):
             rest = (
                 *state.answers[:number],
@@ -220,10 +238,10 @@
             )
 
     def adopts(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Knowledge.adopt: another instance tells what it has confirmed.
+        """Yield the steps of Knowledge.adopt.
 
-        That other one may have confirmed any ballot that was ever chosen,
-        however long ago.
+        Another instance sends the ballot that it has confirmed. This may be
+        any ballot that was ever chosen, however long ago.
         """
         confirmed = state.confirmed
         for ballot, chosen_age in zip(
@@ -238,7 +256,8 @@
             is_older = confirmed is not None and ballot <= confirmed.ballot
             if is_older and self.without != 'no_older_adopted':
                 continue
-            # It tells nothing of whether a later one was chosen since.
+            # A later ballot may have been chosen since, so that the age of
+            # the confirmation does not change.
             age = TTL if confirmed is None else confirmed.age
             if self.without == 'adopted_keeps_age':
                 age = 0
@@ -251,16 +270,16 @@
             )
 
     def restarts(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """The instance starts anew and knows what its disk remembers."""
+        """Yield the restart of the instance, which reads its disk."""
         if state.confirmed is None:
             return
         confirmed = None
         if self.without == 'read_after_restart':
             confirmed = state.confirmed._replace(age=0)
-        # Answers to asks from before have ids that no ask after has.
+        # Asks have unique ids, so answers to asks from before the restart
+        # are ignored. This includes the answer to the waiting ask.
         keeps = self.without == 'unique_ask_ids'
         answers = state.answers if keeps else ()
-        # So has the answer that the ask which waits will get.
         waiting = state.waiting if keeps else None
         yield (
             'the instance restarts',
@@ -272,10 +291,10 @@
             ),
         )
 
-    # What must hold
+    # Invariants
 
     def is_fresh(self, confirmed: Ask | None) -> bool:
-        """Register.is_fresh."""
+        """Return the result of Register.is_fresh."""
         if confirmed is None:
             return False
         return confirmed.age < TTL or self.without == 'confirmation_runs_out'
@@ -283,10 +302,11 @@
     def nobody_acts_on_an_old_revision(
         self, state: dict[str, typing.Any]
     ) -> bool:
-        """Whoever is said to have stopped, or should have, has.
+        """An instance that should have stopped does not act any more.
 
-        That is one time to live after a later ballot was chosen; nobody can
-        know of the ballot sooner, and start to count.
+        It has to stop one time to live after a later ballot was chosen. The
+        same time passes before it is reported as stopped, and that time
+        cannot start before the ballot was chosen.
         """
         confirmed = state['confirmed']
         if not self.is_fresh(confirmed):
@@ -303,14 +323,14 @@
         )
 
     def confirmed_is_chosen(self, state: dict[str, typing.Any]) -> bool:
-        """Nobody acts on what only a minority holds."""
+        """The instance does not act on a value that only a minority has."""
         confirmed = state['confirmed']
         if confirmed is None or confirmed.ballot == 0:
             return True
         return state['chosen_ages'][confirmed.ballot - 1] != NEVER
 
     def confirmed_never_reverts(self, state: dict[str, typing.Any]) -> bool:
-        """Whoever said it has confirmed a ballot acts on no earlier one."""
+        """The instance acts on no ballot before one it reported confirmed."""
         if not self.is_fresh(state['confirmed']):
             return True
         return state['confirmed'].ballot >= state['told']
@@ -318,7 +338,7 @@
     def build(
         self, reached: abc.Mapping[str, abc.Callable]
     ) -> specs.BoundedModel:
-        """Return the model within its bounds."""
+        """Return the model with its bounds."""
         initial = State(
             accepted=(0,) * VOTERS,
             chosen_ages=(NEVER,) * len(self.ballots),
@@ -363,7 +383,7 @@
 
 
 def _sort_voters(state: State) -> State:
-    """Return the state that stands for all that differ by voters' names."""
+    """Return the same state for all that differ only in voters' names."""
     rows = zip(state.accepted, *(c.reports for c in state.checks), strict=True)
     accepted, *reports = zip(*sorted(rows), strict=True)
     checks = tuple(
--- a/specs/register_spec.py
+++ b/specs/register_spec.py
@@ -1,10 +1,10 @@
-"""The configuration register: everything that is checked of it.
+"""Specification of the configuration register.
 
-Three models: the voters and their replacement, the reads that confirm a
-configuration, and the formation. ``docs/REGISTER.md`` maps their steps to
-the functions of the code. A disk that is lost for good does no more than one
-that stays silent, which any disk may do in every model; so disks are lost by
-a step of their own only where that can show a missing safeguard.
+It has three models: the voters and their replacement, the reads that confirm
+a configuration, and the formation. ``docs/REGISTER.md`` names the functions
+of the code for their steps. A disk that is lost for good has the same effect
+as one that does not respond, which any disk may do in every model. So disks
+are lost in a separate step only where that can expose a missing safeguard.
 """
 
 import itertools
@@ -15,50 +15,60 @@
 from specs import register_reads
 from specs import register_voters
 
-#: The revisions that the documents are made from: x and z by operators who
-#: race, y by one who has seen the first of them.
+#: The documents and the revisions they are based on: x and z come from
+#: concurrent operators, y from one who has read the first of these two.
 DOCUMENTS = (('x', 0), ('y', 1), ('z', 0))
 
 _VOTERS_SAFEGUARDS = {
-    'promise_blocks_older_ballots': 'a late accept undoes a later value',
-    'read_latest_accepted': 'a value that may be chosen is written over',
+    'promise_blocks_older_ballots': 'a late accept overwrites a later value',
+    'read_latest_accepted': 'a value that may be chosen is overwritten',
     'unique_ballots': 'a restarted proposer writes twice under one ballot',
     'compare_and_set': 'the second of two operators overwrites the first',
-    'change_ids': 'a resend of an applied change is told of a conflict',
-    'write_back_before_answer': 'an answer tells of what a minority held',
+    'change_ids': 'an applied change that is sent again gets a conflict',
+    'write_back_before_answer': 'an answer reports a value that only a'
+    ' minority has accepted',
 }
-_MISHAP_SAFEGUARDS = {
-    'sync_before_reply': 'a promise that was told of is forgotten',
+_FAULT_SAFEGUARDS = {
+    'sync_before_reply': 'a promise is lost after it was sent',
     'new_identity_for_lost_disk': 'an empty disk votes under its old name',
 }
 _REPLACEMENT_SAFEGUARDS = {
-    'quorum_of_the_value_read': 'a stale proposer asks the old voters only',
-    'quorum_of_present_set': 'the coming voters decide beside the present',
-    'quorum_of_coming_set': 'the present voters decide without the coming',
-    'chosen_before_replacement_ends': 'old and new voters decide apart',
-    'caught_up_before_replacement_ends': 'a voter counts but holds nothing',
+    'quorum_of_the_value_read': 'a stale proposer queries the old voters only',
+    'quorum_of_present_set': 'the coming voters decide without the present'
+    ' ones',
+    'quorum_of_coming_set': 'the present voters decide without the coming'
+    ' ones',
+    'chosen_before_replacement_ends': 'old and new voters decide separately',
+    'caught_up_before_replacement_ends': 'a voter counts although it has not'
+    ' copied the claims',
 }
 _READS_SAFEGUARDS = {
-    'quorum_confirms': 'an isolated voter confirms what it holds',
-    'same_ballot_confirms': 'a value is acted on that may still vanish',
-    'check_after_ask': 'an older check answers a later ask',
-    'time_from_send': 'a late answer counts from its arrival',
-    'no_older_ballot': 'a late answer brings an earlier revision back',
-    'read_after_restart': 'an instance acts on what it remembers',
-    'unique_ask_ids': 'an answer from before a restart counts after it',
-    'confirmation_runs_out': 'an isolated instance goes on for ever',
-    'stopped_after_time_to_live': 'an instance that acts is called stopped',
-    'adopts_chosen': 'another instance passes on a value that may vanish',
-    'no_older_adopted': 'another instance brings an earlier revision back',
-    'adopted_keeps_age': 'what others tell keeps an isolated instance going',
+    'quorum_confirms': 'an isolated voter confirms its own value',
+    'same_ballot_confirms': 'an instance acts on a value that may still be'
+    ' lost',
+    'check_after_ask': 'a check answers a request that came after it began',
+    'time_from_send': 'the time to live of a late answer starts at its'
+    ' arrival',
+    'no_older_ballot': 'a late answer restores an earlier revision',
+    'read_after_restart': 'a restarted instance acts on its stored revision',
+    'unique_ask_ids': 'an answer to a request from before a restart counts'
+    ' after it',
+    'confirmation_runs_out': 'an isolated instance continues for ever',
+    'stopped_after_time_to_live': 'an instance that still acts is reported as'
+    ' stopped',
+    'adopts_chosen': 'another instance passes on a value that may be lost',
+    'no_older_adopted': 'another instance passes on an earlier revision',
+    'adopted_keeps_age': 'messages from other instances keep an isolated'
+    ' instance active',
 }
 _FORMATION_SAFEGUARDS = {
     'all_disks_form': 'voters that took no part form another register',
-    'formation_binds_disks': 'the rest of a lost register forms another',
+    'formation_binds_disks': 'the remaining disks of a lost register form'
+    ' another one',
 }
 SAFEGUARDS_BY_NAME = {
     **_VOTERS_SAFEGUARDS,
-    **_MISHAP_SAFEGUARDS,
+    **_FAULT_SAFEGUARDS,
     **_REPLACEMENT_SAFEGUARDS,
     **_READS_SAFEGUARDS,
     **_FORMATION_SAFEGUARDS,
@@ -66,10 +76,14 @@
 
 
 def build(*, without: str | None = None) -> tuple[specs.BoundedModel, ...]:
-    """Return the models, with one safeguard left out or none."""
+    """Return the models.
+
+    :param without: the safeguard to leave out, or ``None``. Only the models
+        that depend on it are returned then.
+    """
     families = (
         (_VOTERS_SAFEGUARDS, _changes),
-        (_MISHAP_SAFEGUARDS, _mishaps),
+        (_FAULT_SAFEGUARDS, _disk_faults),
         (_REPLACEMENT_SAFEGUARDS, _replacements),
         (_READS_SAFEGUARDS, _reads),
         (_FORMATION_SAFEGUARDS, _formation),
@@ -119,7 +133,7 @@
     return [_voters(bounds, without, {'y after x': _has_chosen('x', 'y')})]
 
 
-def _mishaps(without: str | None) -> list[specs.BoundedModel]:
+def _disk_faults(without: str | None) -> list[specs.BoundedModel]:
     bounds = register_voters.Bounds(
         wishes=('xy', 'xy.', 'yz.'),
         documents=DOCUMENTS,
@@ -130,7 +144,10 @@
 
 
 def _replacements(without: str | None) -> list[specs.BoundedModel]:
-    """Start and end a replacement beside a change, in every order."""
+    """Return models with the start and end of a replacement and a change.
+
+    There is one model for each order of the three.
+    """
     return [
         _voters(
             register_voters.Bounds(
@@ -162,7 +179,10 @@
 
 
 def _has_chosen(*events: str) -> typing.Callable:
-    """Return a predicate: a chosen value has these events in this order."""
+    """Return a predicate that is true for some chosen value.
+
+    The value's lineage must have these events in this order.
+    """
     sound = register_voters.VotersModel(
         bounds=register_voters.Bounds(wishes=()), without=None
     )
@@ -184,7 +204,7 @@
 
 
 def _reads(without: str | None) -> list[specs.BoundedModel]:
-    # What is adopted can be old only if there is a later one.
+    # An adopted ballot can be old only if there is a later one.
     has_two = without in ('adopted_keeps_age', 'no_older_adopted')
     model = register_reads.ReadsModel(
         changes=2 if has_two else 1,
--- a/specs/register_voters.py
+++ b/specs/register_voters.py
@@ -1,14 +1,14 @@
-"""Changes of the register, lost disks and replaced voters.
+"""Model of changes of the register, lost disks and replaced voters.
 
-A value is its *lineage*: the tuple of everything that was written on the way
-to it. ``x``, ``y`` and ``z`` are documents, ``+03`` starts to replace disk 0
-by disk 3, ``!`` ends a replacement. The main invariant says that any two
-chosen values are of one lineage: nothing chosen is ever lost or reverted.
+A value is its *lineage*: the tuple of all events that led to it. ``x``, ``y``
+and ``z`` are documents, ``+03`` starts the replacement of disk 0 by disk 3,
+and ``!`` ends a replacement. The main invariant says that any two chosen
+values are of one lineage: no chosen value is ever lost or reverted.
 
-Every attempt has a ballot of its own and goes on after later ones began, so
-late, crossed and lost messages are steps that come late or never. A promise
-and its reply are one step, as an attempt may act on a reply at any later
-time.
+Every attempt has a ballot of its own and continues after later ones have
+begun. So delayed, reordered and lost messages are steps that are taken late
+or never. A promise and its reply are one step, as an attempt may act on a
+reply at any later time.
 """
 
 from collections import abc
@@ -30,18 +30,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Bounds:
-    """What may happen in one sweep.
-
-    :param wishes: for every ballot what its attempt may want: documents by
-        their letters, ``+`` a replacement, ``!`` its end, ``.`` nothing
-        (the value is written back).
-    :param documents: the revision that each document was made from.
-    :param hearsay: whether an attempt may go on from a later value than
-        those who promised told of, as it may have heard of one.
+    """Which events a model has, and how many of each.
+
+    :param wishes: the changes that the attempt of each ballot may make:
+        documents by their letters, ``+`` a replacement, ``!`` its end, ``.``
+        none (the value is written back).
+    :param documents: the revision that each document is based on.
+    :param hearsay: whether an attempt may continue from a later value than
+        those in the promises, as it may have received one in other messages.
     :param replaceable: disks that an operator may replace.
-    :param new_disks: how many disks may come in their place.
-    :param losses: how many disks may be lost.
-    :param crashes: whether a disk may lose what was not synced.
+    :param new_disks: number of disks that may replace them.
+    :param losses: most disks that are lost.
+    :param crashes: whether a disk may lose records that were not synced.
     """
 
     wishes: tuple[str, ...]
@@ -54,7 +54,7 @@
 
     @property
     def ballots(self) -> int:
-        """Return how many attempts there are."""
+        """Return the number of attempts."""
         return len(self.wishes)
 
     def __str__(self) -> str:
@@ -71,11 +71,16 @@
         return ', '.join(parts)
 
 
-# Named tuples, as minicheck hashes millions of them.
+# These are named tuples, as minicheck hashes millions of them.
 
 
 class Disk(typing.NamedTuple):
-    """What a disk holds, and what of it would survive a crash."""
+    """The records of a voter, in memory and on its disk.
+
+    :param synced_promised: the promise that would survive a crash.
+    :param synced_accepted: the acceptance that would survive a crash.
+    :param has_claims: whether it has a copy of the claims.
+    """
 
     promised: int = NONE
     accepted: int = NONE
@@ -86,32 +91,33 @@
 
 
 class Attempt(typing.NamedTuple):
-    """One ballot.
+    """The attempt of one ballot.
 
     :param promised: the disks that promised, as bits, while it prepares.
-    :param highest: the latest accepted ballot that they told of.
+    :param highest: the latest accepted ballot in their replies.
     :param lineage: the value, once it was decided.
     :param holders: every disk that ever accepted it, as bits.
-    :param lie: what the operator is told when the value is chosen, if that
-        does not agree with the value; empty otherwise. An answer that agrees
-        with a chosen value stays true, as revisions only grow.
+    :param false_answer: the answer to the operator when the value is chosen,
+        if it does not agree with the value; empty otherwise. An answer that
+        agrees with a chosen value stays true, as revisions only grow.
     """
 
     promised: int = 0
     highest: int = NONE
     lineage: Lineage | None = None
     holders: int = 0
-    lie: str = ''
+    false_answer: str = ''
 
 
-#: An attempt that can't change anything any more.
+#: An attempt that has no effect any more.
 OVER = Attempt(highest=99)
 
 
 class State(typing.NamedTuple):
-    """The whole of it.
+    """The whole system.
 
-    :param told: values that were told of before they were chosen.
+    :param losses: number of lost disks.
+    :param told: values that were reported before they were chosen.
     """
 
     disks: tuple[Disk, ...]
@@ -121,13 +127,16 @@
 
 
 def is_majority(disks: int, of: int) -> bool:
-    """Tell whether a set has more than half of another."""
+    """Return whether a set has more than half of another one."""
     return 2 * (disks & of).bit_count() > of.bit_count()
 
 
 @functools.cache
 def voters_of(lineage: Lineage) -> tuple[int, int]:
-    """Return the present and the coming voters; 0 when none are coming."""
+    """Return the present and the coming voters, as bits.
+
+    The coming voters are 0 if no replacement is in progress.
+    """
     present, coming = FIRST_VOTERS, 0
     for event in lineage:
         if event[0] == '+':
@@ -138,7 +147,7 @@
 
 
 def is_true(answer: str, lineage: Lineage) -> bool:
-    """Tell whether an answer agrees with the value that it comes with."""
+    """Return whether an answer agrees with the value it was sent for."""
     document, _, rest = answer.partition(' ')
     if rest == 'conflict':
         return document not in lineage
@@ -152,25 +161,28 @@
 
 @functools.cache
 def revision_of(lineage: Lineage) -> int:
-    """Return how many documents were written."""
+    """Return the number of documents in a lineage."""
     return sum(event.isalpha() for event in lineage)
 
 
 def is_one_lineage(first: Lineage, second: Lineage) -> bool:
-    """Tell whether one lineage leads to the other."""
+    """Return whether one of two lineages is a prefix of the other."""
     shorter = min(len(first), len(second))
     return first[:shorter] == second[:shorter]
 
 
 class VotersModel:
-    """Builds the transitions, with one safeguard left out or none."""
+    """Builds the transitions of the model.
+
+    :param without: the safeguard to leave out, or ``None``.
+    """
 
     def __init__(self, *, bounds: Bounds, without: str | None) -> None:
         self.bounds = bounds
         self.without = without
 
     def has_quorum(self, lineage: Lineage, disks: int) -> bool:
-        """Tell whether these disks can decide about such a value."""
+        """Return whether these disks are a quorum for a value."""
         present, coming = voters_of(lineage)
         if self.without == 'quorum_of_present_set' and coming:
             return is_majority(disks, coming)
@@ -181,7 +193,7 @@
         return not coming or is_majority(disks, coming)
 
     def is_chosen(self, attempt: Attempt) -> bool:
-        """Tell whether a quorum has accepted the value."""
+        """Return whether a quorum has accepted the value."""
         if attempt.lineage is None:
             return False
         return self.has_quorum(attempt.lineage, attempt.holders)
@@ -196,24 +208,24 @@
             if attempt.lineage is None:
                 readable = self.readable(state, ballot)
                 if readable:
-                    # Further promises only take possible acceptances away.
+                    # Further promises only prevent possible acceptances.
                     steps += self.decisions(state, ballot, readable)
                 else:
                     steps += self.promises(state, ballot)
             else:
                 steps += self.acceptances(state, ballot)
-        steps += self.mishaps(state)
+        steps += self.disk_faults(state)
         return [(label, self.reduce(after)) for label, after in steps]
 
     def reduce(self, state: State) -> State:
-        """Return the state that stands for all that behave alike."""
+        """Return the same state for all that behave in the same way."""
         if self.without in ('unique_ballots', 'promise_blocks_older_ballots'):
-            # These change which attempts are over.
+            # Without one of these, other attempts are over.
             return self.sort_disks(state)
         return self.sort_disks(self.end_attempts(state))
 
     def end_attempts(self, state: State) -> State:
-        """Forget attempts and promises that change nothing any more."""
+        """Remove attempts and promises that have no effect any more."""
         attempts = list(state.attempts)
         for ballot in range(1, len(attempts)):
             if attempts[ballot] is not OVER and self.is_over(state, ballot):
@@ -223,7 +235,10 @@
         return state._replace(disks=tuple(disks), attempts=tuple(attempts))
 
     def is_over(self, state: State, ballot: int) -> bool:
-        """Tell whether no disk has, or ever will, accept this ballot."""
+        """Return whether the ballot has no effect any more.
+
+        No disk has accepted it or can accept it later.
+        """
         attempt = state.attempts[ballot]
         if self.is_chosen(attempt):
             return False
@@ -238,14 +253,13 @@
                 return False
             if ballot in (disk.accepted, disk.synced_accepted):
                 return False
-        # An attempt may still go on from the value if it has heard of it.
+        # With hearsay, an attempt may still continue from the value.
         return not (self.bounds.hearsay and attempt.holders)
 
     def sort_disks(self, state: State) -> State:
-        """Return the state that stands for all that differ by disk names.
+        """Return the same state for all that differ only in disk names.
 
-        Disks that no operator replaces are alike, so that swapping two of
-        them swaps whole behaviours.
+        Disks that no operator replaces are interchangeable.
         """
         alike = [n for n in range(3) if n not in self.bounds.replaceable]
         columns = {number: _column(state, number) for number in alike}
@@ -264,7 +278,7 @@
     def promises(
         self, state: State, ballot: int
     ) -> abc.Iterator[tuple[str, State]]:
-        """A disk promises, and the attempt hears of it."""
+        """Yield a disk's promise together with its reply."""
         members = FIRST_VOTERS
         for earlier in state.attempts:
             if earlier.holders:
@@ -278,10 +292,10 @@
             if not members >> number & 1:
                 continue
             attempt = state.attempts[ballot]
-            told = NONE if self.is_blind() else disk.accepted
-            heard = attempt._replace(
+            reported = NONE if self.ignores_accepted() else disk.accepted
+            prepared = attempt._replace(
                 promised=attempt.promised | 1 << number,
-                highest=max(attempt.highest, told),
+                highest=max(attempt.highest, reported),
             )
             promised = self.synced(disk._replace(promised=ballot))
             if self.without == 'promise_blocks_older_ballots':
@@ -290,20 +304,20 @@
                     continue
             yield (
                 f'disk {number} promises ballot {ballot}',
-                self.put(state, number, promised, ballot, heard),
+                self.put(state, number, promised, ballot, prepared),
             )
 
     def order(self, ballot: int) -> int:
-        """Return what disks compare.
+        """Return the key by which disks compare ballots.
 
-        A restarted proposer's second ballot equals its first, unless every
-        attempt has a ballot of its own.
+        Without ``unique_ballots``, the second ballot of a restarted proposer
+        equals its first.
         """
         if self.without == 'unique_ballots' and ballot == 2:
             return 1
         return ballot
 
-    def is_blind(self) -> bool:
+    def ignores_accepted(self) -> bool:
         return self.without == 'read_latest_accepted'
 
     # Acceptor.accept
@@ -311,7 +325,7 @@
     def acceptances(
         self, state: State, ballot: int
     ) -> abc.Iterator[tuple[str, State]]:
-        """A disk accepts the value of a ballot."""
+        """Yield a disk's acceptance of the value of a ballot."""
         attempt = state.attempts[ballot]
         present, coming = voters_of(attempt.lineage)
         for number, disk in enumerate(state.disks):
@@ -321,8 +335,8 @@
                 continue
             if self.order(disk.promised) > self.order(ballot):
                 continue
-            # A disk that joins may copy the claims as soon as it holds the
-            # value with both sets; sooner allows more than later.
+            # A joining disk may copy the claims once it has accepted the
+            # value with both sets. The earliest time allows the most steps.
             held = self.synced(
                 disk._replace(
                     promised=ballot,
@@ -339,11 +353,11 @@
     # Attempt._advance
 
     def readable(self, state: State, ballot: int) -> list[int]:
-        """Return the ballots whose values this attempt may go on from.
+        """Return the ballots from whose values this attempt may continue.
 
-        It may know of a later value than those that promised told of; any
-        value that some disk accepted will do, if a quorum of that value's
-        own voters promised.
+        It may have received a later value than those in the promises. It may
+        continue from any value that some disk accepted, if a quorum of that
+        value's own voters promised.
         """
         attempt = state.attempts[ballot]
         if not attempt.promised:
@@ -365,16 +379,16 @@
     def decisions(
         self, state: State, ballot: int, readable: list[int]
     ) -> abc.Iterator[tuple[str, State]]:
-        """The attempt reads a value and decides the step from it."""
+        """Yield the attempt's reads of a value and decisions from it."""
         for number in readable:
             read = state.attempts[number]
             for lineage, answer in self.steps_from(
                 read, state, self.bounds.wishes[ballot - 1]
             ):
-                lie = '' if is_true(answer, lineage) else answer
-                decided = Attempt(lineage=lineage, lie=lie)
+                false_answer = '' if is_true(answer, lineage) else answer
+                decided = Attempt(lineage=lineage, false_answer=false_answer)
                 told = state.told
-                if self.tells_early(read, lineage, answer):
+                if self.reports_early(read, lineage, answer):
                     told = (*told, lineage)
                 yield (
                     f'ballot {ballot} reads {number}, writes '
@@ -385,7 +399,7 @@
                     ),
                 )
 
-    def tells_early(
+    def reports_early(
         self, read: Attempt, lineage: Lineage, answer: str
     ) -> bool:
         if self.without != 'write_back_before_answer':
@@ -397,12 +411,12 @@
     def steps_from(
         self, read: Attempt, state: State, wishes: str
     ) -> abc.Iterator[tuple[Lineage, str]]:
-        """Return the values that may follow, and what is answered."""
+        """Yield the values that may follow, each with the answer sent."""
         if '.' in wishes:
             yield read.lineage, ''
         revision = revision_of(read.lineage)
         for document, expected in self.bounds.documents:
-            # Nobody makes a document from a revision that is still to come.
+            # A document can't be based on a future revision.
             if document in wishes and expected <= revision:
                 yield self.change_document(read.lineage, document, expected)
         if '+' in wishes:
@@ -416,7 +430,7 @@
     def change_document(
         self, lineage: Lineage, document: str, expected: int
     ) -> tuple[Lineage, str]:
-        """DocumentChange.decide."""
+        """Return the step of DocumentChange.decide."""
         if document in lineage and self.without != 'change_ids':
             revision = revision_of(lineage[: lineage.index(document) + 1])
             return lineage, f'{document} applied {revision}'
@@ -428,7 +442,7 @@
     def start_replacements(
         self, lineage: Lineage, state: State
     ) -> abc.Iterator[tuple[Lineage, str]]:
-        """VoterReplacement.decide."""
+        """Yield the steps of VoterReplacement.decide."""
         present, coming = voters_of(lineage)
         going = present & ~coming if coming else 0
         for new in range(3, 3 + self.bounds.new_disks):
@@ -442,7 +456,7 @@
                 yield (*lineage, f'+{old}{new}'), ''
 
     def may_end_replacement(self, read: Attempt, state: State) -> bool:
-        """ReplacementEnd.decide."""
+        """Return whether ReplacementEnd.decide ends the replacement."""
         present, coming = voters_of(read.lineage)
         if not coming:
             return False
@@ -454,10 +468,10 @@
             return True
         return state.disks[joiner].has_claims
 
-    # What befalls the disks
+    # Faults of disks
 
-    def mishaps(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Disks crash, or are lost."""
+    def disk_faults(self, state: State) -> abc.Iterator[tuple[str, State]]:
+        """Yield the crashes and losses of disks."""
         for number, disk in enumerate(state.disks):
             if disk.is_lost:
                 continue
@@ -503,7 +517,10 @@
         )
 
     def synced(self, disk: Disk) -> Disk:
-        """SyncGate.reply: the records are synced before the reply."""
+        """Return the disk as SyncGate.reply leaves it.
+
+        The records are synced before the reply.
+        """
         if self.without == 'sync_before_reply':
             return disk
         return disk._replace(
@@ -523,7 +540,7 @@
             attempts=_set(state.attempts, ballot, attempt),
         )
 
-    # What must hold
+    # Invariants
 
     def chosen(self, state: dict[str, typing.Any]) -> list[Lineage]:
         """Return the chosen values by ballot."""
@@ -531,7 +548,7 @@
         return [a.lineage for a in attempts if self.is_chosen(a)]
 
     def nothing_is_lost(self, state: dict[str, typing.Any]) -> bool:
-        """Chosen values are of one lineage, and what was told of too."""
+        """Chosen values and reported values are of one lineage."""
         chosen = self.chosen(state)
         in_order = zip(chosen, chosen[1:], strict=False)
         if any(later[: len(first)] != first for first, later in in_order):
@@ -543,7 +560,7 @@
         )
 
     def changes_are_made_once(self, state: dict[str, typing.Any]) -> bool:
-        """A document is written once, on the revision it was made from."""
+        """A document is written once, after the revision it is based on."""
         for lineage in self.chosen(state):
             for document, expected in self.bounds.documents:
                 if lineage.count(document) > 1:
@@ -555,16 +572,19 @@
         return True
 
     def answers_are_true(self, state: dict[str, typing.Any]) -> bool:
-        """Nothing is told that does not agree with the chosen value."""
-        return not any(a.lie and self.is_chosen(a) for a in state['attempts'])
+        """No answer disagrees with the chosen value."""
+        return not any(
+            a.false_answer and self.is_chosen(a) for a in state['attempts']
+        )
 
     def finished_voters_hold_everything(
         self, state: dict[str, typing.Any]
     ) -> bool:
-        """Whoever came in a finished replacement holds the claims.
+        """The new voter of a finished replacement has the claims.
 
-        A majority of the old voters held each claim, maybe with the one that
-        went, so a majority of the new ones does only if the newcomer does.
+        A majority of the old voters had each claim, and the voter that was
+        removed may be one of them. So a majority of the new voters has each
+        claim only if the new voter has it.
         """
         claims = 0
         for number, disk in enumerate(state['disks']):
@@ -581,7 +601,7 @@
         reached: abc.Mapping[str, abc.Callable] | None = None,
         max_states: int = 1_000_000,
     ) -> specs.BoundedModel:
-        """Return the model within its bounds."""
+        """Return the model with its bounds."""
         first = Disk(
             promised=0,
             accepted=0,
@@ -628,7 +648,7 @@
 
 
 def _forget_promise(disk: Disk, going: list[int]) -> Disk:
-    """Lower a promise as far as it blocks the same attempts as before."""
+    """Lower a promise while it still blocks the same attempts."""
     if disk.promised in going or disk.promised == NONE:
         return disk
     blocked = [n for n in going if n < disk.promised]
