--- a/specs/claims_spec.py
+++ b/specs/claims_spec.py
@@ -30,8 +30,8 @@
 # State of the attempt in a slot.
 CLAIMED, WITHDRAWN, RECORDED, CONTESTED = range(4)
 # Status of an attempt. GONE: it ended without running, and withdraws.
-# TOLD: it has reported an outcome to its caller, its own or another's.
-IDLE, ASKING, GRANTED, RAN, GONE, REPLAYING, TOLD = range(7)
+# REPORTED: it has reported an outcome to its caller, its own or another's.
+IDLE, ASKING, GRANTED, RAN, GONE, REPLAYING, REPORTED = range(7)
 # Status of a holder's disk.
 COUNTED, LOST, JOINING = range(3)
 
@@ -228,7 +228,7 @@
             attempt.status == RAN and self.bounds.outcomes
         )
         if is_at_work and attempt.epoch < state.repair.epoch:
-            steps.append(self.learn_epoch(state, number, attempt))
+            steps.append(self.read_epoch(state, number, attempt))
         if attempt.status == ASKING:
             steps += self.decide(state, number, attempt)
         elif attempt.status == GONE and self.lacks('withdrawn_never_runs'):
@@ -236,7 +236,7 @@
         elif attempt.status == GRANTED:
             steps += self.use_grant(state, number, attempt)
         elif attempt.status in (RAN, REPLAYING):
-            steps += self.tell(state, number, attempt)
+            steps += self.report_outcome(state, number, attempt)
         return steps
 
     def begin(self, state: State, number: int, attempt: Attempt) -> list[Step]:
@@ -365,17 +365,19 @@
                 )
                 for other in state.attempts
             )
-            told = state._replace(attempts=others)
+            reported = state._replace(attempts=others)
             gone = attempt._replace(status=GONE)
             steps.append(
                 (
-                    f'{number} is told not run',
-                    _with_attempt(told, number, gone),
+                    f'{number} is reported not run',
+                    _with_attempt(reported, number, gone),
                 )
             )
         return steps
 
-    def tell(self, state: State, number: int, attempt: Attempt) -> list[Step]:
+    def report_outcome(
+        self, state: State, number: int, attempt: Attempt
+    ) -> list[Step]:
         if not self.bounds.outcomes:
             return []
         recorded = sum(
@@ -388,11 +390,16 @@
             enough = 1
         if recorded < enough:
             return []
-        told = attempt._replace(status=TOLD)
-        told_state = _with_attempt(state, number, told)
-        return [(f'{number} tells', _forget_seen(told_state, number))]
+        reported = attempt._replace(status=REPORTED)
+        reported_state = _with_attempt(state, number, reported)
+        return [
+            (
+                f'{number} reports an outcome',
+                _forget_seen(reported_state, number),
+            )
+        ]
 
-    def learn_epoch(self, state: State, number: int, attempt: Attempt) -> Step:
+    def read_epoch(self, state: State, number: int, attempt: Attempt) -> Step:
         updated = _with_attempt(
             state, number, attempt._replace(epoch=attempt.epoch + 1)
         )
@@ -401,7 +408,7 @@
             keeps = 'outcomes_of_one_epoch'
         if not self.lacks(keeps):
             updated = _forget_seen(updated, number)
-        return (f'entry of {number} learns the epoch', updated)
+        return (f'entry of {number} reads the epoch', updated)
 
     # Messages, at a holder.
 
@@ -550,7 +557,7 @@
         if holder.epoch < repair.epoch and holder.disk != LOST:
             updated = holder._replace(epoch=holder.epoch + 1)
             steps.append(
-                ('holder learns the epoch', _with_holder(state, at, updated))
+                ('holder reads the epoch', _with_holder(state, at, updated))
             )
         return steps
 
@@ -720,7 +727,7 @@
 
 def told_outcome_stays(state: dict[str, typing.Any]) -> bool:
     """Every majority that can reply includes a reported outcome."""
-    if not any(one.status == TOLD for one in state['attempts']):
+    if not any(one.status == REPORTED for one in state['attempts']):
         return True
     without = sum(
         holder.disk == COUNTED and holder.synced[2:] != (RECORDED,)
@@ -777,13 +784,13 @@
     'replay_written_back': REPLAYS,
     'outcomes_of_one_epoch': OUTCOMES,
 }
-NOT_RUN_TOLD = (
+NOT_RUN_REPORTED = (
     'begin 0',
     'begin 1',
     'put 1 round 0',
     'put 1 round 0',
     'grant 1',
-    '1 is told not run',
+    '1 is reported not run',
 )
 DISK_LOST = (
     'put 0 round 0',
@@ -799,9 +806,9 @@
         'lose 0',
         'withdraw 0',
     ),
-    'withdrawal_before_begin': NOT_RUN_TOLD,
+    'withdrawal_before_begin': NOT_RUN_REPORTED,
     'later_round_before_begin': (
-        *NOT_RUN_TOLD,
+        *NOT_RUN_REPORTED,
         'withdraw 1',
         'withdraw 1',
         'begin 2',
@@ -830,8 +837,8 @@
         '0 sees (0, 0, 0, True)',
         'disk with (0, 0, 0) is lost',
         'holder joins with an empty disk',
-        'holder learns the epoch',
-        'holder learns the epoch',
+        'holder reads the epoch',
+        'holder reads the epoch',
         'copy ()',
     ),
     'used_slot_contests': (
@@ -841,9 +848,9 @@
         '0 goes to round 1',
         'disk with (0, 0, 0) is lost',
         'holder joins with an empty disk',
-        'entry of 0 learns the epoch',
-        'entry of 1 learns the epoch',
-        'holder learns the epoch',
+        'entry of 0 reads the epoch',
+        'entry of 1 reads the epoch',
+        'holder reads the epoch',
         'put 1 round 0',
     ),
 }
@@ -925,8 +932,8 @@
             one.slot[2:] == (CONTESTED,) for one in state['holders']
         )
     if bounds.outcomes:
-        reached['an outcome told by the last entry'] = lambda state: (
-            state['attempts'][-1].status == TOLD
+        reached['an outcome reported by the last entry'] = lambda state: (
+            state['attempts'][-1].status == REPORTED
         )
     return reached
 
--- a/specs/lease_change_spec.py
+++ b/specs/lease_change_spec.py
@@ -183,7 +183,7 @@
         own = state.candidates[who]
         for known in range(own.known + 1, state.force + 1):
             learned = own._replace(known=known)
-            yield f'{who} hears', _with(state, who, learned)
+            yield f'{who} is notified', _with(state, who, learned)
         claimed = own._replace(claim_left=self.ticks, claimed=own.known)
         if own.phase == HELD:
             yield f'{who} renews', _with(state, who, claimed)
@@ -192,7 +192,7 @@
         for epoch in range(own.epoch + 1, self.epochs + 1):
             asking = claimed._replace(phase=ASKING, epoch=epoch)
             asked = _without_answers(_with(state, who, asking), who)
-            yield f'{who} asks for {epoch}', asked
+            yield f'{who} claims epoch {epoch}', asked
 
     def stop(self, state: State, who: int) -> State:
         own = state.candidates[who]._replace(phase=IDLE, claim_left=0, left=0)
--- a/specs/lease_spec.py
+++ b/specs/lease_spec.py
@@ -189,7 +189,7 @@
                 return
             for epoch in range(own.epoch + 1, self.epochs + 1):
                 yield (
-                    f'{who} asks for epoch {epoch}',
+                    f'{who} claims epoch {epoch}',
                     self.ask(state, who, epoch),
                 )
         else:
@@ -267,7 +267,7 @@
             if voter.left_by_candidate[who] == IN_FLIGHT:
                 received = _with_left(voter, who, self.hold)
                 state_after = _with_voter(state, index, received)
-                yield f'{who} gets an answer', self.gain(state_after, who)
+                yield f'{who} receives an answer', self.gain(state_after, who)
         if state.faults:
             left = state._replace(faults=state.faults - 1)
             restarted = self.restarted(voter)
--- a/specs/quarantine_spec.py
+++ b/specs/quarantine_spec.py
@@ -146,7 +146,10 @@
                 found.append((f'{who} restarts', self.restart(state, who)))
             if self.has('told_others'):
                 found += [
-                    (f'{who} tells {other}', self.tell(state, who, other))
+                    (
+                        f'{who} sends to {other}',
+                        self.send_evidence(state, who, other),
+                    )
                     for other in ENTRIES
                     if other != who
                 ]
@@ -232,7 +235,7 @@
 
     # Exchange of evidence
 
-    def tell(self, state: State, who: int, other: int) -> State:
+    def send_evidence(self, state: State, who: int, other: int) -> State:
         known, cleared = state.known[who], state.cleared[who]
         surplus = state.surplus[other]
         if not self.has('distinct_starts') and known & state.known[other]:
@@ -253,7 +256,9 @@
         if self.has('compared_again') and self.has('told_others'):
             for _ in ENTRIES:
                 for who in ENTRIES:
-                    after = self.tell(after, who, (who + 1) % len(ENTRIES))
+                    after = self.send_evidence(
+                        after, who, (who + 1) % len(ENTRIES)
+                    )
         real = (1 << state.ended) - 1
         return after._replace(
             fresh=0,
--- a/tests/test_platform_backend_calls.py
+++ b/tests/test_platform_backend_calls.py
@@ -143,14 +143,14 @@
         b'',
         b'garbage\r\n\r\n',
     )
-    def test_a_failure_has_run_nothing(self, reply):
+    def test_a_failed_prefill_has_not_run(self, reply):
         with raw_server.serving(reply) as made:
             with self.assertRaises(engine.EngineError) as caught:
                 prefill(made.url)
         self.assertIs(caught.exception.known, NOT_RUN)
 
     @params((b'', True), (answer(500), False), (answer(body=b'no'), False))
-    def test_a_connection_that_ends_is_told_from_an_answer(self, reply, cut):
+    def test_a_broken_connection_differs_from_an_answer(self, reply, cut):
         with raw_server.serving(reply) as made:
             with self.assertRaises(engine.EngineError) as caught:
                 prefill(made.url)
@@ -184,7 +184,7 @@
         (answer(500, b'sorry'), False),
         (answer(421, b'another'), False),
     )
-    def test_a_connection_that_ends_is_told_from_an_answer(self, reply, cut):
+    def test_a_broken_connection_differs_from_an_answer(self, reply, cut):
         with raw_server.serving(reply) as made:
             with self.assertRaises(engine.EngineError) as caught:
                 stream(made.url)
@@ -300,7 +300,7 @@
         (answer(500), MAY_HAVE_RUN, ''),
         (b'', MAY_HAVE_RUN, ''),
     )
-    def test_whether_it_was_carried_out(self, reply, known, reason):
+    def test_whether_a_failed_order_may_have_run(self, reply, known, reason):
         with raw_server.serving(reply) as made:
             with self.assertRaises(engine.EngineError) as caught:
                 self.order(made.url)
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -22,7 +22,7 @@
     def setUp(self):
         self.made = translate()
 
-    def test_the_text_as_sent_is_kept(self):
+    def test_the_source_text_is_kept(self):
         body = document.document_bytes(self.made)
         kept = document.parse_document(body).source
         self.assertEqual(json.loads(kept), on_platform.CONFIGURATION)
@@ -58,7 +58,7 @@
         ({'kind': 'streaming', 'resumable': False}, 'never'),
         ({'kind': 'unsafe', 'resumable': True}, 'never'),
     )
-    def test_what_may_be_repeated_follows_from_the_kind(self, changes, repeat):
+    def test_retries_follow_from_the_kind(self, changes, repeat):
         message = json.loads(json.dumps(on_platform.CONFIGURATION))
         message['routes'][0].update(changes)
         self.assertEqual(translate(message).host_routes[0].repeat, repeat)
