--- a/dandeliongw/fronts.py
+++ b/dandeliongw/backend_forwarding.py
@@ -1,4 +1,9 @@
-"""Backend servers that talk to this instance, and who dispatches to them."""
+"""Decides which instances get the messages of which backend servers.
+
+A backend server announces itself to one instance and renews there. That
+instance forwards announcement and renewals to the instances that dispatch
+requests to the backend server.
+"""
 
 import typing
 
@@ -6,29 +11,33 @@
 from . import effects
 from .coordination import presence
 
-#: The owner of a backend server's cell, and the deputy next to it.
+#: Dispatchers of a backend server: the owner of its cell and the first deputy.
 DISPATCHERS = 2
 
 
-class Fronts:
-    """Sees to it that dispatchers hear what backend servers say here."""
+class BackendForwarding:
+    """Keeps the forwarding targets of each backend server announced here."""
 
     def __init__(self, *, directory: directory_module.Directory) -> None:
         self._directory = directory
         self._announcements_by_id: dict[str, presence.BackendAnnouncement] = {}
         self._dispatchers_by_id: dict[str, tuple[str, ...]] = {}
 
-    def announced(
+    def add(
         self, now: float, announcement: presence.BackendAnnouncement
     ) -> list[typing.Any]:
-        """Note a backend server; its dispatchers are told in any case."""
+        """Add a backend server, or update it from a later announcement.
+
+        The announcement is forwarded even if the dispatchers are the same
+        as before.
+        """
         backend_id = announcement.backend_id
         self._announcements_by_id[backend_id] = announcement
         self._dispatchers_by_id.pop(backend_id, None)
         return self._forward(now, announcement)
 
     def review(self, now: float) -> list[typing.Any]:
-        """Tell presence whose dispatchers have changed."""
+        """Return events for the backend servers whose dispatchers changed."""
         return [
             effect
             for announcement in self._announcements_by_id.values()
--- a/dandeliongw/reducer.py
+++ b/dandeliongw/reducer.py
@@ -1,9 +1,9 @@
-"""The one reducer over all events of an instance.
+"""The reducer: handles every event of an instance.
 
-It owns every part and their state, and is called from one thread. Effects
-that concern another part are handled here before it returns; the others
-leave for the runtime. It does no I/O, reads no clock and draws no random
-number.
+It owns all components ("parts") and their state, and is called from one
+thread. Effects that are addressed to another part are processed here before
+``handle`` returns; all others are returned to the runtime, which performs
+them. The reducer does no I/O, reads no clock and draws no random numbers.
 """
 
 import collections
@@ -11,17 +11,17 @@
 import math
 import typing
 
+from . import backend_forwarding
 from . import decisions
 from . import directory as directory_module
 from . import document as document_module
 from . import effects
 from . import events
 from . import exceptions
-from . import fronts
+from . import membership_log
 from . import repair
 from . import settings as settings_module
 from . import shutdown
-from . import sightings
 from .cell import cells
 from .cell import orders
 from .cell import owner as owner_module
@@ -43,32 +43,37 @@
 from .entry import requests
 from .entry import retries
 
-#: Seconds to a claim holder and back, its sync included, on a busy machine;
-#: several ticks fit in it, and a claim is given up after ten of it.
+#: Assumed round trip to a claim holder, in seconds, including the holder's
+#: sync to disk, on a busy machine. It spans several ticks; a claim times out
+#: after ten such round trips.
 CLAIM_ROUND_TRIP_S = 0.3
-#: Seconds between two looks at who should own and dispatch what.
+#: Seconds between two reviews of cell ownership, membership and the set of
+#: instances that dispatch to each backend server.
 REVIEW_S = 0.5
-#: Seconds between two ticks of parts that count in seconds, such as members'
-#: probes and claims; membership wants five in a second.
+#: Tick interval, in seconds, of parts whose timeouts are seconds long, such
+#: as membership probes and claims. Membership needs five ticks per second.
 SLOW_TICK_S = 0.2
-#: Seconds between two ticks of parts that count in tenths of one: the asks and
-#: checks of the register, leases, batches of renewals.
+#: Tick interval, in seconds, of parts whose timeouts are tenths of a second:
+#: the register's confirmation requests and checks, leases, and batches of
+#: backend server renewals.
 TICK_S = 0.1
-#: Seconds between two ticks after which this process counts as having stood
-#: still: ten ticks of the runtime, and less than half of a lease.
+#: If two ticks are further apart than this many seconds, this process is
+#: considered to have been paused. It is ten ticks of the runtime, and less
+#: than half of a lease.
 PAUSE_S = 0.5
-#: Seconds by which a tick may be early: timers are never exact, and one that
-#: is just early must not cost the part a whole tick more.
+#: Seconds by which a tick may be early. Timers are not exact; without this, a
+#: timer that fires slightly early would delay the part by one more tick.
 EARLY_S = 0.02
 
 Handler = abc.Callable[[typing.Any], list[typing.Any]]
 
 
-class _Paced:
-    """A part that needs fewer ticks than there are.
+class _ThrottledPart:
+    """Passes on to a part only as many ticks as the part needs.
 
-    The runtime ticks for what decides about requests. All parts together
-    took 43 in 100 of what an idle entry's control thread did.
+    The runtime's tick interval is set by the request path. With a tick at
+    each of those intervals, the parts together took 43 % of the work of an
+    idle entry's control thread.
     """
 
     def __init__(self, *, handle: Handler, every_s: float) -> None:
@@ -77,7 +82,7 @@
         self._next_at = -math.inf
 
     def tick(self, event: parts.Ticked) -> list[typing.Any]:
-        """Hand a tick on, if one is due."""
+        """Pass the tick on to the part, if its interval has elapsed."""
         if event.now < self._next_at:
             return []
         self._next_at = event.now + self._every_s - EARLY_S
@@ -85,11 +90,12 @@
 
 
 class Reducer:
-    """All parts of one instance, and what passes between them.
+    """All parts of one instance, and the routing of messages between them.
 
-    :param incarnation: higher than that of any earlier process of this id.
-    :param disk_id: identity of the data folder, or ``None`` without one.
-    :param callers_url: where callers reach this instance.
+    :param incarnation: higher than that of any earlier process with this
+        instance id.
+    :param disk_id: identity of the data folder; ``None`` if there is none.
+    :param callers_url: URL at which callers reach this instance.
     """
 
     def __init__(
@@ -159,7 +165,8 @@
                 burst=settings.retries.saved,
                 entries=self.directory.count_entries,
             ),
-            # The claims part takes no attempt that may outlive its record.
+            # The claims part rejects an attempt that could still run when
+            # its record has expired.
             most_claimed_s=settings.timeouts.claim_retention_s / 2,
             early_s=settings.timeouts.first_configuration_s,
         )
@@ -178,13 +185,15 @@
             directory=self.directory,
             owner=self.owner,
         )
-        self.repair = repair.Repair(
+        self.voter_replacement = repair.VoterReplacement(
             instance_id=settings.instance_id,
             configuration=self.register,
             members=self.membership,
             most_voters=settings.most_voters,
         )
-        self.fronts = fronts.Fronts(directory=self.directory)
+        self.backend_forwarding = backend_forwarding.BackendForwarding(
+            directory=self.directory
+        )
         self.shutdown = shutdown.Shutdown(
             timeouts=settings.timeouts,
             directory=self.directory,
@@ -197,49 +206,52 @@
             'claims': self.claims,
             'leases': self.leases,
         }
-        self._paced = (
-            _Paced(handle=self.membership.handle, every_s=SLOW_TICK_S),
-            _Paced(handle=self._in_register, every_s=TICK_S),
-            _Paced(handle=self._in_claims, every_s=SLOW_TICK_S),
-            _Paced(handle=self._in_leases, every_s=TICK_S),
-            _Paced(handle=self.presence.handle, every_s=TICK_S),
-            _Paced(handle=self.quarantine.handle, every_s=SLOW_TICK_S),
+        self._throttled_parts = (
+            _ThrottledPart(handle=self.membership.handle, every_s=SLOW_TICK_S),
+            _ThrottledPart(handle=self._in_register, every_s=TICK_S),
+            _ThrottledPart(handle=self._in_claims, every_s=SLOW_TICK_S),
+            _ThrottledPart(handle=self._in_leases, every_s=TICK_S),
+            _ThrottledPart(handle=self.presence.handle, every_s=TICK_S),
+            _ThrottledPart(handle=self.quarantine.handle, every_s=SLOW_TICK_S),
         )
         self._ticked_at = -math.inf
-        #: The last tick came late: this process stood still, and what it
-        #: holds may have been given to another one.
+        #: Whether the last tick came late. The process was then paused, and
+        #: its leases may have been granted to another instance meanwhile.
         self._has_paused = False
         self._review_at = 0.0
-        self._sightings = sightings.Sightings()
+        self._membership_log = membership_log.MembershipLog()
         self._instance_ids: tuple[str, ...] = ()
-        #: Those and the suspected ones, who may still act.
+        #: Instances that are alive or suspected; the latter may still act.
         self._present_ids: tuple[str, ...] = ()
         self._is_serving = False
         self._entropy = incarnation
         self._handlers_by_type = self._make_handlers()
         self._receivers_by_type = self._make_receivers()
-        self._absorbers_by_type = self._make_absorbers()
+        self._effect_handlers_by_type = self._make_effect_handlers()
 
-    # The reducer's contract
+    # The interface that the runtime uses
 
     def handle(self, event: typing.Any) -> list[typing.Any]:
-        """Take one event in; return what is to be done outside."""
+        """Process one event; return the effects for the runtime."""
         pending = collections.deque([event])
         out: list[typing.Any] = []
         while pending:
             current = pending.popleft()
             for effect in self._route(current):
-                self._absorb(event.now, effect, pending, out)
+                self._process_effect(event.now, effect, pending, out)
         return out
 
     def restore(self, records: abc.Iterable[typing.Any]) -> None:
-        """Take in the journal at a start; each part knows its records."""
+        """Restore the state of all parts from the journal, at a start.
+
+        Each part gets every record and ignores those of other parts.
+        """
         for record in records:
             for part in self._parts_by_name.values():
                 part.restore(record)
 
     def snapshot(self) -> list[typing.Any]:
-        """Return the records that take the journal's place."""
+        """Return the records that replace the journal at a compaction."""
         return [
             record
             for part in self._parts_by_name.values()
@@ -308,7 +320,7 @@
                     presence.SetInstances,
                 ),
             ),
-            (self._announce, (presence.Announced,)),
+            (self._on_announced, (presence.Announced,)),
             (
                 self.quarantine.handle,
                 (
@@ -318,7 +330,7 @@
                     quarantine.SetPeers,
                 ),
             ),
-            (self._backend_ended, (quarantine.Ended,)),
+            (self._on_backend_ended, (quarantine.Ended,)),
             (
                 self.owner.handle_in_all,
                 (cells.StreamCancelled, cells.StreamsListed),
@@ -326,12 +338,12 @@
             (self.owner.ordering.answer, (orders.OrderAnswered,)),
             (self._tick, (parts.Ticked,)),
             (self._receive, (parts.Received,)),
-            (self._persisted, (parts.Persisted,)),
+            (self._on_persisted, (parts.Persisted,)),
             (
                 lambda event: self.shutdown.begin(event.now),
                 (events.ShutdownBegun,),
             ),
-            (self._contact, (events.InstancesFound,)),
+            (self._on_instances_found, (events.InstancesFound,)),
             (self.shutdown.hand_over, (shutdown.HandOver,)),
             (self.shutdown.left, (shutdown.Left,)),
         ]
@@ -349,10 +361,10 @@
             (self.membership.handle, membership.MESSAGES),
             (self.presence.handle, presence.MESSAGES),
             (self.quarantine.handle, quarantine.MESSAGES),
-            (self._to_owner, owner_module.TO_OWNER),
+            (self._receive_as_owner, owner_module.TO_OWNER),
             (self._reclaim, (cells.ReclaimWanted,)),
             (
-                self._to_entry,
+                self._receive_as_entry,
                 set(cells.MESSAGES)
                 - {*owner_module.TO_OWNER, cells.ReclaimWanted},
             ),
@@ -363,38 +375,43 @@
             for message_type in message_types
         }
 
-    def _make_absorbers(self) -> dict[type, abc.Callable]:
+    def _make_effect_handlers(self) -> dict[type, abc.Callable]:
         return {
             register.ConfigurationChanged: self._change_configuration,
             register.VotersChanged: self._change_voters,
-            standings.ConfirmationLapsed: self._confirmation_lapsed,
-            standings.ConfirmationRegained: self._confirmation_regained,
-            lease.LeaseGained: self._gain_lease,
-            lease.LeaseLost: self._lose_lease,
-            lease.GrantorCaughtUp: self._leases_caught_up,
-            claim_messages.CaughtUp: self._claims_caught_up,
-            membership.MemberChanged: self._member_changed,
-            membership.MemberForgotten: self._member_changed,
-            presence.BackendChanged: self._change_backend,
-            presence.CacheHints: self._hint,
-            quarantine.Quarantined: self._hold,
-            quarantine.Released: self._release,
+            standings.ConfirmationLapsed: self._on_confirmation_lapsed,
+            standings.ConfirmationRegained: self._on_confirmation_regained,
+            lease.LeaseGained: self._on_lease_gained,
+            lease.LeaseLost: self._on_lease_lost,
+            lease.GrantorCaughtUp: self._on_leases_caught_up,
+            claim_messages.CaughtUp: self._on_claims_caught_up,
+            membership.MemberChanged: self._on_member_changed,
+            membership.MemberForgotten: self._on_member_changed,
+            presence.BackendChanged: self._on_backend_changed,
+            presence.CacheHints: self._on_cache_hints,
+            quarantine.Quarantined: self._on_quarantined,
+            quarantine.Released: self._on_released,
         }
 
     def _route(self, event: typing.Any) -> list[typing.Any]:
         handler = self._handlers_by_type.get(type(event))
         if handler is None:
-            raise TypeError(f'no part takes {type(event).__name__}')
+            raise TypeError(f'no handler for event {type(event).__name__}')
         return handler(event)
 
-    def _absorb(
+    def _process_effect(
         self,
         now: float,
         effect: typing.Any,
         pending: collections.deque,
         out: list[typing.Any],
     ) -> None:
-        """Turn what concerns a part into an event; let the rest out."""
+        """Process an effect here if a part handles it.
+
+        :param pending: events to handle next; effects that become events
+            are appended.
+        :param out: effects for the runtime; all others are appended.
+        """
         if isinstance(effect, effects.Dispatch):
             pending.append(effect.event)
         elif isinstance(effect, parts.Send) and (
@@ -407,10 +424,10 @@
             )
         elif isinstance(effect, parts.Complete):
             self._complete(now, effect, pending, out)
-        elif type(effect) in self._absorbers_by_type:
-            absorb = self._absorbers_by_type[type(effect)]
-            for further in absorb(now, effect):
-                self._absorb(now, further, pending, out)
+        elif type(effect) in self._effect_handlers_by_type:
+            handle = self._effect_handlers_by_type[type(effect)]
+            for further in handle(now, effect):
+                self._process_effect(now, further, pending, out)
         else:
             out.append(effect)
 
@@ -429,10 +446,12 @@
             if effect.ticket.startswith(prefix):
                 request_id = effect.ticket[len(prefix) :]
                 for further in answer(now, request_id, effect.result):
-                    self._absorb(now, further, pending, out)
+                    self._process_effect(now, further, pending, out)
                 return
         if effect.ticket.startswith(repair.TICKET):
-            out.append(effects.log(f'replacing the disk: {effect.result}'))
+            out.append(
+                effects.log(f'voter replacement proposed: {effect.result}')
+            )
             return
         out.append(effect)
 
@@ -440,26 +459,27 @@
         receiver = self._receivers_by_type.get(type(event.message))
         return [] if receiver is None else receiver(event)
 
-    # Parts that write to the journal: tokens carry the part's name.
+    # Parts that write to the journal. Their tokens are prefixed by the part's
+    # name, so that the confirmation of a write reaches the right part.
 
     def _in_register(self, event: typing.Any) -> list[typing.Any]:
-        return _name_tokens('register', self.register.handle(event))
+        return _prefix_tokens('register', self.register.handle(event))
 
     def _in_claims(self, event: typing.Any) -> list[typing.Any]:
-        return _name_tokens('claims', self.claims.handle(event))
+        return _prefix_tokens('claims', self.claims.handle(event))
 
     def _in_leases(self, event: typing.Any) -> list[typing.Any]:
-        return _name_tokens('leases', self.leases.handle(event))
+        return _prefix_tokens('leases', self.leases.handle(event))
 
-    def _persisted(self, event: parts.Persisted) -> list[typing.Any]:
+    def _on_persisted(self, event: parts.Persisted) -> list[typing.Any]:
         name, _, token = event.token.partition('/')
         persisted = parts.Persisted(now=event.now, token=token)
         part = self._parts_by_name[name]
-        return _name_tokens(name, part.handle(persisted))
+        return _prefix_tokens(name, part.handle(persisted))
 
     # Cells
 
-    def _to_owner(self, event: parts.Received) -> list[typing.Any]:
+    def _receive_as_owner(self, event: parts.Received) -> list[typing.Any]:
         message = event.message
         if isinstance(message, cells.Book) and (
             message.cell not in self.owner.cells_by_id
@@ -468,7 +488,7 @@
             self._review_at = event.now
         return self.owner.receive(event)
 
-    def _to_entry(self, event: parts.Received) -> list[typing.Any]:
+    def _receive_as_entry(self, event: parts.Received) -> list[typing.Any]:
         message = event.message
         if isinstance(message, cells.NotOwner):
             self.directory.note_not_owner(
@@ -491,7 +511,7 @@
             event.now, message.cell, event.sender, message.epoch
         )
 
-    def _gain_lease(
+    def _on_lease_gained(
         self, now: float, effect: lease.LeaseGained
     ) -> list[typing.Any]:
         return [
@@ -506,7 +526,7 @@
             ),
         ]
 
-    def _lose_lease(
+    def _on_lease_lost(
         self, now: float, effect: lease.LeaseLost
     ) -> list[typing.Any]:
         has_paused = self._has_paused or now - self._ticked_at > PAUSE_S
@@ -518,7 +538,7 @@
         if may_keep and self.owner.keep(effect.name):
             return [
                 effects.log(
-                    'goes on with a cell without a lease: no voter is heard',
+                    'keeping a cell without a lease: no voter is reachable',
                     cell=effect.name,
                     level='WARNING',
                 )
@@ -532,56 +552,63 @@
 
     # Backend servers
 
-    def _announce(self, event: presence.Announced) -> list[typing.Any]:
+    def _on_announced(self, event: presence.Announced) -> list[typing.Any]:
         out = self.presence.handle(event)
         accepted = parts.Complete(
             ticket=event.ticket, result=presence.PresenceOutcome.ACCEPTED
         )
         if accepted not in out:
-            # A late word of an earlier process must not redirect a later
-            # one's renewals to the cell of another service.
+            # A rejected announcement is a late one of an earlier process. It
+            # must not redirect the renewals of the later process to the cell
+            # of another service.
             return out
-        return [*out, *self.fronts.announced(event.now, event.announcement)]
+        return [
+            *out,
+            *self.backend_forwarding.add(event.now, event.announcement),
+        ]
 
-    def _change_backend(
+    def _on_backend_changed(
         self, now: float, effect: presence.BackendChanged
     ) -> list[typing.Any]:
         state = 'present' if effect.present else 'gone'
-        said = self.presence.backends_by_id[effect.backend_id].announcement
+        announcement = self.presence.backends_by_id[
+            effect.backend_id
+        ].announcement
         return [
             effects.log(
                 f'backend server is {state}',
                 backend_id=effect.backend_id,
-                service=said.service,
-                role=said.role.value,
-                url=said.url,
+                service=announcement.service,
+                role=announcement.role.value,
+                url=announcement.url,
             ),
             *self.owner.change_backend(now, effect.backend_id),
         ]
 
-    def _hint(
+    def _on_cache_hints(
         self, now: float, effect: presence.CacheHints
     ) -> list[typing.Any]:
         return self.owner.hint(now, effect)
 
-    # Calls that end backend servers
+    # Calls that make backend servers exit
 
-    def _backend_ended(self, event: quarantine.Ended) -> list[typing.Any]:
-        """Take in evidence, unless the backend server said it would end.
+    def _on_backend_ended(self, event: quarantine.Ended) -> list[typing.Any]:
+        """Count a backend server's exit against the call that it ran.
 
-        Of one that is taken away under its work, that work says nothing.
+        An announced exit is not counted: the backend server was stopped
+        while it worked, and the call did not cause that.
         """
         if self.presence.has_left(event.start):
             return [
                 effects.log(
-                    'an end that was announced is not held against a call',
+                    'announced backend server exit not counted against a call',
                     call=event.fingerprint,
                     backend_id=event.start.backend_id,
                 )
             ]
         return self.quarantine.handle(event)
 
-    def _hold(
+    def _on_quarantined(
         self, now: float, effect: quarantine.Quarantined
     ) -> list[typing.Any]:
         line = decisions.CallQuarantined(
@@ -592,7 +619,7 @@
         )
         return [line.log(), *self.requests.hold(now, effect.fingerprint)]
 
-    def _release(
+    def _on_released(
         self, now: float, effect: quarantine.Released
     ) -> list[typing.Any]:
         line = decisions.CallReleased(call=effect.fingerprint, why=effect.why)
@@ -610,12 +637,12 @@
                 else document_module.EMPTY
             )
         except exceptions.InvalidInput as error:
-            # A newer release accepted it. Going on with the old document
-            # would serve by a configuration that is no longer accepted.
+            # A newer release accepted this document. Continuing with the old
+            # one would serve requests by a superseded configuration.
             self.directory.is_unreadable = True
             return [
                 effects.log(
-                    f'can not read the accepted document: {error}',
+                    f'cannot parse the accepted document: {error}',
                     level='ERROR',
                 )
             ]
@@ -625,33 +652,33 @@
         return [
             effects.log(
                 'configuration in force',
-                **_told(self.register.standing(now)),
+                **_confirmation_fields(self.register.standing(now)),
             ),
             *self.owner.change_document(
                 now, frozenset(self.membership.alive_ids())
             ),
         ]
 
-    def _confirmation_lapsed(
+    def _on_confirmation_lapsed(
         self, now: float, effect: standings.ConfirmationLapsed
     ) -> list[typing.Any]:
         return [
             effects.log(
                 'configuration not confirmed in time',
-                **_told(effect.standing),
+                **_confirmation_fields(effect.standing),
                 asks=str(effect.asks),
                 late_answers=str(effect.late_answers),
                 level='WARNING',
             )
         ]
 
-    def _confirmation_regained(
+    def _on_confirmation_regained(
         self, now: float, effect: standings.ConfirmationRegained
     ) -> list[typing.Any]:
         return [
             effects.log(
                 'configuration confirmed again',
-                **_told(effect.standing),
+                **_confirmation_fields(effect.standing),
                 lapsed_s=f'{effect.lapsed_s:.2f}',
             )
         ]
@@ -659,25 +686,29 @@
     def _change_voters(
         self, now: float, effect: register.VotersChanged
     ) -> list[typing.Any]:
-        return self.repair.change_voters(now, effect)
+        return self.voter_replacement.change_voters(now, effect)
 
-    def _leases_caught_up(
+    def _on_leases_caught_up(
         self, now: float, effect: lease.GrantorCaughtUp
     ) -> list[typing.Any]:
-        return self.repair.note_whole(
+        return self.voter_replacement.note_caught_up(
             now, 'leases', effect.version, self._entropy
         )
 
-    def _claims_caught_up(
+    def _on_claims_caught_up(
         self, now: float, effect: claim_messages.CaughtUp
     ) -> list[typing.Any]:
         number = effect.epoch - repair.FIRST_CLAIMS_EPOCH
-        return self.repair.note_whole(now, 'claims', number, self._entropy)
+        return self.voter_replacement.note_caught_up(
+            now, 'claims', number, self._entropy
+        )
 
     # Membership
 
-    def _contact(self, event: events.InstancesFound) -> list[typing.Any]:
-        """Take in what a seed told of the instances."""
+    def _on_instances_found(
+        self, event: events.InstancesFound
+    ) -> list[typing.Any]:
+        """Add the instances that a seed listed to membership and register."""
         found = {each.instance_id: each for each in event.instances}
         out: list[typing.Any] = [
             effects.PeerAddress(
@@ -699,22 +730,22 @@
             effects.Dispatch(event=contacts),
         ]
 
-    def _member_changed(
+    def _on_member_changed(
         self, now: float, effect: typing.Any
     ) -> list[typing.Any]:
         self._review_at = now
         self.directory.forget_ranks()
         if isinstance(effect, membership.MemberForgotten):
-            self._sightings.forget(effect.instance_id)
+            self._membership_log.forget(effect.instance_id)
             return [effects.PeerForgotten(instance_id=effect.instance_id)]
-        told = self._sightings.note(now, effect.member)
+        lines = self._membership_log.record(now, effect.member)
         info = effect.member.info
         if not info.host or effect.member.instance_id == (
             self.settings.instance_id
         ):
-            return told
+            return lines
         return [
-            *told,
+            *lines,
             effects.PeerAddress(
                 instance_id=effect.member.instance_id,
                 host=info.host,
@@ -728,7 +759,11 @@
         self._entropy = event.entropy
         self._has_paused = event.now - self._ticked_at > PAUSE_S
         self._ticked_at = event.now
-        out = [effect for paced in self._paced for effect in paced.tick(event)]
+        out = [
+            effect
+            for part in self._throttled_parts
+            for effect in part.tick(event)
+        ]
         out += self.owner.tick(event)
         out += self.requests.handle(event)
         if event.now >= self._review_at:
@@ -737,22 +772,22 @@
         return [*out, *self.shutdown.tick(event.now)]
 
     def _review(self, now: float) -> list[typing.Any]:
-        """Look again at who is there and who should do what."""
+        """Review which instances are present and what each should do."""
         return [
             *self._review_instances(now),
             *self._review_serving(now),
             self._observe(now),
             *self.succession.review(now),
-            *self.repair.review(now, self._entropy),
-            *self.fronts.review(now),
-            *self._sightings.tick(now),
+            *self.voter_replacement.review(now, self._entropy),
+            *self.backend_forwarding.review(now),
+            *self._membership_log.tick(now),
         ]
 
     def _observe(self, now: float) -> effects.Observed:
-        held = self.register
-        age = None if held.confirmed_at is None else now - held.confirmed_at
+        state = self.register
+        age = None if state.confirmed_at is None else now - state.confirmed_at
         return effects.Observed(
-            revision=held.revision or 0,
+            revision=state.revision or 0,
             confirmed_age_s=age,
             members=len(self._instance_ids),
             pools=self.owner.pool_loads(),
@@ -826,8 +861,8 @@
     )
 
 
-def _told(standing: standings.Standing) -> dict[str, str]:
-    """Return the fields of a log line on a configuration."""
+def _confirmation_fields(standing: standings.Standing) -> dict[str, str]:
+    """Return the log fields on a configuration and its confirmation."""
     age_s = standing.confirmed_age_s
     return {
         'revision': str(standing.revision),
@@ -836,12 +871,12 @@
     }
 
 
-def _name_tokens(
-    name: str, wanted: abc.Iterable[typing.Any]
+def _prefix_tokens(
+    name: str, part_effects: abc.Iterable[typing.Any]
 ) -> list[typing.Any]:
     return [
         parts.Persist(token=f'{name}/{effect.token}', records=effect.records)
         if isinstance(effect, parts.Persist)
         else effect
-        for effect in wanted
+        for effect in part_effects
     ]
--- a/dandeliongw/repair.py
+++ b/dandeliongw/repair.py
@@ -1,4 +1,8 @@
-"""Changes of the voters: told to all parts, finished when all are whole."""
+"""Changes of the voters: announced to all parts, finished once all caught up.
+
+A change adds a voter or replaces one. Claims and leases first copy the state
+that the new voter lacks; then the register finishes the change.
+"""
 
 import typing
 
@@ -8,24 +12,25 @@
 from .coordination import membership
 from .coordination import register
 
-#: Claims know no holders under epoch 0; sets of voters count from 0.
+#: Claims epoch of the first set of voters. Sets are numbered from 0, and
+#: epoch 0 of the claims means that there are no holders.
 FIRST_CLAIMS_EPOCH = 1
-#: Seconds between two tries to bring a new disk among the voters.
+#: Seconds between two attempts to change the voters.
 REPAIR_S = 2.0
-#: Seconds without a sign of life after which a voter may be replaced. A
-#: restart takes two; a cut that lasts longer costs the voter its vote, and it
-#: comes back as a new one.
+#: Seconds for which a voter is not alive before it may be replaced. A restart
+#: takes two. After a longer network partition the voter loses its vote, and
+#: rejoins as a new one.
 GONE_S = 20.0
-#: Ticket prefix of those tries.
+#: Ticket prefix of the proposals to change the voters.
 TICKET = 'repair:'
 
 
-class Repair:
-    """Brings a new disk among the voters in place of the one it replaces.
+class VoterReplacement:
+    """Makes the disk of this instance a voter, and finishes such changes.
 
     :param instance_id: this instance.
-    :param most_voters: up to how many instances with disks become voters by
-        themselves; ``None`` for none.
+    :param most_voters: instances with disks join the voters automatically up
+        to this number; ``None`` disables that.
     """
 
     def __init__(
@@ -41,16 +46,16 @@
         self._members = members
         self._most_voters = most_voters
         self._absent_since_by_id: dict[str, float] = {}
-        self._try_at = 0.0
-        #: Parts that hold all of the coming voters' state, by set number.
-        self._whole: set[tuple[str, int]] = set()
+        self._next_attempt_at = 0.0
+        #: Name and voter set number of the parts that have caught up.
+        self._caught_up: set[tuple[str, int]] = set()
 
     def change_voters(
         self, now: float, changed: register.VotersChanged
     ) -> list[typing.Any]:
-        """Tell claims and leases whose answers count."""
+        """Return events with the new set of voters for claims and leases."""
         voters, joining = changed.voters_by_id, changed.joining_by_id
-        coming = {
+        new_voters = {
             instance_id: disk_id
             for instance_id, disk_id in joining.items()
             if voters.get(instance_id) != disk_id
@@ -59,7 +64,7 @@
             claim_messages.HoldersChanged(
                 now=now,
                 disk_ids_by_holder=voters,
-                joining=coming,
+                joining=new_voters,
                 epoch=changed.number + FIRST_CLAIMS_EPOCH,
                 leaving=frozenset(voters) - frozenset(joining or voters),
             ),
@@ -71,24 +76,24 @@
             ),
         ]
         if changed.number == 0 and self._register.disk_id in voters.values():
-            # Only the first voters ever start with nothing to catch up with.
+            # Only the voters that formed the system have nothing to copy.
             out.append(lease.GrantorsFormed(now=now))
         return [effects.Dispatch(event=event) for event in out]
 
-    def note_whole(
+    def note_caught_up(
         self, now: float, part: str, number: int, entropy: int
     ) -> list[typing.Any]:
-        """Let the register finish a replacement once all parts are whole.
+        """Let the register finish a change once all parts have caught up.
 
-        Counting the new disk earlier would leave claims or epochs on fewer
-        disks than a majority: one would see nothing, until a second disk is
-        lost right after and a booking runs twice.
+        If the new disk counted earlier, claims or epochs would be stored on
+        fewer disks than a majority. That would go unnoticed until a second
+        disk is lost right afterwards; then a booking could run twice.
 
         :param part: ``leases`` or ``claims``.
-        :param number: of the set of voters that it has caught up with.
+        :param number: number of the set of voters that it has caught up with.
         """
-        self._whole.add((part, number))
-        if not {('leases', number), ('claims', number)} <= self._whole:
+        self._caught_up.add((part, number))
+        if not {('leases', number), ('claims', number)} <= self._caught_up:
             return []
         caught_up = register.CaughtUp(
             now=now, disk_id=self._register.disk_id, entropy=entropy
@@ -96,34 +101,37 @@
         return [effects.Dispatch(event=caught_up)]
 
     def review(self, now: float, entropy: int) -> list[typing.Any]:
-        """Keep the voters whole: one step at a time, begun by who comes."""
-        self._note_absent(now)
-        if self._register.configuration is None or now < self._try_at:
+        """Begin or withdraw a change of the voters, if one is needed.
+
+        There is one change at a time. The instance that joins begins it.
+        """
+        self._update_absent(now)
+        if self._register.configuration is None or now < self._next_attempt_at:
             return []
-        wanted = self._choose(now, entropy)
+        wanted = self._choose_change(now, entropy)
         if wanted:
-            self._try_at = now + REPAIR_S
+            self._next_attempt_at = now + REPAIR_S
         return wanted
 
-    def _choose(self, now: float, entropy: int) -> list[typing.Any]:
-        held = self._register
-        if held.joining_by_id:
+    def _choose_change(self, now: float, entropy: int) -> list[typing.Any]:
+        state = self._register
+        if state.joining_by_id:
             return self._withdraw(now, entropy)
-        counted = held.voters_by_id.get(self._instance_id)
-        if counted == held.disk_id:
+        voting_disk_id = state.voters_by_id.get(self._instance_id)
+        if voting_disk_id == state.disk_id:
             return []
-        if counted is not None:
-            return self._join(now, entropy, in_place_of=self._instance_id)
-        if held.disk_id is None or self._most_voters is None:
+        if voting_disk_id is not None:
+            return self._propose(now, entropy, in_place_of=self._instance_id)
+        if state.disk_id is None or self._most_voters is None:
             return []
-        return self._come(now, entropy)
+        return self._join(now, entropy)
 
-    def _come(self, now: float, entropy: int) -> list[typing.Any]:
-        """Become a voter in place of one that is gone, or beside the others.
+    def _join(self, now: float, entropy: int) -> list[typing.Any]:
+        """Replace a voter that is gone, or join as an additional voter.
 
-        While a voter is only doubted nothing is done: added now, the one
-        that is gone would count on beside its successor, and a majority
-        would need more of those that are left.
+        While a voter is absent but not yet gone, nothing is done. If this
+        instance joined as an additional voter then, the absent voter would
+        still count, and a majority would need more of the remaining voters.
         """
         gone = sorted(
             voter
@@ -131,43 +139,54 @@
             if self._is_gone(now, voter)
         )
         if gone:
-            return self._join(now, entropy, in_place_of=gone[0])
-        is_whole = not self._absent_since_by_id.keys() & (
+            return self._propose(now, entropy, in_place_of=gone[0])
+        are_all_present = not self._absent_since_by_id.keys() & (
             self._register.voters_by_id.keys()
         )
-        if is_whole and len(self._register.voters_by_id) < self._most_voters:
-            return self._join(now, entropy, in_place_of='')
+        if (
+            are_all_present
+            and len(self._register.voters_by_id) < self._most_voters
+        ):
+            return self._propose(now, entropy, in_place_of='')
         return []
 
-    def _join(
+    def _propose(
         self, now: float, entropy: int, *, in_place_of: str
     ) -> list[typing.Any]:
-        held = self._register
+        state = self._register
         replace = register.ReplaceVoter(
             now=now,
-            ticket=f'{TICKET}{held.disk_id}',
-            change_id=f'disk-{held.disk_id}-{held.voters_number}',
+            ticket=f'{TICKET}{state.disk_id}',
+            change_id=f'disk-{state.disk_id}-{state.voters_number}',
             instance_id=in_place_of,
             by=self._instance_id,
             entropy=entropy,
         )
         return [
-            effects.log('a disk asks to vote', in_place_of=in_place_of),
+            effects.log(
+                "proposing this instance's disk as a voter",
+                in_place_of=in_place_of,
+            ),
             effects.Dispatch(event=replace),
         ]
 
     def _withdraw(self, now: float, entropy: int) -> list[typing.Any]:
-        """Give up a change whose new voter is gone; any voter does."""
-        held = self._register
-        coming = held.joining_by_id.keys() - held.voters_by_id.keys()
-        is_voter = self._instance_id in held.voters_by_id
-        if not is_voter or not any(self._is_gone(now, c) for c in coming):
+        """Withdraw a change whose new voter is gone; any voter may do so."""
+        state = self._register
+        new_voters = state.joining_by_id.keys() - state.voters_by_id.keys()
+        is_voter = self._instance_id in state.voters_by_id
+        if not is_voter or not any(
+            self._is_gone(now, voter) for voter in new_voters
+        ):
             return []
         withdraw = register.WithdrawJoining(
-            now=now, number=held.voters_number, entropy=entropy
+            now=now, number=state.voters_number, entropy=entropy
         )
         return [
-            effects.log('a voter that was to come is gone', level='WARNING'),
+            effects.log(
+                'withdrawing a voter change: the joining voter is gone',
+                level='WARNING',
+            ),
             effects.Dispatch(event=withdraw),
         ]
 
@@ -175,10 +194,10 @@
         since = self._absent_since_by_id.get(instance_id)
         return since is not None and now - since >= GONE_S
 
-    def _note_absent(self, now: float) -> None:
-        """Note since when each voter, present or coming, is not alive."""
-        held = self._register
-        voters = held.voters_by_id.keys() | held.joining_by_id.keys()
+    def _update_absent(self, now: float) -> None:
+        """Update since when each current or joining voter is not alive."""
+        state = self._register
+        voters = state.voters_by_id.keys() | state.joining_by_id.keys()
         absent = voters - set(self._members.alive_ids())
         self._absent_since_by_id = {
             voter: self._absent_since_by_id.get(voter, now) for voter in absent
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -70,7 +70,7 @@
 
 
 class PlacingNetwork(network.Network):
-    """Instances that go on while no voter can be asked."""
+    """Instances that keep serving while no voter is reachable."""
 
     def _settings(self, instance_id):
         made = super()._settings(instance_id)
@@ -80,16 +80,16 @@
 
 
 class SilentVotersTest(unittest.TestCase):
-    """Symptom: all calls are refused, "no backend server is ready".
+    """Guards against calls refused with "no backend server is ready".
 
-    Sequence: all voters lose power; the lease of a cell can't be renewed and
-    runs out; its owner, the entries and the backend servers are well.
-    Cause: the owner drops its cell, and an entry's own part of a backend
-    server holds less than the calls that come.
+    All voters lose power and the lease of a cell expires, while its owner,
+    the entries and the backend servers work. If the owner dropped the cell,
+    each entry would place calls into its own share of a backend server, which
+    is too small for them.
     """
 
     VOTERS = ('gw-1', 'gw-2', 'gw-3')
-    #: So many that the owner and its deputies are none of the voters.
+    #: Large enough for the owner and its deputies to be no voters.
     COUNT = 19
 
     def setUp(self):
@@ -139,7 +139,7 @@
         self.assertIsNone(self.net.owner_of(CELL))
 
     def started(self, *request_ids):
-        """Return how many of some calls through one entry are started."""
+        """Return how many of these calls through one entry are started."""
         done = self.net.effects_by_id[self.entry]
         before = len(done)
         for request_id in request_ids:
@@ -147,57 +147,57 @@
         self.keep_present(0.3)
         return sum(isinstance(e, effects.RunCall) for e in done[before:])
 
-    def test_the_last_owner_goes_on(self):
+    def test_the_last_owner_keeps_dispatching(self):
         self.lose_voters()
-        # An entry's own part of the four slots is one.
+        # An entry's own share of the four slots is one.
         self.assertEqual(3, self.started('r-1', 'r-2', 'r-3'))
 
-    def test_it_gives_no_order_without_a_lease(self):
+    def test_it_sends_no_order_without_a_lease(self):
         self.lose_voters()
-        held = self.net.reducers_by_id[self.owner].owner
-        self.assertEqual({}, held.ordering.orders_by_cell)
-        self.assertEqual({}, held.epochs_by_cell())
+        owner = self.net.reducers_by_id[self.owner].owner
+        self.assertEqual({}, owner.ordering.orders_by_cell)
+        self.assertEqual({}, owner.epochs_by_cell())
 
     def test_it_yields_to_the_next_owner(self):
-        """Otherwise both give the same slots away."""
+        """Otherwise both owners would book the same slots."""
         self.lose_voters()
         self.net.cut.add(self.owner)
         for instance_id in self.VOTERS:
             self.net.frozen.discard(instance_id)
         self.net.run_until(self.is_owned, 20)
-        following = self.net.owner_of(CELL)
-        self.assertNotEqual(self.owner, following)
+        successor = self.net.owner_of(CELL)
+        self.assertNotEqual(self.owner, successor)
         former = self.net.reducers_by_id[self.owner].owner
         self.assertIn(CELL, former.cells_by_id)
-        epoch = self.net.reducers_by_id[following].owner.epochs_by_cell()[CELL]
+        epoch = self.net.reducers_by_id[successor].owner.epochs_by_cell()[CELL]
         self.net.cut.clear()
         self.net.reducers_by_id[self.owner].handle(
             parts.Received(
                 now=self.net.now,
-                sender=following,
+                sender=successor,
                 message=cells.ReclaimWanted(cell=CELL, epoch=epoch),
             )
         )
         self.assertNotIn(CELL, former.cells_by_id)
 
-    def test_one_that_was_frozen_past_its_lease_does_not_go_on(self):
-        """It can't know who has been given its slots meanwhile."""
+    def test_an_owner_paused_past_its_lease_drops_its_cell(self):
+        """Another owner may have booked its slots meanwhile."""
         self.net.frozen.add(self.owner)
         for instance_id in self.VOTERS:
             self.net.crash(instance_id)
         self.net.run(4.0)
         self.net.frozen.discard(self.owner)
         self.net.run(1.0)
-        woken = self.net.reducers_by_id[self.owner].owner
-        self.assertNotIn(CELL, woken.cells_by_id)
+        resumed = self.net.reducers_by_id[self.owner].owner
+        self.assertNotIn(CELL, resumed.cells_by_id)
 
-    def test_one_that_hears_some_voters_does_not_go_on(self):
-        """A majority that it can't reach may give the cell to another."""
+    def test_an_owner_that_reaches_some_voters_drops_its_cell(self):
+        """A majority it can't reach may grant the lease to another."""
         for instance_id in self.VOTERS[:2]:
             self.net.crash(instance_id)
         self.keep_present(4.0)
-        held = self.net.reducers_by_id[self.owner].owner
-        self.assertNotIn(CELL, held.cells_by_id)
+        owner = self.net.reducers_by_id[self.owner].owner
+        self.assertNotIn(CELL, owner.cells_by_id)
 
 
 class ReducerTest(unittest.TestCase):
@@ -228,7 +228,7 @@
         ]
 
     def keep_present(self, seconds, backend_id='portal-1'):
-        """Let time pass while a backend server renews everywhere."""
+        """Let time pass while a backend server renews at every instance."""
         for _ in range(round(seconds / network.TICK_S)):
             self.sequence += 1
             for instance_id in self.net.reducers_by_id:
@@ -246,13 +246,13 @@
             ticket='renew',
         )
 
-    def test_a_backend_server_that_starts_again_is_used_at_once(self):
-        """Symptom: one that came back under its id is never used again.
+    def test_a_restarted_backend_server_is_used_at_once(self):
+        """Guards against a restarted backend server that gets no work.
 
-        Sequence: it leaves, starts again at once and counts from 1 anew;
-        then the leave and a heartbeat of the start before come late, by
-        another instance.
-        Cause: counts of two starts were compared with each other.
+        It leaves, restarts at once and counts its messages from 1 again; then
+        the leave and a heartbeat of the earlier process arrive late, through
+        another instance. Sequence numbers of two processes must not be
+        compared with each other.
         """
         self.sequence = 30
         self.keep_present(0.5)
@@ -283,27 +283,29 @@
             self.assertIsInstance(found[0], effects.RunCall)
 
     @params('gw-1', 'gw-2', 'gw-3')
-    def test_a_change_is_told_to_be_in_force_everywhere(self, instance_id):
-        """Symptom: "in force on 1 of 3", for ever.
+    def test_a_change_is_reported_in_force_everywhere(self, instance_id):
+        """Guards against a status that stays "in force on 1 of 3".
 
-        Sequence: an operator changes the document through a voter.
-        Cause: the voter knows the change from its own disk before it is
-        chosen, takes it for old news, and asks nobody about it.
+        An operator changes the document through a voter. The voter has the
+        change on its own disk before it is chosen; it must still query the
+        other instances about it.
         """
         described = local.example_document()
         described['services'][1]['timeout_s'] = 11
         self.net.apply(instance_id, described, 'change')
         self.net.run(0.5)
-        told = self.net.reducers_by_id[instance_id].register.in_force(
+        states = self.net.reducers_by_id[instance_id].register.in_force(
             2, self.net.now
         )
-        self.assertEqual({'confirmed'}, {str(each) for each in told.values()})
+        self.assertEqual(
+            {'confirmed'}, {str(each) for each in states.values()}
+        )
 
-    def test_claims_are_granted_from_the_first_voters_on(self):
-        """Symptom: every booking is refused, claims are unavailable.
+    def test_claims_are_granted_under_the_first_set_of_voters(self):
+        """Guards against refusing every booking as "claims unavailable".
 
-        Sequence: the voters have formed and nothing has changed since.
-        Cause: their set counts as number 0, which claims take for none.
+        The first set of voters has number 0; claims treat epoch 0 as having
+        no holders.
         """
         begin = claim_messages.Begin(
             now=self.net.now,
@@ -324,10 +326,9 @@
         self.assertEqual([claim_messages.Granted()], results)
 
     def test_holders_keep_as_many_claims_as_the_settings_say(self):
-        """Symptom: ``limits.max_claims`` is set and changes nothing.
+        """Guards against ignoring the setting ``limits.max_claims``.
 
-        Sequence: holders that may keep one key are asked for two.
-        Cause: a bound that is a constant of the code.
+        Holders that may keep one key get claims on two.
         """
         net = OneClaimNetwork()
         net.run(2.0)
@@ -346,11 +347,10 @@
         )
 
     def test_a_cut_off_instance_stops_admitting_within_the_ttl(self):
-        """Symptom: an accepted change is not in force at one instance.
+        """Guards against work admitted on an expired confirmation.
 
-        Sequence: the instance is cut off from the voters and goes on with
-        the document that it remembers, while the others change theirs.
-        Cause: work admitted on an old confirmation.
+        The instance is cut off from the voters and still has the old
+        document, while the others may accept a change.
         """
         cut = self.others[0]
         self.net.cut.add(cut)
@@ -360,19 +360,19 @@
         self.assertEqual('configuration_stale', found[0].refusal.reason.value)
         self.assertEqual('not_run', found[0].refusal.verdict.value)
 
-    def test_a_frozen_owner_books_nothing_when_it_wakes(self):
-        """Symptom: slots are booked twice.
+    def test_a_paused_owner_books_nothing_when_it_resumes(self):
+        """Guards against slots booked twice.
 
-        Sequence: the owner freezes past its lease; another gets it; the
-        first wakes with its cells in memory and a booking in its socket.
-        Cause: the cell is used without asking the clock for the lease.
+        The owner is paused past its lease and another instance gets it. The
+        first one resumes with its cells in memory and a booking in its
+        socket; it must compare the lease with the clock before it books.
         """
         self.net.frozen.add(self.owner)
         self.net.run(3.0)
         self.net.frozen.discard(self.owner)
-        woken = self.net.reducers_by_id[self.owner]
-        self.assertIn(CELL, woken.owner.cells_by_id)
-        out = woken.handle(
+        resumed = self.net.reducers_by_id[self.owner]
+        self.assertIn(CELL, resumed.owner.cells_by_id)
+        out = resumed.handle(
             parts.Received(
                 now=self.net.now, sender=self.others[0], message=book('r')
             )
@@ -384,11 +384,11 @@
         )
 
     def test_a_deputy_takes_over_from_an_owner_without_a_lease(self):
-        """Symptom: a service answers nothing, though nobody is dead.
+        """Guards against a service without an owner though no instance died.
 
-        Sequence: the owner can't reach the voters for its lease, but still
-        answers the probes of all others; entries ask the deputy.
-        Cause: only the instance that is ranked first tries for the lease.
+        The owner can't reach the voters to renew its lease, but still answers
+        membership probes. The entries send their bookings to the deputy,
+        which must then try for the lease, although it is not ranked first.
         """
         self.net.loses = lambda sender, to, message: (
             sender == self.owner
@@ -406,12 +406,12 @@
 
         self.net.run_until(is_served, 10)
 
-    def test_a_new_owner_counts_what_entries_hold(self):
-        """Symptom: batches are larger than their slots after a failover.
+    def test_a_new_owner_counts_the_bookings_that_entries_hold(self):
+        """Guards against overbooked slots after a failover.
 
-        Sequence: calls fill all slots, the owner dies, one more call comes
-        in the moment when the next owner gets the lease.
-        Cause: a new owner that starts to book with an empty table.
+        Calls fill all slots, the owner dies, and one more call arrives just
+        when the next owner gets the lease. That owner must not start with an
+        empty table of bookings.
         """
         entry, other = self.others
         for number in range(4):
@@ -431,23 +431,23 @@
         self.assertEqual([], started)
 
     def test_a_late_announcement_redirects_nothing(self):
-        """Symptom: a backend server that renews gets no work any more.
+        """Guards against a backend server that renews but gets no work.
 
-        Sequence: it announces itself, then an older announcement with the
-        same id comes late, for another service.
-        Cause: the refused announcement still decides who hears renewals.
+        It announces itself; then an older announcement with the same id, for
+        another service, arrives late. The rejected announcement must not
+        change where renewals are forwarded to.
         """
-        fronts = self.net.reducers_by_id['gw-1'].fronts
-        before = dict(fronts._announcements_by_id)
+        forwarding = self.net.reducers_by_id['gw-1'].backend_forwarding
+        before = dict(forwarding._announcements_by_id)
         self.net.announce('gw-1', 'portal-1', 'decode', sequence=0)
-        self.assertEqual(before, fronts._announcements_by_id)
+        self.assertEqual(before, forwarding._announcements_by_id)
 
-    def test_a_service_that_comes_back_is_owned_again(self):
-        """Symptom: a service that was put back answers nothing.
+    def test_a_service_that_is_added_again_is_owned_again(self):
+        """Guards against a service without an owner after it is added again.
 
-        Sequence: a change drops the service, the next one brings it back
-        before the lease of its cell is released.
-        Cause: the lease is held still, so it is never gained again.
+        One change removes the service and the next one adds it again before
+        the lease of its cell is released. The lease is then still held, so
+        there is no event that it was gained.
         """
         described = local.example_document()
         without = {
@@ -468,13 +468,13 @@
             )
         self.assertIn(CELL, owner.owner.cells_by_id)
 
-    def test_an_engine_that_ignores_numbers_is_ordered_late(self):
-        """Symptom: an engine loads what an earlier holder ordered.
+    def test_an_order_to_an_unfenced_engine_waits(self):
+        """Guards against an engine that executes an earlier owner's order.
 
-        Sequence: a cell gets a new owner, which orders at once; an order of
-        the one before it arrives after that.
-        Cause: the engine ignores fencing numbers, and the new owner didn't
-        wait until its predecessor's orders could take effect no more.
+        A cell gets a new owner; an order of the owner before it arrives after
+        an order of the new one. Since the engine ignores fencing numbers, the
+        new owner must wait until its predecessor's orders can no longer take
+        effect.
         """
         described = local.example_document()
         described['pools'][1]['model'] = 'dieline-70b'
@@ -487,8 +487,8 @@
         cell = 'dieline-llm/local/0'
         self.assertEqual(self.net.owner_of(cell), holder)
         self.assertEqual('dieline-70b', order.order.value)
-        held = self.net.reducers_by_id[holder].leases
-        self.assertIsNotNone(held.may_order(cell, self.net.now, 5.0))
+        leases = self.net.reducers_by_id[holder].leases
+        self.assertIsNotNone(leases.may_order(cell, self.net.now, 5.0))
 
     def orders(self):
         return [
@@ -499,25 +499,25 @@
         ]
 
     @params(('leases', 'claims'), ('claims', 'leases'))
-    def test_a_new_disk_counts_only_when_all_parts_are_whole(
+    def test_a_new_disk_counts_only_when_all_parts_have_caught_up(
         self, first, second
     ):
-        """Symptom: a booking runs twice after two lost disks.
+        """Guards against a booking that runs twice after two lost disks.
 
-        Sequence: a disk is replaced; one part is copied, the other not yet;
-        the replacement is finished; a second disk is lost.
-        Cause: the register hears of the first part only.
+        A disk is replaced while only one of the parts has copied its state.
+        If the replacement were finished then, a second lost disk would lose
+        the state of the other part.
         """
-        made = self.net.reducers_by_id['gw-1'].repair
+        replacement = self.net.reducers_by_id['gw-1'].voter_replacement
         for part, expected in ((first, []), (second, [register.CaughtUp])):
-            told = made.note_whole(self.net.now, part, 7, 1)
-            self.assertEqual(expected, [type(each.event) for each in told])
+            out = replacement.note_caught_up(self.net.now, part, 7, 1)
+            self.assertEqual(expected, [type(each.event) for each in out])
 
-    def test_a_lost_disk_is_replaced_by_itself(self):
-        """Symptom: after a second loss there is no majority any more.
+    def test_a_lost_disk_is_replaced_automatically(self):
+        """Guards against losing the majority at the second lost disk.
 
-        Sequence: an instance comes back with an empty data folder.
-        Cause: nobody brings the new disk among the voters.
+        An instance returns with an empty data folder; its new disk must
+        become a voter without an operator.
         """
         self.net.crash('gw-3')
         self.net.run(1.0)
@@ -537,11 +537,11 @@
             self.assertTrue(reducer.register.is_fresh(self.net.now))
             self.assertEqual(1, reducer.register.revision)
 
-    def test_a_backend_server_that_falls_silent_gets_no_work(self):
-        """Symptom: calls go to a backend server that has left or died.
+    def test_a_backend_server_that_stops_renewing_gets_no_work(self):
+        """Guards against calls to a backend server that has left or died.
 
-        Sequence: its leave is lost, and it renews no more.
-        Cause: a presence that doesn't end by itself.
+        Its leave message is lost and it renews no more; its presence must
+        expire.
         """
         self.net.run(4.0)
         found = self.call(self.others[0], 'after', renew=False)
