--- a/dandeliongw/decisions.py
+++ b/dandeliongw/decisions.py
@@ -1,7 +1,7 @@
-"""What is decided for a request, or believed of the system, as log lines.
+"""Structured log lines on decisions about requests and on detected states.
 
-Each class is one kind of line: its ``message`` is the line's text, its
-fields are the line's fields. ``docs/OPERATIONS.md`` reads them back.
+Each class is one kind of line: its ``message`` is the text of the line, and
+its fields are the fields of the line. ``docs/OPERATIONS.md`` explains them.
 """
 
 import typing
@@ -12,15 +12,15 @@
 
 
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
-    """The base of all lines; ``message`` and ``level`` are the class's."""
+    """Base class of all lines; each class sets ``message`` and ``level``."""
 
     message: typing.ClassVar[str] = ''
     level: typing.ClassVar[str] = 'INFO'
 
     def log(self) -> effects.Log:
-        """Return the line, for the runtime to write."""
+        """Return the effect that writes the line."""
         fields = tuple(
-            (field.name, _shown(getattr(self, field.name)))
+            (field.name, _format(getattr(self, field.name)))
             for field in msgspec.structs.fields(self)
         )
         return effects.Log(
@@ -29,20 +29,18 @@
 
 
 class OfRequest(Decision, frozen=True, kw_only=True):
-    """A line about one request.
-
-    :param attempt_id: of the attempt that it is about.
-    """
+    """Base class of lines about one attempt of a request."""
 
     request_id: str
     attempt_id: str
 
 
 class Placed(OfRequest, frozen=True, kw_only=True):
-    """A request got its backend servers.
+    """Backend servers were assigned to a request.
 
-    :param epoch: of the owner that booked them; 0 where this entry did.
-    :param waited_ms: since the request came.
+    :param epoch: lease epoch of the owner that booked them; 0 if this entry
+        booked them itself.
+    :param waited_ms: since the request arrived.
     """
 
     message: typing.ClassVar[str] = 'request placed'
@@ -55,9 +53,9 @@
 
 
 class Declined(OfRequest, frozen=True, kw_only=True):
-    """A cell's owner turned a request away.
+    """A cell's owner rejected a request.
 
-    :param why: what the owner believed.
+    :param why: the owner's view of the cell that led to it.
     """
 
     message: typing.ClassVar[str] = 'request declined'
@@ -69,7 +67,7 @@
 
 
 class OwnerSilent(OfRequest, frozen=True, kw_only=True):
-    """An owner didn't answer; this entry places the request by itself."""
+    """An owner didn't reply in time; this entry places the request itself."""
 
     message: typing.ClassVar[str] = 'owner silent, placing here'
     level: typing.ClassVar[str] = 'WARNING'
@@ -79,7 +77,7 @@
 
 
 class StreamResumed(OfRequest, frozen=True, kw_only=True):
-    """A stream goes on at its engine, over another connection."""
+    """A stream continues at the same engine, over a new connection."""
 
     message: typing.ClassVar[str] = 'stream resumed'
     decode_id: str
@@ -87,7 +85,7 @@
 
 
 class CacheMoved(OfRequest, frozen=True, kw_only=True):
-    """The prompt's KV cache goes to another decode engine."""
+    """The prompt's KV cache is sent to another decode engine."""
 
     message: typing.ClassVar[str] = 'cache moves to another engine'
     from_id: str
@@ -95,13 +93,13 @@
 
 
 class TriedAgain(OfRequest, frozen=True, kw_only=True):
-    """Another attempt begins, or none does.
+    """An attempt failed; the request is retried or fails.
 
-    :param again: whether one does.
-    :param known: what is proved about the request having run.
-    :param attempts: so far.
-    :param runs: of these, that a backend server may have run.
-    :param why: what decided.
+    :param again: whether it is retried.
+    :param known: what is proved about whether the request ran.
+    :param attempts: number of attempts so far.
+    :param runs: how many of them a backend server may have run.
+    :param why: the reason for the decision.
     """
 
     message: typing.ClassVar[str] = 'attempt failed'
@@ -114,13 +112,15 @@
 
 
 class BackendEnded(Decision, frozen=True, kw_only=True):
-    """A backend server ended while it ran a call of this entry.
-
-    :param call: the call's fingerprint.
-    :param content: the same for all callers who send the same.
-    :param caller: its account, or the address it came from.
-    :param calls_beside: others of this entry that it ran just then.
-    :param is_trial: whether the call was held, and tried with this request.
+    """The process of a backend server ended while it ran a call.
+
+    :param call: fingerprint of the call, which includes the caller.
+    :param content: fingerprint of the content only: the same for all callers
+        who send the same.
+    :param caller: client account, or the address that the call came from.
+    :param calls_beside: other calls of this entry that it ran at that time.
+    :param is_trial: whether the call was quarantined and this request was
+        sent as a trial.
     """
 
     message: typing.ClassVar[str] = 'backend server ended under a call'
@@ -138,11 +138,12 @@
 
 
 class CallQuarantined(Decision, frozen=True, kw_only=True):
-    """A call is not sent to backend servers any more.
+    """A call is quarantined: it is no longer sent to backend servers.
 
     :param call: its fingerprint.
-    :param backend_ids: those that ended under it.
-    :param told_by: the entries that saw it.
+    :param backend_ids: the backend servers that ended while they ran it.
+    :param told_by: the entries that observed this.
+    :param held_s: seconds until the quarantine ends.
     """
 
     message: typing.ClassVar[str] = 'call quarantined'
@@ -154,9 +155,10 @@
 
 
 class CallHeld(Decision, frozen=True, kw_only=True):
-    """A request is refused, as its call is quarantined.
+    """A request is refused because its call is quarantined.
 
-    :param call: the call's fingerprint; lines on the evidence have the same.
+    :param call: the call's fingerprint; the lines on the backend servers that
+        ended have the same one.
     """
 
     message: typing.ClassVar[str] = 'call held back'
@@ -169,7 +171,9 @@
 
 
 class CallTried(OfRequest, frozen=True, kw_only=True):
-    """A request is sent to learn whether its quarantined call is to blame.
+    """A request with a quarantined call is sent as a trial.
+
+    The trial shows whether the call makes backend servers end.
 
     :param call: the call's fingerprint.
     """
@@ -179,7 +183,7 @@
 
 
 class CallReleased(Decision, frozen=True, kw_only=True):
-    """A call may be sent again."""
+    """The quarantine of a call has ended."""
 
     message: typing.ClassVar[str] = 'call released'
     level: typing.ClassVar[str] = 'WARNING'
@@ -188,7 +192,10 @@
 
 
 class MemberBelieved(Decision, frozen=True, kw_only=True):
-    """This instance believes something else of another one."""
+    """The membership state of another instance has changed here.
+
+    :param was: the state before.
+    """
 
     message: typing.ClassVar[str] = 'member believed'
     peer: str
@@ -199,11 +206,12 @@
 
 
 class MembersBelieved(Decision, frozen=True, kw_only=True):
-    """The same of many in a short time, beside those with their own lines.
+    """Summary of many :class:`MemberBelieved` that have no line of their own.
 
-    :param peers: some of them by name.
-    :param not_named: how many more there are.
-    :param alive: how many of all are believed so now; as the others.
+    :param peers: ids of some of the members.
+    :param not_named: number of the other members.
+    :param alive: number of all these members in this state now; likewise
+        ``suspect``, ``dead`` and ``left``.
     """
 
     message: typing.ClassVar[str] = 'many members believed'
@@ -216,11 +224,13 @@
 
 
 class BackendDistrusted(Decision, frozen=True, kw_only=True):
-    """A backend server gets no new work for a while.
+    """A backend server gets no new work for some time (circuit breaker).
 
-    :param faults: that count against it; 0 if it took no connection.
-    :param ended: how many pieces of work ended in the same time.
-    :param times: that it was left out lately, this one included.
+    :param faults: failures counted against it; 0 if it accepted no
+        connection.
+    :param ended: pieces of work that ended in the same period.
+    :param times: how often it was excluded recently, this time included.
+    :param left_out_s: seconds for which it is excluded.
     """
 
     message: typing.ClassVar[str] = 'backend server distrusted'
@@ -236,7 +246,7 @@
 
 
 class BackendTrusted(Decision, frozen=True, kw_only=True):
-    """A backend server that was left out has all its slots open again."""
+    """All slots of an excluded backend server may be used again."""
 
     message: typing.ClassVar[str] = 'backend server trusted again'
     backend_id: str
@@ -244,7 +254,7 @@
     epoch: int
 
 
-def _shown(value: typing.Any) -> str:
+def _format(value: typing.Any) -> str:
     if isinstance(value, float):
         return f'{value:.3f}'
     return str(value)
--- a/dandeliongw/effects.py
+++ b/dandeliongw/effects.py
@@ -1,7 +1,8 @@
-"""What the reducer asks the runtime to do.
+"""Effects: what the reducer wants the runtime to do.
 
-Directives go to the thread that serves one request; the others are the
-runtime's own. Coordination parts have more in ``coordination/parts.py``.
+Directives go to the thread that serves one request; the runtime performs all
+other effects itself. ``coordination/parts.py`` has the effects of the
+coordination parts.
 """
 
 import enum
@@ -16,17 +17,21 @@
 
 
 class Directive(msgspec.Struct, frozen=True, kw_only=True):
-    """For the thread of ``request_id``; dropped when that has ended."""
+    """An instruction to the thread that serves ``request_id``.
+
+    It is dropped if that thread has ended.
+    """
 
     request_id: str
 
 
 class RunPrefill(Directive, frozen=True, kw_only=True):
-    """Compute the prompt, and the text answered so far, on an engine.
+    """Run the prefill of the prompt and the text generated so far.
 
     :param start_in_s: seconds to wait first, so that the decode slot is
-        free when the prefill ends; its result is evicted in under a second.
-    :param deadline_in_s: seconds after which it must not start any more.
+        free when the prefill ends; the engine evicts the prefill's result in
+        under a second.
+    :param deadline_in_s: seconds after which the step must not start.
     """
 
     attempt_id: str
@@ -41,11 +46,12 @@
 class RunDecode(Directive, frozen=True, kw_only=True):
     """Import the KV cache unless ``kv`` is empty, then stream tokens.
 
-    Without ``kv`` the stream is one that broke: it resumes at the first
-    token that the caller has not got. With ``reads`` the engine reads the
-    prompt by itself.
+    An empty ``kv`` resumes a broken stream at the first token that the caller
+    has not received.
 
-    :param deadline_in_s: seconds after which it must not start any more.
+    :param deadline_in_s: seconds after which the step must not start.
+    :param reads: the decode engine processes the prompt itself, without a
+        prefill engine.
     """
 
     attempt_id: str
@@ -59,9 +65,9 @@
 
 
 class RunCall(Directive, frozen=True, kw_only=True):
-    """Pass the caller's call to a plain service.
+    """Forward the caller's call to a plain service.
 
-    :param deadline_in_s: seconds that are left for all of it.
+    :param deadline_in_s: seconds left for the whole call.
     """
 
     attempt_id: str
@@ -75,23 +81,26 @@
 
 
 class Replay(Directive, frozen=True, kw_only=True):
-    """Answer with the outcome recorded for an earlier send of this call."""
+    """Answer with the outcome recorded for an earlier attempt of the caller.
+
+    The caller has sent the call again with the same idempotency key.
+    """
 
     outcome: bytes
 
 
 class Complete(Directive, frozen=True, kw_only=True):
-    """Everything that must be durable is: give the end of the answer."""
+    """Send the end of the answer: all that must be durable is on disk."""
 
 
 class Abort(Directive, frozen=True, kw_only=True):
-    """Stop work on one attempt at once, also inside a blocking read."""
+    """Stop work on one attempt at once, even inside a blocking read."""
 
     attempt_id: str
 
 
 class Dispatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Let the reducer handle this event next, before any other."""
+    """Handle this event in the reducer before it returns to the runtime."""
 
     event: typing.Any
 
@@ -105,43 +114,43 @@
 
 
 class CountWaste(msgspec.Struct, frozen=True, kw_only=True):
-    """Prompt tokens computed for nothing."""
+    """Count prompt tokens whose prefill result was not used."""
 
     reason: waste.WasteReason
     tokens: int
 
 
 class Late(enum.StrEnum):
-    """What came for an attempt that was over (a counter label)."""
+    """What arrived for an attempt that had already ended (a counter label)."""
 
-    #: A message of a cell's owner.
+    #: A message from a cell's owner.
     OWNER = 'owner'
-    #: The end of a step that had been broken off.
+    #: The end of a step that had been aborted.
     STEP = 'step'
     #: A piece of a stream.
     PIECE = 'piece'
 
 
 class Part(enum.StrEnum):
-    """A part of a request's way to its answer (a histogram's label)."""
+    """A phase in the processing of a request (a histogram label)."""
 
-    #: From asking a cell's owner until it answers.
+    #: From the booking request to a cell's owner until its reply.
     BOOKING = 'booking'
-    #: From being queued at the owner until a place is found, or refused.
+    #: From queueing at the owner until the request is placed or refused.
     QUEUE = 'queue'
-    #: From being placed until the prompt was read.
+    #: From the placement until the prefill is done.
     PREFILL = 'prefill'
-    #: From then until the first token of the decode engine, which takes the
-    #: KV cache over for it.
+    #: From then until the first token of the decode engine, which imports
+    #: the KV cache before.
     TRANSFER = 'transfer'
-    #: From the first token to the end of a whole answer.
+    #: From the first token to the end of a complete answer.
     DECODE = 'decode'
-    #: A call of a plain service.
+    #: A call to a plain service.
     CALL = 'call'
 
 
 class Took(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of a request's way is over."""
+    """Record the duration of a finished phase of a request."""
 
     part: Part
     service: str
@@ -149,10 +158,11 @@
 
 
 class PassedStream(msgspec.Struct, frozen=True, kw_only=True):
-    """A stream that was passed on is whole; its tokens are not seen here.
+    """Record a complete stream that was passed on without parsing its tokens.
 
-    :param first_token_s: from the request's arrival.
-    :param token_gap_s: mean of the answer; zero if not measured.
+    :param first_token_s: seconds from the request's arrival to the first
+        token.
+    :param token_gap_s: mean seconds between tokens; zero if not measured.
     """
 
     service: str
@@ -161,13 +171,13 @@
 
 
 class CountLate(msgspec.Struct, frozen=True, kw_only=True):
-    """Something late or crossed was dropped."""
+    """Count something that was dropped because its attempt had ended."""
 
     what: Late
 
 
 class Log(msgspec.Struct, frozen=True, kw_only=True):
-    """One log line; ``fields`` become its JSON fields."""
+    """Write a log line; ``fields`` become its JSON fields."""
 
     message: str
     fields: tuple[tuple[str, str], ...] = ()
@@ -175,7 +185,7 @@
 
 
 class GiveOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Send an order to an engine, unless it may no longer be sent."""
+    """Send an order to an engine, unless that is no longer allowed."""
 
     cell: str
     url: str
@@ -184,7 +194,7 @@
 
 
 class PoolLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """A pool over the cells that this instance owns.
+    """Load of a pool, summed over the cells that this instance owns.
 
     :param queue: requests that wait for a slot.
     """
@@ -197,9 +207,9 @@
 
 
 class Observed(msgspec.Struct, frozen=True, kw_only=True):
-    """What the gauges show.
+    """Set the gauges to these values.
 
-    :param confirmed_age_s: since a majority confirmed the revision;
+    :param confirmed_age_s: seconds since a majority confirmed the revision;
         ``None`` before the first time.
     """
 
@@ -210,9 +220,9 @@
 
 
 class ProbeBackend(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask whether any process listens at a backend server's address.
+    """Check whether any process listens at a backend server's address.
 
-    The answer is an ``events.BackendProbed``.
+    The result is an ``events.BackendProbed``.
     """
 
     start: presence.BackendStart
@@ -220,7 +230,7 @@
 
 
 class PeerAddress(msgspec.Struct, frozen=True, kw_only=True):
-    """Where another instance listens; before any message to it."""
+    """Set the address of another instance; comes before any message to it."""
 
     instance_id: str
     host: str
@@ -228,20 +238,20 @@
 
 
 class PeerForgotten(msgspec.Struct, frozen=True, kw_only=True):
-    """An instance is gone for good; its connection can be closed."""
+    """An instance was removed from membership: close its connection."""
 
     instance_id: str
 
 
 class Drained(msgspec.Struct, frozen=True, kw_only=True):
-    """A shutdown has come to its end.
+    """The shutdown is complete.
 
-    :param cut_off: requests that it broke off, as its time was over.
+    :param cut_off: number of requests aborted when ``shutdown_s`` ran out.
     """
 
     cut_off: int = 0
 
 
 def log(message: str, level: str = 'INFO', **fields: str) -> Log:
-    """Return a log line with these JSON fields."""
+    """Return the effect that logs a line with these JSON fields."""
     return Log(message=message, fields=tuple(fields.items()), level=level)
--- a/dandeliongw/events.py
+++ b/dandeliongw/events.py
@@ -1,7 +1,7 @@
-"""What can happen to an instance, as the reducer sees it.
+"""Events that the reducer handles.
 
-Coordination parts bring events of their own; these are the daemon's. All
-carry ``now``, the instance's monotonic clock in seconds.
+The coordination parts define events of their own; these come from the
+runtime. Each event carries ``now``, the instance's monotonic clock in seconds.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class Step(enum.StrEnum):
-    """One piece of blocking work that a request's thread does."""
+    """A blocking step that the thread of a request performs."""
 
     PREFILL = 'prefill'
     DECODE = 'decode'
@@ -21,24 +21,26 @@
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's request, checked for form but not yet admitted.
+    """A caller's request: syntactically valid, but not yet admitted.
 
     :param service: name in the document.
-    :param streamed: whether it asks a model service for a completion.
+    :param streamed: whether it is a completion by a model service.
     :param key_sha256: hex digest of the caller's account key, or ``''``.
-    :param idempotency_key: the caller's own key, or ``None``.
-    :param digest: of method, path and body; tells two bodies apart.
+    :param idempotency_key: the key that the caller sent, or ``None``.
+    :param digest: of method, path and body; detects an idempotency key that
+        is reused for another call.
     :param prompt_tokens: an estimate, for admission.
-    :param expected_tokens: the caller's guess of the answer's length; 0 for
-        none.
+    :param expected_tokens: answer length that the caller expects; 0 if it
+        gave none.
     :param prefix: digests of the prompt's leading blocks, for cache hints.
-    :param priority: a name in the document, or ``None`` for the route's.
-    :param deadline_s: seconds the caller is willing to wait, from arrival.
-    :param host: set for a call that is passed on by host and path; its
-        service is the route's to choose.
-    :param credentials_sha256: hex digest of the ``Authorization`` that is
-        passed on with it, or ``''``.
-    :param address: that it came from; callers share and change theirs.
+    :param priority: a name in the document; ``None`` for the route's default.
+    :param deadline_s: seconds that the caller will wait, from arrival.
+    :param host: set for a call that is routed by host and path; the route
+        then chooses the service.
+    :param credentials_sha256: hex digest of the ``Authorization`` header that
+        is passed on, or ``''``.
+    :param address: network address of the caller. It identifies no caller:
+        callers share addresses and change them.
     """
 
     service: str
@@ -67,24 +69,26 @@
 
 
 class StepEnded(msgspec.Struct, frozen=True, kw_only=True):
-    """A request's thread finished, or failed at, one step.
+    """The thread of a request completed a step, or the step failed.
 
-    :param known: what the step proves about the request having run; only
+    :param known: what the step proves about whether the request ran; only
         meaningful when ``failure`` is set.
-    :param failure: why another attempt might help, or ``None`` on success.
-    :param kv: the prefill's result, by the engine's own handle.
+    :param failure: reason for a retry, or ``None`` on success.
+    :param kv: the engine's handle of the prefill result.
     :param tokens: prompt tokens computed (prefill) or the next missing
         offset of the stream (decode).
     :param cached_tokens: prompt tokens that the prefix cache saved.
-    :param outcome: what a resend would be told; recorded under a claim.
-    :param token_gap_s: mean seconds between the tokens of a whole answer,
-        by the relay's clock; zero if not measured.
-    :param first_piece_at: when this step's first piece came, by the relay's
-        clock, which is the reducer's.
-    :param first_token_at: when the first piece of any attempt came; ``None``
-        if the caller had pieces before.
-    :param is_cut: it failed as the connection ended before the answer.
-    :param late_pieces: pieces of other attempts that were dropped.
+    :param outcome: the answer to a repeated send of the call; recorded under
+        its claim.
+    :param token_gap_s: mean seconds between the tokens of a complete answer,
+        measured by the relay; zero if not measured.
+    :param first_piece_at: arrival of this step's first piece, by the relay's
+        clock, which is the same as the reducer's.
+    :param first_token_at: arrival of the first piece of any attempt; ``None``
+        if the caller had received pieces before.
+    :param is_cut: it failed because the connection ended before the answer
+        was complete.
+    :param late_pieces: number of pieces of other attempts that were dropped.
     :param entropy: 64 random bits, for the jitter of a retry.
     """
 
@@ -108,9 +112,10 @@
 
 
 class BackendProbed(msgspec.Struct, frozen=True, kw_only=True):
-    """An address was asked whether any process listens there.
+    """Result of an ``effects.ProbeBackend``.
 
-    :param is_refused: its machine said that none does.
+    :param is_refused: the machine refused the connection, so no process
+        listens at the address.
     """
 
     now: float
@@ -119,21 +124,21 @@
 
 
 class CallerGone(msgspec.Struct, frozen=True, kw_only=True):
-    """The caller closed its connection before it had the whole answer."""
+    """The caller closed its connection before the answer was complete."""
 
     now: float
     request_id: str
 
 
 class RequestClosed(msgspec.Struct, frozen=True, kw_only=True):
-    """The request's thread is done with it, however it ended."""
+    """The thread of the request has ended, with or without an error."""
 
     now: float
     request_id: str
 
 
 class FoundInstance(msgspec.Struct, frozen=True, kw_only=True):
-    """Where an instance can be reached by others."""
+    """Address at which other instances connect to an instance."""
 
     instance_id: str
     host: str
@@ -141,10 +146,10 @@
 
 
 class InstancesFound(msgspec.Struct, frozen=True, kw_only=True):
-    """Seeds told which instances there are.
+    """A seed has listed the instances.
 
-    :param first_voters: the ids of all seeds, once each has told its own
-        and only at the first start of a system; else empty.
+    :param first_voters: ids of all seeds, once each seed has answered, and
+        only if the seeds are to form a new system; empty otherwise.
     """
 
     now: float
@@ -153,6 +158,6 @@
 
 
 class ShutdownBegun(msgspec.Struct, frozen=True, kw_only=True):
-    """The process was asked to end (SIGTERM)."""
+    """The process got a signal to shut down (SIGTERM or SIGINT)."""
 
     now: float
--- a/dandeliongw/runtime.py
+++ b/dandeliongw/runtime.py
@@ -1,8 +1,9 @@
 """Runs the reducer and performs its effects.
 
 All events go through one thread, the control thread, which runs an asyncio
-loop; so the reducer needs no locks. Blocking work is done elsewhere: HTTP
-threads relay, the journal's thread syncs, a few threads send cancels.
+event loop, so the reducer needs no locks. Blocking work runs on other threads:
+HTTP threads relay requests, the journal's thread syncs to disk, and a small
+thread pool sends cancels and orders to backend servers.
 """
 
 import asyncio
@@ -35,18 +36,18 @@
 TICK_S = 0.05
 #: Threads that send cancels and orders to engines.
 CONTROL_THREADS = 8
-#: An engine's word for an order with an old fencing number.
+#: Reason in an engine's reply to an order with an old fencing number.
 FENCED = 'fenced'
-#: The journal is compacted once it has grown by so much.
+#: The journal is compacted after it has grown by this many bytes.
 COMPACT_BYTES = 8 << 20
-#: Seconds between two tries to write to a disk that is full.
+#: Seconds between two attempts to write to a full disk.
 FULL_DISK_S = 0.25
-#: Seconds a handler waits for the reducer's answer to an operator.
+#: Seconds that an HTTP handler waits for the reducer's result.
 ASK_S = 15.0
 
 
 class Reducer(typing.Protocol):
-    """The runtime's view of the reducer."""
+    """What the runtime needs of the reducer."""
 
     def handle(self, event: typing.Any) -> list[typing.Any]: ...
 
@@ -54,7 +55,7 @@
 
 
 class Journal(typing.Protocol):
-    """The runtime's view of the journal."""
+    """What the runtime needs of the journal."""
 
     def append(self, records: abc.Sequence[typing.Any]) -> None: ...
 
@@ -65,7 +66,7 @@
 
 
 class Wire(typing.Protocol):
-    """The runtime's view of the connections to other instances."""
+    """What the runtime needs of the connections to other instances."""
 
     async def start(self) -> None: ...
 
@@ -83,11 +84,11 @@
 
 
 class Runtime:
-    """The control thread and what works for it.
+    """The control thread and the threads that perform its blocking effects.
 
     :param engine_for: makes the adapter that sends cancels and orders to a
-        backend server, by its URL and id.
-    :param may_send: whether an order may leave at this moment.
+        backend server, from its URL and id.
+    :param may_send: whether an order may be sent at a given time.
     :param journal: ``None`` on an instance without a data folder.
     """
 
@@ -116,11 +117,11 @@
         self._pool = concurrent.futures.ThreadPoolExecutor(
             CONTROL_THREADS, thread_name_prefix='orders'
         )
-        self._pools_shown: set[str] = set()
+        self._reported_pools: set[str] = set()
         self.drained = threading.Event()
-        #: Requests that a shutdown broke off.
+        #: Number of requests that the shutdown aborted.
         self.cut_off = 0
-        #: Why the instance can't go on, once it can't.
+        #: Reason of a fatal failure; ``None`` while there is none.
         self.broken: str | None = None
         self._performers_by_type: dict[
             type, abc.Callable[[typing.Any], None]
@@ -148,9 +149,10 @@
         }
 
     def start(self, make_wire: abc.Callable[[], Wire]) -> None:
-        """Start the control thread; return once the wire listens.
+        """Start the control thread; return once the peer port listens.
 
-        :param make_wire: called on the loop's thread.
+        :param make_wire: makes the connections to the other instances; called
+            on the event loop's thread.
         """
         self._thread.start()
         self._writer.start()
@@ -165,7 +167,7 @@
         self._wire = wire
 
     def stop(self) -> None:
-        """Stop ticking, close the wire, sync what is queued."""
+        """Close the peer connections, stop the loop, sync queued records."""
         if self._wire is not None:
             closing = asyncio.run_coroutine_threadsafe(
                 self._wire.stop(), self._loop
@@ -177,16 +179,16 @@
         self._writer.stop()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    # From other threads
+    # Called on other threads
 
     def post(self, make_event: abc.Callable[..., typing.Any]) -> None:
-        """Let the reducer handle ``make_event(now=...)`` soon."""
-        self._loop.call_soon_threadsafe(self.handle_soon, make_event)
+        """Queue the event ``make_event(now=...)`` for the reducer."""
+        self._loop.call_soon_threadsafe(self._handle_now, make_event)
 
     def ask(self, make_event: abc.Callable[..., typing.Any]) -> typing.Any:
-        """Post ``make_event(now=..., ticket=...)``; return its answer.
+        """Queue ``make_event(now=..., ticket=...)``; wait for its result.
 
-        :raises TimeoutError: when the reducer gives none in time.
+        :raises TimeoutError: when there is none within :data:`ASK_S`.
         """
         ticket = f'ask:{uuid.uuid4().hex}'
         future: concurrent.futures.Future = concurrent.futures.Future()
@@ -198,7 +200,10 @@
             self._futures_by_ticket.pop(ticket, None)
 
     def look(self, read: abc.Callable[[float], typing.Any]) -> typing.Any:
-        """Run ``read(now)`` on the control thread and return its result."""
+        """Run ``read(now)`` on the control thread and return its result.
+
+        :raises TimeoutError: when it takes longer than :data:`ASK_S`.
+        """
 
         async def run() -> typing.Any:
             return read(clock.now())
@@ -207,43 +212,43 @@
             timeout=ASK_S
         )
 
-    def add_relay(self, carrier: relay.Relay) -> None:
-        self._relays_by_id[carrier.request_id] = carrier
+    def add_relay(self, opened: relay.Relay) -> None:
+        self._relays_by_id[opened.request_id] = opened
 
     def remove_relay(self, request_id: str) -> None:
         self._relays_by_id.pop(request_id, None)
 
-    # On the control thread
+    # Called on the control thread
 
     def receive(self, sender: str, message: typing.Any) -> None:
-        """Take a message in from the wire."""
+        """Handle a message from another instance."""
         event = parts.Received(now=clock.now(), sender=sender, message=message)
         self.apply(event)
 
-    def handle_soon(self, make_event: abc.Callable[..., typing.Any]) -> None:
+    def _handle_now(self, make_event: abc.Callable[..., typing.Any]) -> None:
         self.apply(make_event(now=clock.now()))
 
     def apply(self, event: typing.Any) -> None:
-        """Let the reducer handle an event; perform what it wants done."""
+        """Let the reducer handle an event; perform its effects."""
         try:
-            wanted = self._reducer.handle(event)
+            reducer_effects = self._reducer.handle(event)
         except Exception:
-            # One bad event must not end the control thread, which everybody
-            # waits for; what it was is in the log.
-            logger.exception(f'the reducer failed on {type(event).__name__}')
+            # One bad event must not end the control thread, which all other
+            # threads depend on. The log has the event's type and traceback.
+            logger.exception(f'reducer failed on {type(event).__name__}')
             return
-        for effect in wanted:
+        for effect in reducer_effects:
             self._perform(effect)
 
     def _perform(self, effect: typing.Any) -> None:
         if isinstance(effect, effects.Directive):
-            carrier = self._relays_by_id.get(effect.request_id)
-            if carrier is not None:
-                carrier.give(effect)
+            found = self._relays_by_id.get(effect.request_id)
+            if found is not None:
+                found.give(effect)
             return
         performer = self._performers_by_type.get(type(effect))
         if performer is None:
-            logger.error(f'nothing performs {type(effect).__name__}')
+            logger.error(f'no handler for effect {type(effect).__name__}')
             return
         performer(effect)
 
@@ -315,7 +320,7 @@
             streams = adapter.streams()
         except engine.EngineError as error:
             logger.warning(
-                f'an engine did not list its streams: {error}',
+                f'listing the streams of an engine failed: {error}',
                 backend_id=effect.backend_id,
             )
             return
@@ -349,11 +354,11 @@
 
     def _order_now(self, effect: effects.GiveOrder) -> None:
         order = effect.order
-        # Asked in this thread, with a fresh reading of the clock: the order
-        # may have waited, or the process may have been frozen, until
-        # another instance gives orders.
+        # Checked in this thread, with a fresh reading of the clock: the order
+        # may have waited for a thread, or the process may have been paused,
+        # for so long that another instance now owns the cell.
         if not self._may_send(effect, clock.now()):
-            self._tell_order(order, verdict.Verdict.NOT_RUN)
+            self._post_order_result(order, verdict.Verdict.NOT_RUN)
             return
         try:
             self._engine_for(effect.url, order.backend_id).order(
@@ -365,15 +370,16 @@
             )
         except engine.EngineError as error:
             logger.warning(
-                f'an order failed: {error}', backend_id=order.backend_id
+                f'order to an engine failed: {error}',
+                backend_id=order.backend_id,
             )
-            self._tell_order(
+            self._post_order_result(
                 order, error.known, is_fenced=error.reason == FENCED
             )
             return
-        self._tell_order(order, verdict.Verdict.RAN)
+        self._post_order_result(order, verdict.Verdict.RAN)
 
-    def _tell_order(
+    def _post_order_result(
         self,
         order: orders.SendOrder,
         known: verdict.Verdict,
@@ -418,9 +424,9 @@
             gauges.configuration_age.set(effect.confirmed_age_s)
         gauges.members.set(effect.members)
         pools = {pool.pool for pool in effect.pools}
-        for gone in self._pools_shown - pools:
+        for gone in self._reported_pools - pools:
             gauges.forget_pool(gone)
-        self._pools_shown = pools
+        self._reported_pools = pools
         for pool in effect.pools:
             gauges.set_pool(
                 pool.pool,
@@ -431,9 +437,9 @@
             )
 
     def _end_superseded(self, effect: membership.Superseded) -> None:
-        self.break_off(
-            'another process runs under this instance id, or the clock went '
-            f'back: incarnation {effect.incarnation} is known to the others'
+        self.fail(
+            'another process runs under this instance id, or the clock was '
+            f'set back: other instances have incarnation {effect.incarnation}'
         )
 
     def _log(self, effect: effects.Log) -> None:
@@ -449,22 +455,22 @@
             lambda: self._writer.put(_Compact(self._reducer.snapshot()))
         )
 
-    def break_off(self, message: str) -> None:
+    def fail(self, message: str) -> None:
         self.broken = message
 
 
 class _Compact:
-    """A snapshot that takes the journal's place."""
+    """A snapshot that replaces the journal."""
 
     def __init__(self, records: list[typing.Any]) -> None:
         self.records = records
 
 
 class _Writer:
-    """Syncs records to the journal, all that are queued in one write.
+    """Writes records to the journal, all queued ones with one sync.
 
-    While one sync is under way the next batch gathers: the busier the
-    instance, the more records share a sync (group commit).
+    While a sync is in progress, the next batch accumulates: the higher the
+    load of the instance, the more records share a sync (group commit).
     """
 
     _STOP = object()
@@ -497,9 +503,9 @@
             try:
                 self._write(batch)
             except Exception as error:
-                # A disk that failed to sync may have lost anything, so no
-                # promise may be made on it any more.
-                self._runtime.break_off(f'the journal failed: {error}')
+                # After a failed sync the disk may have lost any record, so
+                # nothing may be reported as durable any more.
+                self._runtime.fail(f'the journal failed: {error}')
                 return
             if self._STOP in batch:
                 return
@@ -536,21 +542,23 @@
         self._compact_if_large()
 
     def _write_records(self, records: list[typing.Any]) -> bool:
-        """Write, and wait out a full disk; nothing is promised meanwhile.
+        """Write records; on a full disk, retry until there is space.
+
+        Until then, nothing is reported as durable.
 
-        :returns: ``False`` when a stop came before there was room.
+        :returns: ``False`` when the writer was stopped before there was space.
         """
-        is_told = False
+        is_logged = False
         while True:
             try:
                 self._journal.append(records)
             except journal_module.DiskFull as error:
-                if not is_told:
-                    logger.warning(f'the disk takes nothing: {error}')
-                is_told = True
+                if not is_logged:
+                    logger.warning(f'journal write failed, retrying: {error}')
+                is_logged = True
             else:
-                if is_told:
-                    logger.info('the disk takes records again')
+                if is_logged:
+                    logger.info('journal writes succeed again')
                 return True
             if self._stopping.wait(FULL_DISK_S):
                 return False
@@ -567,6 +575,6 @@
             try:
                 self._journal.compact(item.records)
             except journal_module.DiskFull as error:
-                logger.warning(f'the journal is not compacted: {error}')
+                logger.warning(f'journal compaction failed: {error}')
             self._compacted_size = self._journal.size
         self._is_compacting = False
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -1,4 +1,4 @@
-"""One instance: everything put together, started and stopped in order."""
+"""Assembles an instance from its components; starts and stops them in order."""
 
 from collections import abc
 import contextlib
@@ -37,15 +37,17 @@
 from .borders import watch as watch_module
 from .borders import web
 
-#: Seconds between two looks at whether a shutdown has come to its end.
+#: Seconds between two checks whether the instance has failed, in the wait for
+#: the end of a shutdown.
 WAIT_S = 0.2
 
 
 class Server:
     """A running instance; made by :func:`opened`.
 
-    :param callers_port: where callers connect.
-    :param control_port: where backend servers and operators connect.
+    :param callers_port: number of the port that callers connect to.
+    :param control_port: number of the port that backend servers, operators
+        and joining instances connect to.
     """
 
     def __init__(
@@ -66,27 +68,30 @@
         self._runtime = runtime
 
     def begin_shutdown(self) -> None:
-        """Start to leave; a second call changes nothing."""
+        """Start a graceful shutdown; further calls have no effect."""
         self._runtime.post(events.ShutdownBegun)
 
     def watch_lines(self, lines: typing.Any) -> None:
-        """Show how many log lines are left out."""
+        """Export the number of log lines that were left out.
+
+        :param lines: the log writer, which counts them.
+        """
         if self._metrics is not None:
             self._metrics.log_lines_left_out.watch(
                 lambda: {metrics_module.UNLABELLED: lines.left_out}
             )
 
     def reload(self) -> None:
-        """Read the seeds again; nothing else changes while running."""
-        logger.info('reads its seeds again')
+        """Read the seeds again; no other setting can change at runtime."""
+        logger.info('reloading the seeds')
         if self._joiner is not None:
             self._joiner.hurry()
 
     def wait(self) -> None:
-        """Return when a shutdown has come to its end.
+        """Return when a shutdown is complete.
 
-        :raises InstanceBroken: when the instance can't go on.
-        :raises ShutdownCutOff: when requests were broken off.
+        :raises InstanceBroken: when the instance has failed fatally.
+        :raises ShutdownCutOff: when the shutdown aborted requests.
         """
         while not self._runtime.drained.wait(WAIT_S):
             if self._runtime.broken is not None:
@@ -100,11 +105,11 @@
     settings: settings_module.Settings,
     adapter: adapter_module.Adapter | None = None,
 ) -> abc.Iterator[Server]:
-    """Run an instance while the context lasts.
+    """Run an instance while the context is open.
 
-    :param adapter: of the platform that it runs on, if any.
+    :param adapter: adapter of the platform that it runs on, if any.
     :raises DataFolderUnusable: when the data folder can't be used.
-    :raises PortInUse: naming the settings' field.
+    :raises PortInUse: when a port is taken; names its field of the settings.
     """
     web.quiet_cherrypy()
     codec = wire.make_codec()
@@ -149,12 +154,12 @@
                 metrics=metrics,
             ),
         )
-        # Ports end before what answers them: a handler that asks a runtime
-        # which has stopped would hold the process for its whole patience.
+        # Ports close before the runtime stops. Otherwise a handler that waits
+        # for a stopped runtime would delay the exit by its whole timeout.
         stack.callback(control_port.close)
         stack.callback(callers_port.close)
         watch = stack.enter_context(_watching(runtime))
-        borders = _Borders(
+        applications = _Applications(
             settings=settings,
             reducer=reducer,
             runtime=runtime,
@@ -162,9 +167,9 @@
             metrics=metrics,
             adapter=adapter,
         )
-        control_port.serve(borders.control())
-        callers_port.serve(borders.callers(), borders.read_limits)
-        for extra in borders.extra_ports():
+        control_port.serve(applications.control())
+        callers_port.serve(applications.callers(), applications.read_limits)
+        for extra in applications.extra_ports():
             port = stack.enter_context(
                 web.bound(extra.listen, extra.name, shutdown_s)
             )
@@ -194,9 +199,13 @@
     settings: settings_module.Settings,
     adapter: adapter_module.Adapter | None = None,
 ) -> None:
-    """Run an instance until SIGTERM or SIGINT, then end it gracefully.
+    """Run an instance until SIGTERM or SIGINT, then shut it down gracefully.
 
-    :param adapter: of the platform that it runs on, if any.
+    :param adapter: adapter of the platform that it runs on, if any.
+    :raises DataFolderUnusable: when the data folder can't be used.
+    :raises PortInUse: when a port is taken; names its field of the settings.
+    :raises InstanceBroken: when the instance has failed fatally.
+    :raises ShutdownCutOff: when the shutdown aborted requests.
     """
     common = {
         'instance': settings.instance_id,
@@ -219,7 +228,10 @@
 def _logged(
     settings: settings_module.Settings, lines: typing.Any
 ) -> abc.Iterator[None]:
-    """Log the start and the end of a process, and all between, to lines."""
+    """Configure logging; log the start and the end of the process.
+
+    :param lines: the log writer.
+    """
     logs.configure(
         instance_id=settings.instance_id,
         data_centre=settings.data_centre,
@@ -260,14 +272,14 @@
     if not settings.takes_callers:
         return ''
     host = settings.callers.advertised or settings.callers.host
-    shown = f'[{host}]' if ':' in host else host
-    return f'http://{shown}:{port}'
+    url_host = f'[{host}]' if ':' in host else host
+    return f'http://{url_host}:{port}'
 
 
 def watch_counts(
     metrics: metrics_module.Metrics, reducer: reducer_module.Reducer
 ) -> None:
-    """Show what the reducer's parts count."""
+    """Export the counters of the reducer's parts as metrics."""
     counts = reducer.owner.ordering.counts
     unlabelled = metrics_module.UNLABELLED
     metrics.lease_answers.watch(lambda: reducer.leases.outcomes_by_label)
@@ -291,9 +303,10 @@
     on_message: abc.Callable[[str, typing.Any], None],
     metrics: metrics_module.Metrics,
 ) -> abc.Callable[[], peers_module.Peers]:
-    """Return what makes the connections to the other instances.
+    """Return a function that makes the connections to the other instances.
 
-    Call it on the thread of the event loop; their counts are shown then.
+    The function must be called on the thread of the event loop. It also
+    exports the counters of the connections as metrics.
     """
     secret = settings.peer_secret
     make = functools.partial(
@@ -377,8 +390,8 @@
         joiner.stop()
 
 
-class _Borders:
-    """The applications of an instance's ports."""
+class _Applications:
+    """Makes the WSGI applications of an instance's ports."""
 
     def __init__(
         self,
@@ -398,11 +411,11 @@
         self._adapter = adapter
 
     def read_limits(self) -> hosts.BorderLimits:
-        """Return what callers may send by the document in force."""
+        """Return the limits on callers' requests in the current document."""
         return self._reducer.directory.document.border
 
     def callers(self) -> adapter_module.Application:
-        """Return what answers callers."""
+        """Return the application of the callers port."""
         parts = {
             'settings': self._settings,
             'reducer': self._reducer,
@@ -423,7 +436,10 @@
         return callers_module.make_application(callers)
 
     def control(self) -> adapter_module.Application:
-        """Return what answers backend servers, operators and joiners."""
+        """Return the application of the control port.
+
+        It serves backend servers, operators and joining instances.
+        """
         settings = self._settings
         parts = {'reducer': self._reducer, 'runtime': self._runtime}
         desk = desks.BackendsDesk(**parts)
@@ -447,7 +463,7 @@
         return self._adapter.control(inner=inner, desk=desk, operators=control)
 
     def extra_ports(self) -> abc.Sequence[adapter_module.ExtraPort]:
-        """Return the ports that only the platform wants."""
+        """Return the additional ports of the platform adapter."""
         if self._adapter is None:
             return ()
         state = desks.State(
@@ -459,7 +475,11 @@
 
 
 class _ControlPort:
-    """Sends what backend servers and joiners ask on, the rest to operators."""
+    """Dispatches requests on the control port by path and method.
+
+    Requests of backend servers and joining instances go to their own
+    applications, all others to the operators' application.
+    """
 
     def __init__(
         self,
@@ -475,9 +495,9 @@
     def __call__(
         self, environ: dict, start_response: abc.Callable
     ) -> abc.Iterable[bytes]:
-        return self._choose(environ)(environ, start_response)
+        return self._application_for(environ)(environ, start_response)
 
-    def _choose(self, environ: dict) -> cherrypy.Application:
+    def _application_for(self, environ: dict) -> cherrypy.Application:
         path = environ['PATH_INFO']
         if path == joining.PATH:
             return self._members
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime performs effects, each at its time and in its thread."""
+"""The runtime performs effects, at the right time and on the right thread."""
 
 import pathlib
 import threading
@@ -12,11 +12,11 @@
 from dandeliongw import runtime
 from dandeliongw import verdict
 
-PATIENCE_S = 30
+TIMEOUT_S = 30
 
 
 class FakeReducer:
-    """Answers each event with the effects that were put in for its type."""
+    """Returns the effects configured for the type of an event."""
 
     def __init__(self):
         self.effects_by_type = {}
@@ -36,7 +36,7 @@
         with self.changed:
             found = self.changed.wait_for(
                 lambda: [e for e in self.seen if isinstance(e, event_type)],
-                PATIENCE_S,
+                TIMEOUT_S,
             )
         return found[0]
 
@@ -47,10 +47,10 @@
     def __init__(self):
         self.batches = []
         self.failure = None
-        self.may_go_on = threading.Event()
+        self.may_sync = threading.Event()
 
     def append(self, records):
-        self.may_go_on.wait(PATIENCE_S)
+        self.may_sync.wait(TIMEOUT_S)
         if self.failure:
             raise self.failure
         self.batches.append(list(records))
@@ -87,7 +87,7 @@
         )
         self.runtime.start(FakeWire)
         self.addCleanup(self.runtime.stop)
-        self.addCleanup(self.journal.may_go_on.set)
+        self.addCleanup(self.journal.may_sync.set)
 
     def perform(self, *wanted):
         self.reducer.effects_by_type[parts.Received] = list(wanted)
@@ -95,50 +95,50 @@
             lambda now: parts.Received(now=now, sender='x', message=None)
         )
 
-    def test_what_gathers_during_a_sync_shares_the_next_one(self):
+    def test_records_queued_during_a_sync_share_the_next_one(self):
         self.perform(
             parts.Persist(token='a', records=(1,)),
             parts.Persist(token='b', records=(2,)),
             parts.Persist(token='c', records=(3,)),
         )
-        self.journal.may_go_on.set()
+        self.journal.may_sync.set()
         self.reducer.wait_for(parts.Persisted)
         self.runtime._writer.stop()
         self.assertEqual([1, 2, 3], sum(self.journal.batches, []))
         self.assertLess(len(self.journal.batches), 3)
 
     def test_nothing_counts_as_persisted_before_its_sync(self):
-        """Symptom: a promise is forgotten after a crash.
+        """Guards against a reply whose record is lost in a crash.
 
-        Sequence: a record is written, the answer goes out, power fails.
-        Cause: the event that lets the answer go came before the sync.
+        The event that lets the reply be sent must come after the sync: the
+        power may fail right after the reply.
         """
         self.perform(parts.Persist(token='a', records=(1,)))
         self.reducer.wait_for(parts.Received)
         seen = [type(event) for event in self.reducer.seen]
         self.assertNotIn(parts.Persisted, seen)
-        self.journal.may_go_on.set()
+        self.journal.may_sync.set()
         self.assertEqual('a', self.reducer.wait_for(parts.Persisted).token)
 
     def test_a_failed_disk_breaks_the_instance(self):
-        """Symptom: an instance promises what it can't keep.
+        """Guards against reporting lost records as durable.
 
-        Sequence: a sync fails; the next one claims success.
-        Cause: the system drops the pages that it could not write.
+        After a failed sync, the operating system drops the pages that it
+        could not write, and the next sync succeeds without them.
         """
         self.journal.failure = OSError('no space left')
-        self.journal.may_go_on.set()
+        self.journal.may_sync.set()
         self.perform(parts.Persist(token='a', records=(1,)))
-        self.runtime._writer._thread.join(PATIENCE_S)
+        self.runtime._writer._thread.join(TIMEOUT_S)
         self.assertIn('no space left', self.runtime.broken)
         seen = [type(event) for event in self.reducer.seen]
         self.assertNotIn(parts.Persisted, seen)
 
-    def test_a_full_disk_is_waited_out(self):
-        """Symptom: a voter ends again and again while its disk is full.
+    def test_writes_to_a_full_disk_are_retried(self):
+        """Guards against a voter that keeps exiting while its disk is full.
 
-        Sequence: the disk takes no more bytes for some seconds.
-        Cause: a lack of room would count as a disk that failed.
+        The disk has no space for some seconds; that must not count as a
+        failed disk.
         """
         full = journal.DiskFull(folder=pathlib.Path('data'), reason='no room')
         failures = [full, full]
@@ -154,11 +154,11 @@
         self.assertEqual(self.journal.batches, [[1]])
         self.assertIsNone(self.runtime.broken)
 
-    def test_a_stop_on_a_full_disk_promises_nothing(self):
+    def test_a_stop_on_a_full_disk_persists_nothing(self):
         self.journal.failure = journal.DiskFull(
             folder=pathlib.Path('data'), reason='no room'
         )
-        self.journal.may_go_on.set()
+        self.journal.may_sync.set()
         self.perform(parts.Persist(token='a', records=(1,)))
         self.reducer.wait_for(parts.Received)
         self.runtime._writer.stop()
@@ -181,18 +181,18 @@
             )
         )
 
-    def test_an_order_is_sent_and_its_end_told(self):
+    def test_an_order_is_sent_and_its_result_posted(self):
         self.give_order()
         answered = self.reducer.wait_for(orders.OrderAnswered)
         self.assertEqual(verdict.Verdict.RAN, answered.run)
         self.assertEqual(3, self.engine.orders[0]['fence'])
 
     def test_an_order_that_is_too_late_is_not_sent(self):
-        """Symptom: an old order undoes a newer one.
+        """Guards against an old order that undoes a newer one.
 
-        Sequence: an order waits for its thread; the process freezes; the
-        next holder orders something else; the process goes on.
-        Cause: the lease was asked for when the order was made only.
+        An order waits for its thread while the process is paused, and the
+        next lease holder sends another order. The lease must be checked when
+        the order is sent, not only when it is made.
         """
         self.may_send = False
         self.give_order()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""What an instance says when it can't start, and when it is alone."""
+"""Errors of an instance that can't start or whose peers are unreachable."""
 
 import json
 import pathlib
@@ -64,7 +64,7 @@
         self.assertIn(f'{HOST}:{port}', caught.exception.message)
         self.assertEqual(6, caught.exception.exit_code)
 
-    def test_a_folder_that_is_a_file_is_named(self):
+    def test_a_data_folder_that_is_a_file_is_named(self):
         file = self.folder / 'file'
         file.write_text('')
         with self.assertRaises(exceptions.DataFolderUnusable) as caught:
@@ -72,17 +72,17 @@
         self.assertIn(str(file), caught.exception.message)
         self.assertEqual(7, caught.exception.exit_code)
 
-    def test_a_folder_in_use_is_named(self):
+    def test_a_data_folder_in_use_is_reported(self):
         with server.opened(make_settings(self.folder)):
             with self.assertRaises(exceptions.DataFolderUnusable) as caught:
                 self.start(make_settings(self.folder))
         self.assertIn('another process', caught.exception.message)
 
     def test_an_instance_whose_peer_is_unreachable_serves_nothing(self):
-        """Symptom: calls are served under a document of long ago.
+        """Guards against serving calls under an outdated document.
 
-        Sequence: an instance starts while no other voter can be reached.
-        Cause: it takes what its disk holds for what is accepted.
+        An instance starts while no other voter can be reached; it must not
+        treat the document on its own disk as the accepted one.
         """
         with server.opened(make_settings(self.folder)) as running:
             answer = urllib3.request(
