--- a/dandeliongw/adapter.py
+++ b/dandeliongw/adapter.py
@@ -1,7 +1,8 @@
-"""What a platform brings to an instance that runs on it.
+"""The interface between an instance and the platform that it runs on.
 
-The product decides, remembers and recovers; an adapter only translates. It
-stands outside this package and is handed to :func:`dandeliongw.server.serve`.
+All decisions, state and recovery are in this package; a platform adapter only
+translates between protocols. Adapters are implemented outside this package
+and passed to :func:`dandeliongw.server.serve`.
 """
 
 from collections import abc
@@ -23,11 +24,11 @@
 
 
 class State(typing.Protocol):
-    """What an adapter's own ports may ask of the instance."""
+    """State of the instance that an adapter's own ports may read."""
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether callers may be routed to this instance."""
         ...
 
     def entries(self) -> list[membership.Entry]:
@@ -35,12 +36,12 @@
         ...
 
     def metrics(self) -> bytes:
-        """Return the text that Prometheus reads."""
+        """Return the metrics in the Prometheus text format."""
         ...
 
 
 class Desk(typing.Protocol):
-    """Takes in what backend servers say of themselves."""
+    """Accepts announcements and leaves of backend servers."""
 
     def announce(
         self, announcement: backends.Announcement
@@ -50,7 +51,7 @@
 
 
 class Operators(typing.Protocol):
-    """Takes numbered changes of the document, and shows it."""
+    """Returns the document and accepts numbered changes of it."""
 
     def current(self) -> control.Configuration | control.Unavailable: ...
 
@@ -60,9 +61,9 @@
 
 
 class ExtraPort(msgspec.Struct, frozen=True, kw_only=True):
-    """A port that the platform wants beside those of the product.
+    """An additional port that the platform adapter serves.
 
-    :param name: for messages.
+    :param name: name of the port in error messages.
     """
 
     name: str
@@ -71,7 +72,7 @@
 
 
 class Adapter(typing.Protocol):
-    """All that a platform brings."""
+    """What a platform implements."""
 
     @property
     def dialect(self) -> gateway.Dialect: ...
@@ -79,11 +80,11 @@
     def backends(
         self, *, work: relay.Work, facts: gateway.Facts
     ) -> relay.Backends:
-        """Return what sends one call to backend servers."""
+        """Return the adapters that send one call to backend servers."""
         ...
 
     def engine_at(self, url: str, backend_id: str) -> engine.Engine:
-        """Return what sends cancels and orders to an engine."""
+        """Return the adapter that sends cancels and orders to an engine."""
         ...
 
     def control(
@@ -91,12 +92,12 @@
     ) -> Application:
         """Return the control port's application.
 
-        :param inner: takes what is not the platform's.
+        :param inner: serves all requests that are not the platform's own.
         """
         ...
 
     def ports(self, state: State) -> abc.Sequence[ExtraPort]: ...
 
     def read_seeds(self) -> abc.Sequence[settings_module.Address]:
-        """Return the seeds as they are now; called now and then."""
+        """Return the current seeds; called repeatedly."""
         ...
--- a/dandeliongw/gates.py
+++ b/dandeliongw/caller_facades.py
@@ -1,7 +1,7 @@
-"""Between the callers' borders and the reducer.
+"""Facades of the reducer for the applications of the callers port.
 
-A gate opens the relay of a call, and tells callers of the entries. Parts are
-read on the control thread only.
+A facade opens the relay of a call and lists the entries for callers. State of
+the reducer's parts is read on the control thread only.
 """
 
 import socket
@@ -23,8 +23,8 @@
 from .entry import relay
 
 
-class CallersGate:
-    """Opens relays for callers and tells them the entries."""
+class CallersFacade:
+    """Opens relays for calls and lists the entries."""
 
     def __init__(
         self,
@@ -60,17 +60,17 @@
         backends: relay.Backends,
         caller: socket.socket | None,
     ) -> relay.Relay:
-        carrier = relay.Relay(
+        opened = relay.Relay(
             request_id=request_id,
             call=call,
             work=work,
             backends=backends,
             post=self._runtime.post,
         )
-        self._runtime.add_relay(carrier)
+        self._runtime.add_relay(opened)
         if caller is not None:
             self._watch.add(request_id, caller)
-        return carrier
+        return opened
 
     def close_relay(self, request_id: str) -> None:
         self._watch.remove(request_id)
@@ -96,8 +96,8 @@
         }
 
 
-class PassingGate(CallersGate):
-    """Opens relays for calls that are passed on; a ``gateway.Gate``."""
+class PassThroughFacade(CallersFacade):
+    """Opens relays for calls passed on unchanged; a ``gateway.Gate``."""
 
     def __init__(
         self,
@@ -121,7 +121,8 @@
         facts: gateway.Facts,
         caller: socket.socket,
     ) -> relay.Relay:
-        # Callers choose their names freely, and may choose one twice.
+        # Callers choose request ids freely and may use one twice; the suffix
+        # makes them unique.
         request_id = f'{facts.request_id}.{uuid.uuid4().hex[:8]}'
         return self._open(
             call=call,
--- a/dandeliongw/decisions.py
+++ b/dandeliongw/decisions.py
@@ -29,7 +29,10 @@
 
 
 class OfRequest(Decision, frozen=True, kw_only=True):
-    """Base class of lines about one attempt of a request."""
+    """Base class of lines about a request.
+
+    :param attempt_id: the attempt that the line is about.
+    """
 
     request_id: str
     attempt_id: str
--- a/dandeliongw/desks.py
+++ b/dandeliongw/desks.py
@@ -1,8 +1,8 @@
-"""Between the reducer and those who belong to the system.
+"""Facades of the reducer for the control port and for a platform's ports.
 
-Each class answers one border: backend servers that tell of themselves,
-instances that join, and a platform's ports. Parts are read on the control
-thread only.
+Each class serves one kind of client: backend servers, joining instances, or
+the additional ports of a platform adapter. State of the reducer's parts is
+read on the control thread only.
 """
 
 import functools
@@ -18,8 +18,8 @@
 from .coordination import presence
 
 
-class MembersDesk:
-    """Tells instances that join who there is."""
+class MembersFacade:
+    """Lists the instances for an instance that joins."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._runtime = runtime
 
     def read(self) -> joining.Members:
-        """Return who runs, this instance included."""
+        """Return the instances that are alive, including this one."""
         return self._runtime.look(self._read)
 
     def _read(self, now: float) -> joining.Members:
@@ -53,7 +53,7 @@
 
 
 class State:
-    """What an adapter's ports may ask; an ``adapter.State``."""
+    """State of the instance for an adapter's ports; an ``adapter.State``."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
 
 
 class BackendsDesk:
-    """Takes in what backend servers say of themselves."""
+    """Passes announcements, renewals and leaves of backend servers on."""
 
     def __init__(
         self,
@@ -96,40 +96,38 @@
     def announce(
         self, announcement: backends_module.Announcement
     ) -> backends_module.PresenceAnswer:
-        known = self._reducer.directory.data_centres
-        if announcement.data_centre not in known:
+        data_centres = self._reducer.directory.data_centres
+        if announcement.data_centre not in data_centres:
             problem = exceptions.Problem(
                 path='data_centre',
                 given=f'given "{announcement.data_centre}"',
-                allowed=f'there are: {", ".join(known)}',
+                allowed=f'there are: {", ".join(data_centres)}',
             )
             raise exceptions.InvalidInput(problems=(problem,))
         self._check_role(announcement)
-        said = presence.BackendAnnouncement(
+        message = presence.BackendAnnouncement(
             **{
                 **announcement.model_dump(),
                 'role': presence.BackendRole(announcement.role),
             }
         )
         outcome = self._runtime.ask(
-            functools.partial(presence.Announced, announcement=said)
+            functools.partial(presence.Announced, announcement=message)
         )
         return backends_module.PresenceAnswer(outcome.value)
 
     def _check_role(self, announcement: backends_module.Announcement) -> None:
-        """Refuse a role that the document has no pool for.
+        """Reject a role for which the document has no pool.
 
-        Taken in, an announcement that lacks a field or comes from another
-        writer would take a known engine out of its pool. A service that the
-        document doesn't have is let through: it may come with the next one,
-        and until then nobody is told.
+        If accepted, an announcement that lacks the field, or that comes from
+        another sender, would remove a known engine from its pool. A service
+        that is not in the document is accepted: the next document may contain
+        it, and until then the announcement is not forwarded.
 
-        :raises InvalidInput: with the roles that there are.
+        :raises InvalidInput: with the roles that exist for the service.
         """
-        described = self._reducer.directory.document
-        roles = {
-            pool.role for pool in described.pools_of(announcement.service)
-        }
+        document = self._reducer.directory.document
+        roles = {pool.role for pool in document.pools_of(announcement.service)}
         if roles and announcement.role not in roles:
             problem = exceptions.Problem(
                 path='role',
--- a/dandeliongw/directory.py
+++ b/dandeliongw/directory.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the system around it, for its requests."""
+"""Looks up the configuration, cells, owners and instances for requests."""
 
 from . import document as document_module
 from . import settings as settings_module
@@ -9,17 +9,20 @@
 from .coordination import standing as standings
 
 
-#: Up to so many instances all of them hear of every backend server, at 30
-#: bytes a second and backend server each, and may place by themselves. Among
-#: more, an entry's part of an engine holds less than one request: 27,000
-#: tokens of KV cache among 24 entries are 1,100, a prompt has 3,000.
+#: Up to this number of instances, all of them get the messages of every
+#: backend server, at 30 bytes per second each, and may place work themselves
+#: while an owner does not respond. With more, an entry's share of an engine
+#: holds less than one request: 27,000 tokens of KV cache shared by 24 entries
+#: are 1,100 each, and a prompt has 3,000.
 MOST_TO_TELL_ALL = 20
 
 
 class Directory:
-    """Answers whom to ask for what.
+    """Combines settings, document, membership and leases for lookups.
 
-    :param own_region: where this instance's callers are served.
+    :param members: state of the instances.
+    :param configuration: the register that holds the document.
+    :param leases: the leases of cells.
     """
 
     def __init__(
@@ -32,10 +35,10 @@
     ) -> None:
         self.document = document_module.EMPTY
         self.is_draining = False
-        #: Set when the accepted document can't be read by this release.
+        #: Whether this release can't parse the accepted document.
         self.is_unreadable = False
         self._own_id = settings.instance_id
-        #: Live entries; ``None`` after a change of the members.
+        #: Number of live entries; ``None`` after a change of the members.
         self._entries: int | None = None
         self._places_alone = settings.silent_owner == 'place'
         self._own_region = settings.region
@@ -50,16 +53,16 @@
 
     @property
     def data_centres(self) -> tuple[str, ...]:
-        """Every data centre of the settings."""
+        """All data centres in the settings, sorted."""
         return tuple(sorted(self._regions_by_data_centre))
 
     def is_fresh(self, now: float) -> bool:
-        """Whether work may be admitted under the document.
+        """Whether work may be admitted under the current document.
 
-        With ``unconfirmed`` set to ``serve`` the last one counts while no
-        majority can be asked. Otherwise a system whose voters are all down
-        would turn away every caller; the price is that a change may be in
-        force elsewhere meanwhile.
+        With the setting ``unconfirmed`` at ``serve``, the last document stays
+        valid while no majority of the voters is reachable. Otherwise, a system
+        whose voters are all down would refuse every caller. The cost is that a
+        newer document may be in force at other instances meanwhile.
         """
         if self.is_unreadable:
             return False
@@ -68,11 +71,11 @@
         return self._configuration.is_fresh(now)
 
     def standing(self, now: float) -> standings.Standing:
-        """Return how current the document is."""
+        """Return when the document was last confirmed by a majority."""
         return self._configuration.standing(now)
 
     def cell_of(self, service: str, request_id: str) -> str:
-        """Return the cell that serves this instance's callers."""
+        """Return the cell of a service that serves this instance's callers."""
         return cell_id(service, self._own_region)
 
     def cell_of_backend(self, service: str, data_centre: str) -> str | None:
@@ -81,7 +84,7 @@
         return None if region is None else cell_id(service, region)
 
     def all_cells(self) -> dict[str, str]:
-        """Return the service by cell id, for every cell there should be."""
+        """Return the services by cell id, for all services and regions."""
         regions = set(self._regions_by_data_centre.values())
         return {
             cell_id(service.name, region): service.name
@@ -90,21 +93,22 @@
         }
 
     def ranked_owners(self, cell: str) -> tuple[str, ...]:
-        """Return who should own a cell, the first choice first."""
+        """Return the candidates for owning a cell, in order of preference."""
         if cell not in self._ranks_by_cell:
             self._ranks_by_cell[cell] = self._rank(cell)
         return self._ranks_by_cell[cell]
 
     def forget_ranks(self) -> None:
-        """Rank and count anew: the members have changed."""
+        """Drop cached rankings and counts after a change of the members."""
         self._ranks_by_cell.clear()
         self._entries = None
 
     def _rank(self, cell: str) -> tuple[str, ...]:
-        """Rank the entries, or all where a region has none.
+        """Rank the entries of a region, or all its instances if it has none.
 
-        A voter that owned cells would take them down with it: its disk can
-        stall, and it is the first to feel a change of the voters.
+        Voters that take no callers are avoided: a voter's disk can stall, and
+        voters are the first affected by a change of the voters. Cells that
+        they own would fail with them.
         """
         region = cell.split('/')[1]
         members = [
@@ -125,7 +129,7 @@
         )
 
     def owners_of(self, cell: str) -> tuple[str, ...]:
-        """Return instances to ask, the likeliest owner first."""
+        """Return instances to send bookings to, the likeliest owner first."""
         ranked = self.ranked_owners(cell)
         hint = self._holders_by_cell.get(cell)
         hint = hint or self._leases.known_holder(cell)
@@ -134,10 +138,10 @@
         return hint, *(owner for owner in ranked if owner != hint)
 
     def note_owner(self, cell: str, holder: str, epoch: int) -> bool:
-        """Remember who speaks as a cell's owner.
+        """Record the sender of an owner's message as the owner of a cell.
 
-        :returns: ``False`` for a message of an owner before the present
-            one, which can be late.
+        :param epoch: lease epoch in the message.
+        :returns: ``False`` if the message is a late one of an earlier owner.
         """
         if epoch < self._epochs_by_cell.get(cell, 0):
             return False
@@ -146,7 +150,14 @@
         return True
 
     def note_not_owner(self, cell: str, sender: str, holder: str) -> None:
-        """Take back what is remembered, unless it is newer than this."""
+        """Remove or replace the recorded owner, if it is the sender.
+
+        If the recorded owner is another instance, it is newer than the
+        message.
+
+        :param sender: the instance that states that it is not the owner.
+        :param holder: the owner that it names, or ``''``.
+        """
         if self._holders_by_cell.get(cell) != sender:
             return
         if holder and holder != sender:
@@ -156,30 +167,30 @@
 
     @property
     def own_id(self) -> str:
-        """This instance."""
+        """Id of this instance."""
         return self._own_id
 
     @property
     def places_alone(self) -> bool:
-        """Whether work is placed here while a cell's owner is silent.
+        """Whether this entry places work itself if a cell's owner is silent.
 
-        Among many entries that only turns callers away: it ends in "no
-        backend server is ready" where the owner would have answered a moment
-        later. There the owner is asked again, and then its deputies.
+        With many entries this would only refuse callers with "no backend
+        server is ready", although the owner would have replied a moment later.
+        Then the owner is retried instead, and after it its deputies.
         """
         return self._places_alone and self.tells_all
 
     @property
     def tells_all(self) -> bool:
-        """Whether every instance hears of every backend server."""
+        """Whether every instance gets the messages of every backend server."""
         return self._members.count_alive() <= MOST_TO_TELL_ALL
 
     def all_ids(self) -> tuple[str, ...]:
-        """Return every instance that counts as alive."""
+        """Return the ids of all instances that are alive."""
         return tuple(self._members.alive_ids())
 
     def count_entries(self) -> int:
-        """Return how many instances place callers' work, at least one."""
+        """Return the number of live entries, at least one."""
         if self._entries is None:
             self._entries = sum(
                 bool(member.info.callers_address)
--- a/dandeliongw/engine.py
+++ b/dandeliongw/engine.py
@@ -1,7 +1,7 @@
-"""What a backend server can be asked, whatever it speaks.
+"""Interfaces of backend servers, independent of their protocol.
 
-:mod:`.http_backends` has those that speak this project's own HTTP; a platform
-brings others.
+:mod:`.http_backends` implements them for this project's own HTTP API. A
+platform adapter brings other implementations.
 """
 
 from collections import abc
@@ -15,10 +15,10 @@
 class EngineError(Exception):
     """A call to a backend server failed.
 
-    :param known: whether the call may have run there.
-    :param reason: the backend server's own word, or ``''``.
-    :param is_cut: the connection ended, at its other end or on its way,
-        before the answer was whole.
+    :param known: what is known about whether the call ran there.
+    :param reason: reason code in the backend server's answer, or ``''``.
+    :param is_cut: whether the connection was closed or lost before the answer
+        was complete, and not by this process.
     """
 
     def __init__(
@@ -36,14 +36,16 @@
 
 
 class StalledError(EngineError):
-    """Nothing came for longer than the time-out; the link may be dead."""
+    """No data arrived within the timeout; the connection may be dead."""
 
 
 class Prefilled(msgspec.Struct, frozen=True, kw_only=True):
-    """A prompt that was computed.
+    """Result of a prefill.
 
-    :param kv: handle of the result, which the engine soon evicts.
-    :param known: whether the call has begun to run by that.
+    :param kv: handle of the KV cache; the engine evicts it soon.
+    :param tokens: prompt tokens computed.
+    :param cached_tokens: prompt tokens that the prefix cache saved.
+    :param known: what the prefill proves about whether the call ran.
     """
 
     kv: str
@@ -53,18 +55,19 @@
 
 
 class Head(msgspec.Struct, frozen=True, kw_only=True):
-    """Status and headers of an answer that is passed on as it comes."""
+    """Status and headers of an answer that is streamed to the caller."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
 
 class Piece(msgspec.Struct, frozen=True, kw_only=True):
-    """Some text of a stream, or its end mark.
+    """A piece of a stream's text, or the end mark of the stream.
 
     :param offset: number of tokens before this piece; for the end mark,
         the number of tokens of the whole answer.
-    :param data: the piece as its engine sent it, where it is passed on.
+    :param data: the bytes that the engine sent, for an answer that is passed
+        on unchanged.
     """
 
     attempt_id: str
@@ -75,7 +78,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True, kw_only=True):
-    """A plain service's answer, read to its end."""
+    """The complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -84,9 +87,10 @@
 
 
 class Engine(typing.Protocol):
-    """A model engine, in either role.
+    """A model engine, in the prefill or decode role.
 
-    ``deadline_s`` is how long anybody waits for the result.
+    ``deadline_s`` is the number of seconds after which the result is no
+    longer needed.
     """
 
     def prefill(
@@ -131,7 +135,7 @@
 
 
 class PlainCaller(typing.Protocol):
-    """Sends one call to a plain service."""
+    """Sends a single call to a plain service."""
 
     def call(
         self,
--- a/dandeliongw/exchange.py
+++ b/dandeliongw/exchange.py
@@ -1,11 +1,11 @@
 """One HTTP call to a backend server, and its connection.
 
-A call opens a connection of its own and closes it after, unless there is a
-pool. That costs half a millisecond and buys three things: a refused connect
-proves that nothing ran; a reply that was not read to its end can never be
-taken for the next call's; and no idle connection can have gone silent in the
-meantime. With a pool, only connections whose last answer was read to its end
-are kept, and an answer has to name the call that it is for.
+Without a pool, a call opens its own connection and closes it afterwards. That
+costs half a millisecond and has three advantages: a refused connection proves
+that nothing ran; an answer that was not read to its end can never be taken for
+that of the next call; and no idle connection can have died unnoticed. With a
+pool, only connections whose last answer was read to its end are reused, and
+the caller of this module must check that an answer names its call.
 """
 
 from collections import abc
@@ -22,17 +22,17 @@
 from . import pool as pool_module
 from . import verdict
 
-#: The end mark and the pieces of a stream are short lines.
+#: Size limit of a line in a stream; its pieces and end mark are short lines.
 MAX_LINE_BYTES = 1 << 20
 
 
 class Exchange:
     """One HTTP call.
 
-    :param connect_s: seconds to wait for the connection.
+    :param connect_s: timeout of the connection attempt in seconds.
     :param read_s: seconds without a byte after which the call has stalled.
-    :param pool: where a connection comes from and goes to; without one it
-        serves this call only.
+    :param pool: reuses connections; without it, the connection serves this
+        call only.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
     ) -> None:
         parts = urllib.parse.urlsplit(url)
         self._pool = pool
-        self._is_read = False
+        self._is_complete = False
         self._connection = urllib3.connection.HTTPConnection(
             parts.hostname or '', parts.port or 80, timeout=connect_s
         )
@@ -56,9 +56,9 @@
 
     def open(self) -> None:
         """Connect; a failure here proves that nothing was sent."""
-        kept = self._take_kept()
-        if kept is not None:
-            self._connection = kept
+        pooled = self._take_pooled()
+        if pooled is not None:
+            self._connection = pooled
             self._use_connection()
             return
         try:
@@ -72,20 +72,20 @@
             ) from error
         self._use_connection()
 
-    def _take_kept(self) -> urllib3.connection.HTTPConnection | None:
+    def _take_pooled(self) -> urllib3.connection.HTTPConnection | None:
         if self._pool is None:
             return None
         return self._pool.take(self._connection.host, self._connection.port)
 
     def _use_connection(self) -> None:
         self._socket = self._connection.sock
-        # The library gives the socket this time-out anew for each call and
-        # each answer. With that of the connect left in it, every prefill of
-        # more than a second would seem to have stalled.
+        # urllib3 sets this timeout on the socket again for each request and
+        # each answer. If it were still the connection timeout, every prefill
+        # of more than a second would count as stalled.
         self._connection.timeout = self._read_s
         self._socket.settimeout(self._read_s)
         if self._aborted:
-            # The abort came before there was a socket to shut down.
+            # The abort was requested before there was a socket to shut down.
             raise engine.EngineError('aborted', known=verdict.Verdict.NOT_RUN)
 
     def send(
@@ -95,7 +95,7 @@
         body: bytes,
         headers: abc.Mapping[str, str],
     ) -> typing.Any:
-        """Send the call and return the reply once its headers are in."""
+        """Send the call; return the answer once its headers have arrived."""
         with self._as_engine_error():
             self._connection.request(
                 method,
@@ -111,13 +111,17 @@
             return self._response
 
     def read(self, response: typing.Any, most: int) -> bytes:
-        """Read a whole body; a cut-off one is an error, never an answer."""
+        """Return the complete body.
+
+        :param most: size limit in bytes.
+        :raises EngineError: also when the body is truncated or too long.
+        """
         with self._as_engine_error():
             body = response.read(most + 1)
             while len(body) <= most:
                 more = response.read(most + 1 - len(body))
                 if not more:
-                    self._is_read = True
+                    self._is_complete = True
                     break
                 body += more
         if len(body) > most:
@@ -128,22 +132,25 @@
         return body
 
     def chunks(self, response: typing.Any) -> abc.Iterator[bytes]:
-        """Yield a body as it arrives, up to its proper end."""
+        """Yield a body as it arrives.
+
+        :raises EngineError: when it ends early or stalls.
+        """
         while True:
             with self._as_engine_error():
                 data = response.read1(65536)
             if not data:
-                self._is_read = True
+                self._is_complete = True
                 return
             yield data
 
     def lines(self, response: typing.Any) -> abc.Iterator[bytes]:
-        """Yield the lines of a body as they arrive, without their ends."""
+        r"""Yield the lines of a body as they arrive, without their ``\n``."""
         rest = b''
         for data in self.chunks(response):
             rest += data
-            *whole, rest = rest.split(b'\n')
-            yield from whole
+            *complete, rest = rest.split(b'\n')
+            yield from complete
             if len(rest) > MAX_LINE_BYTES:
                 raise engine.EngineError(
                     f'a line is longer than {MAX_LINE_BYTES} bytes',
@@ -151,7 +158,7 @@
                 )
 
     def abort(self) -> None:
-        """Wake a thread that is blocked in this exchange."""
+        """Make the thread that is blocked in this call fail at once."""
         self._aborted = True
         if self._socket is not None:
             with contextlib.suppress(OSError):
@@ -159,16 +166,17 @@
 
     @property
     def read_timeout_s(self) -> float | None:
-        """Seconds of silence that the socket allows just now."""
+        """Current timeout of the socket in seconds."""
         return None if self._socket is None else self._socket.gettimeout()
 
     def close(self) -> None:
-        """End the connection, also in the middle of an answer.
+        """Return the connection to the pool, or close it.
 
-        The answer has a hold of the socket of its own. Left to the garbage
-        collector, an engine would go on sending to nobody.
+        It is closed even in the middle of an answer. The answer object holds
+        its own reference to the socket: if closing it were left to the garbage
+        collector, an engine would continue to send.
         """
-        if self._may_keep():
+        if self._is_reusable():
             self._pool.give(
                 self._connection,
                 self._response.headers.get('Keep-Alive', ''),
@@ -178,9 +186,9 @@
             self._response.close()
         self._connection.close()
 
-    def _may_keep(self) -> bool:
-        """Whether the next answer on this connection can be told apart."""
-        if self._pool is None or not self._is_read or self._aborted:
+    def _is_reusable(self) -> bool:
+        """Whether the connection is open and this answer's end is certain."""
+        if self._pool is None or not self._is_complete or self._aborted:
             return False
         headers = self._response.headers
         closes = 'close' in headers.get('Connection', '').lower()
@@ -190,12 +198,15 @@
         return has_end and not closes and self._connection.sock is not None
 
     def disown(self) -> None:
-        """Don't keep the connection: its answers are not for its calls."""
-        self._is_read = False
+        """Prevent reuse: an answer on the connection was for another call."""
+        self._is_complete = False
 
     @contextlib.contextmanager
     def _as_engine_error(self) -> abc.Iterator[None]:
-        """Name what broke; from the first byte on, the call may have run."""
+        """Turn errors of the HTTP library into ``EngineError``.
+
+        The call may have run, as bytes of it may have been sent.
+        """
         try:
             yield
         except (TimeoutError, urllib3.exceptions.ReadTimeoutError) as error:
@@ -206,13 +217,13 @@
         except (
             OSError,
             urllib3.exceptions.HTTPError,
-            # Of an answer that is no HTTP at all, or of an odd path.
+            # Raised for an answer that is not HTTP, or for an invalid path.
             http.client.HTTPException,
             ValueError,
             AttributeError,
         ) as error:
-            # An abort from another thread closes the socket under the
-            # reader, which urllib3 reports in any of these ways.
+            # urllib3 raises any of these errors when another thread aborts
+            # the call and so shuts down the socket during a read.
             raise engine.EngineError(
                 f'the connection broke: {error}',
                 known=verdict.Verdict.MAY_HAVE_RUN,
--- a/dandeliongw/hosts.py
+++ b/dandeliongw/hosts.py
@@ -1,8 +1,8 @@
 """Routes by host and path, whose calls are passed on unchanged.
 
-They stand in the document beside the routes by service. The method, the
-path, the query and the body of such a call go to a backend server as they
-came, and its answer goes back as it came.
+They are part of the document, like the routes by service. Method, path, query
+and body of such a call go to a backend server unchanged, and its answer goes
+to the caller unchanged.
 """
 
 from collections import abc
@@ -14,7 +14,7 @@
 from . import exceptions
 from . import models
 
-#: Whether a call may run a second time after a first run may have begun.
+#: Whether a call may be retried after an attempt that may have run.
 Repeat = typing.Literal['always', 'never', 'resume']
 
 Host = typing.Annotated[
@@ -27,45 +27,45 @@
 
 
 class Target(models.Model):
-    """A service that a route's calls go to."""
+    """A service that calls of a route are sent to."""
 
     service: models.Name
     """The service."""
     weight: models.NotNegativeInt = 1
-    """Its part of the calls, against the weights of the others."""
+    """Its share of the calls, relative to the weights of the other targets."""
 
 
 class HostRoute(models.Model):
-    """Calls of one host below one path."""
+    """A route for the calls to one host below one path."""
 
     name: models.Name
-    """What logs call it."""
+    """The name of the route in log lines."""
     host: Host
-    """Of the ``Host`` header, in lower case, without a port."""
+    """The host in the ``Host`` header, in lower case, without a port."""
     path_prefix: Prefix
-    """Begins and ends with a slash; the longest one that fits decides."""
+    """Begins and ends with a slash; the longest matching prefix is used."""
     targets: tuple[Target, ...]
-    """The services, by weight."""
+    """The services, chosen by weight."""
     repeat: Repeat
-    """``resume``: only a stream that goes on where it broke off."""
+    """Retries after a possible run; ``resume``: only to continue a stream."""
     max_runs: models.PositiveInt
-    """Backend servers that one call may run on, the first included."""
+    """Most backend servers that may run a call, including the first."""
     timeout_s: models.Positive
-    """The longest that a call may take in all."""
+    """Maximum total duration of a call."""
     target_s: models.Positive
-    """The time to the answer, or its first piece, that is aimed at."""
+    """Target latency until the answer, or until its first piece."""
     priority: models.Name
     """One of the document's priorities."""
     patience_s: models.Positive | None = None
-    """Callers leave a stream on which nothing came for so long."""
+    """Callers abandon a stream after this time without data."""
 
     @functools.cached_property
     def total_weight(self) -> int:
-        """All weights together."""
+        """Sum of all weights."""
         return sum(target.weight for target in self.targets)
 
     def choose(self, draw: int) -> str:
-        """Return a service, by weight.
+        """Return a service, chosen by weight.
 
         :param draw: 64 random bits.
         """
@@ -78,22 +78,22 @@
 
 
 class BorderLimits(models.Model):
-    """What callers may send, and how slowly."""
+    """Limits on the size and the speed of callers' requests."""
 
     max_header_bytes: models.PositiveInt = 65536
-    """Request line and headers."""
+    """Maximum size of request line and headers."""
     max_body_bytes: models.PositiveInt = 8 << 20
-    """The longest body."""
+    """Maximum size of a body."""
     header_timeout_s: models.Positive = 10.0
-    """From a call's first byte to its headers' end, however slowly."""
+    """Maximum time from a request's first byte to the end of its headers."""
     idle_timeout_s: models.Positive = 30.0
-    """Silence until a kept connection is closed."""
+    """Time after which an idle persistent connection is closed."""
 
 
 class RouteTable:
     """Finds the route of a call.
 
-    :param routes: as they stand in the document.
+    :param routes: the routes of the document, in any order.
     """
 
     def __init__(self, *, routes: abc.Iterable[HostRoute]) -> None:
@@ -102,10 +102,10 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
 
     def find(self, host: str, path: str) -> HostRoute | None:
-        """Return the route with the longest prefix of the path.
+        """Return the route with the longest matching prefix of the path.
 
         :param host: in lower case, without a port.
-        :param path: as it was sent, without the query.
+        :param path: path as the caller sent it, without the query.
         """
         for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
@@ -118,17 +118,17 @@
     services: abc.Collection[str],
     priorities: abc.Collection[str],
 ) -> abc.Iterator[exceptions.Problem]:
-    """Yield what is wrong between routes and the rest of the document."""
-    places = [f'{each.host}{each.path_prefix}' for each in routes]
-    yield from models.duplicates(places, 'host_routes', 'path_prefix')
+    """Yield inconsistencies of the routes with the rest of the document."""
+    locations = [f'{each.host}{each.path_prefix}' for each in routes]
+    yield from models.duplicates(locations, 'host_routes', 'path_prefix')
     for index, route in enumerate(routes):
         path = f'host_routes[{index}]'
         yield from models.missing(
             route.priority, priorities, f'{path}.priority'
         )
-        for place, target in enumerate(route.targets):
-            where = f'{path}.targets[{place}].service'
-            yield from models.missing(target.service, services, where)
+        for position, target in enumerate(route.targets):
+            target_path = f'{path}.targets[{position}].service'
+            yield from models.missing(target.service, services, target_path)
         if not route.total_weight:
             yield exceptions.Problem(
                 path=f'{path}.targets',
--- a/dandeliongw/http_backends.py
+++ b/dandeliongw/http_backends.py
@@ -1,4 +1,4 @@
-"""Backend servers that speak this project's own HTTP."""
+"""Adapters for backend servers that implement this project's HTTP API."""
 
 from collections import abc
 import contextlib
@@ -10,19 +10,21 @@
 from . import settings as settings_module
 from . import verdict
 
-#: An engine's own words for what it did not do. Any other error, a plain
-#: 500 or one of a box in between, proves nothing.
+#: Reason codes by which an engine states that it did not run a call. Any
+#: other error, such as a plain 500 or the answer of a proxy in between, proves
+#: nothing.
 NOT_RUN_REASONS = frozenset(
     ('busy', 'full', 'evicted', 'stalled', 'fenced', 'unknown')
 )
-#: How a plain service says, with status 503, that it did not run a call.
+#: Header by which a plain service states, with status 503, that it did not run
+#: a call.
 NOT_RUN_HEADER = 'X-Not-Run'
 
 
 class HttpEngine:
-    """A model engine that speaks it; an :class:`.engine.Engine`."""
+    """A model engine with this API; an :class:`.engine.Engine`."""
 
-    #: Longest JSON answer that is read.
+    #: Size limit of a JSON answer.
     MAX_ANSWER_BYTES = 1 << 20
 
     def __init__(
@@ -50,7 +52,7 @@
         fence: int,
         deadline_s: float,
     ) -> engine.Prefilled:
-        answer = self._ask(
+        answer = self._post_json(
             '/v1/prefill',
             {
                 'stream_id': stream_id,
@@ -61,7 +63,7 @@
             },
             deadline_s,
         )
-        with _understood(answer):
+        with _field_errors_as_engine_errors(answer):
             return engine.Prefilled(
                 kv=str(answer['kv']),
                 tokens=int(answer['tokens']),
@@ -78,7 +80,7 @@
         fence: int,
         deadline_s: float,
     ) -> None:
-        self._ask(
+        self._post_json(
             '/v1/import',
             {
                 'stream_id': stream_id,
@@ -113,12 +115,12 @@
                     yield _read_piece(line[5:])
 
     def cancel(self, *, stream_id: str, attempt_id: str) -> None:
-        self._ask(
+        self._post_json(
             '/v1/cancel', {'stream_id': stream_id, 'attempt_id': attempt_id}
         )
 
     def streams(self) -> tuple[tuple[str, str], ...]:
-        """Return stream id and attempt id of all that the engine holds."""
+        """Return stream id and attempt id of each stream on the engine."""
         with self._exchange(self._first_byte_s) as exchange:
             response = exchange.send('GET', '/v1/streams', b'', {})
             self._raise_unless_ok(exchange, response)
@@ -137,12 +139,12 @@
         fence: int,
         timeout_s: float,
     ) -> None:
-        """Load a model, adapter or version, or change role.
+        """Load a model, adapter or version, or change the engine's role.
 
-        :param order_id: the same for each repeat of one order.
-        :param timeout_s: longest silence of the engine.
-        :raises EngineError: with reason ``fenced`` from an engine that has
-            seen a higher fencing number.
+        :param order_id: the same for each repetition of an order.
+        :param timeout_s: seconds without data after which the order fails.
+        :raises EngineError: with reason ``fenced`` if the engine has seen a
+            higher fencing number.
         """
         body = {
             'order_id': order_id,
@@ -175,7 +177,7 @@
             self._current = None
             exchange.close()
 
-    def _ask(
+    def _post_json(
         self, path: str, body: dict, deadline_s: float | None = None
     ) -> dict:
         with self._exchange(self._first_byte_s) as exchange:
@@ -214,9 +216,9 @@
 
 
 def read_json(body: bytes) -> dict:
-    """Return the object in an answer.
+    """Return the JSON object in an answer.
 
-    :raises EngineError: for anything else.
+    :raises EngineError: when the answer is anything else.
     """
     try:
         answer = json.loads(body)
@@ -233,7 +235,7 @@
 def _read_piece(data: bytes) -> engine.Piece:
     answer = read_json(data)
     is_end = bool(answer.get('end'))
-    with _understood(answer):
+    with _field_errors_as_engine_errors(answer):
         return engine.Piece(
             attempt_id=str(answer.get('attempt_id', '')),
             offset=int(answer['tokens'] if is_end else answer['offset']),
@@ -243,8 +245,8 @@
 
 
 @contextlib.contextmanager
-def _understood(answer: dict) -> abc.Iterator[None]:
-    """Fail as any other call does where a field is missing or odd."""
+def _field_errors_as_engine_errors(answer: dict) -> abc.Iterator[None]:
+    """Raise an ``EngineError`` if a field is missing or has a bad value."""
     try:
         yield
     except (KeyError, TypeError, ValueError) as error:
@@ -256,7 +258,7 @@
 
 
 class PlainService:
-    """One call to a plain service, passed on as the caller sent it."""
+    """One call to a plain service, forwarded as the caller sent it."""
 
     def __init__(
         self, *, url: str, connect_s: float, timeout_s: float
@@ -275,11 +277,11 @@
         headers: abc.Mapping[str, str],
         most_bytes: int,
     ) -> engine.Reply:
-        """Return the answer, whole.
+        """Return the complete answer.
 
-        :raises EngineError: its ``known`` is ``NOT_RUN`` only when the
-            connection was never made, or the service says so with 503 and
-            ``X-Not-Run: true``. One whose answer is too long has ``RAN``.
+        :raises EngineError: its ``known`` is ``NOT_RUN`` only if no connection
+            was made, or if the service answered 503 with
+            ``X-Not-Run: true``. It is ``RAN`` if the answer is too long.
         """
         try:
             self._exchange.open()
@@ -287,8 +289,8 @@
             content = self._exchange.read(response, most_bytes)
         finally:
             self._exchange.close()
-        says_not_run = response.headers.get(NOT_RUN_HEADER, '') == 'true'
-        if response.status == 503 and says_not_run:
+        is_not_run = response.headers.get(NOT_RUN_HEADER, '') == 'true'
+        if response.status == 503 and is_not_run:
             raise engine.EngineError(
                 f'{self.url} is busy',
                 known=verdict.Verdict.NOT_RUN,
--- a/dandeliongw/joining.py
+++ b/dandeliongw/joining.py
@@ -1,9 +1,9 @@
-"""How a starting instance finds the others: it asks seeds.
+"""Discovery: a starting instance finds the others through seeds.
 
-A seed is the control address of some instance. Whoever is asked says who it
-is and which instances it knows; membership does the rest. Seeds are asked
-again now and then, so that two halves of a system that lost each other for
-longer than they remember their members meet again.
+A seed is the control address of an instance. It responds with its own id and
+the instances that it has in its membership; gossip then spreads the rest.
+Seeds are queried repeatedly. This rejoins two halves of a system after a
+network partition that lasted longer than they keep lost members.
 """
 
 from collections import abc
@@ -23,35 +23,37 @@
 from .borders import _application
 
 PATH = '/v1/members'
-#: Seconds between rounds until the seeds are known: a start is not to wait
-#: for it, and no seed need listen yet when it is asked first.
-HURRIED_S = 0.1
-#: Seconds between two later questions, each to one seed.
-CALM_S = 5.0
-#: Seconds to wait for one seed; a machine that is cut off answers nothing.
-PATIENCE_S = 0.5
-#: Failed rounds after which the log says that no seed answers.
-ROUNDS_TO_TELL = 50
+#: Seconds between rounds of queries until this instance has joined. It is
+#: short so as not to delay the start, and since seeds may not yet listen when
+#: they are first queried.
+JOINING_INTERVAL_S = 0.1
+#: Seconds between later queries, each to one random seed.
+JOINED_INTERVAL_S = 5.0
+#: Timeout in seconds of a query to one seed. A machine that is disconnected
+#: does not respond at all.
+SEED_TIMEOUT_S = 0.5
+#: Number of rounds between two warnings that no seed responds.
+ROUNDS_PER_WARNING = 50
 
 
 class FoundInstance(models.Model):
-    """Where others reach an instance."""
+    """Address at which other instances connect to an instance."""
 
     instance_id: models.Name
-    """Its id."""
+    """Id of the instance."""
     host: settings_module.IpNumber
-    """The IP number that others connect to."""
+    """IP address that other instances connect to."""
     port: settings_module.Port
     """Its ``peer`` port."""
 
 
 class Members(models.Model):
-    """What an instance answers to one that joins."""
+    """Response of an instance to one that joins."""
 
     instance_id: models.Name
-    """Who answers."""
+    """Id of the instance that responds."""
     instances: tuple[FoundInstance, ...]
-    """All that it knows to run, itself included."""
+    """All instances that it considers alive, including itself."""
 
 
 def make_application(
@@ -59,7 +61,7 @@
 ) -> cherrypy.Application:
     """Return the application that answers ``GET /v1/members``.
 
-    It asks for no token: instances that join have nothing but an address.
+    It requires no token: an instance that joins has only an address.
     """
     return _application.make_application(_Root(read=read), {})
 
@@ -80,11 +82,11 @@
 
 
 class Joiner:
-    """Asks the seeds on a thread of its own and posts what they say.
+    """Queries the seeds on its own thread and posts their responses.
 
-    :param read_seeds: the present seeds; they may change while running.
+    :param read_seeds: returns the current seeds; they may change at runtime.
     :param forms: whether the seeds form the register of a new system.
-    :param post: hands an event to the reducer.
+    :param post: queues an event for the reducer.
     :param own_address: this instance's control address, which may be a seed.
     """
 
@@ -100,12 +102,13 @@
         self._forms = forms
         self._own_address = own_address
         self._post = post
+        #: Instance id of each seed that has responded.
         self._ids_by_seed: dict[str, str] = {}
         self._rounds = 0
         self._wake = threading.Event()
         self._stopped = False
         self._http = urllib3.PoolManager(
-            retries=False, timeout=urllib3.Timeout(PATIENCE_S)
+            retries=False, timeout=urllib3.Timeout(SEED_TIMEOUT_S)
         )
         self._thread = threading.Thread(
             target=self._run, name='joining', daemon=True
@@ -120,7 +123,7 @@
         self._thread.join()
 
     def hurry(self) -> None:
-        """Read the seeds again and ask them all, now."""
+        """Read the seeds again and query all of them at once."""
         self._ids_by_seed.clear()
         self._wake.set()
 
@@ -128,41 +131,45 @@
         while not self._stopped:
             seeds = [each.show() for each in self._read_seeds()]
             has_joined = self._has_joined(seeds)
-            self._ask(random.sample(seeds, 1 if has_joined else len(seeds)))
-            self._wake.wait(CALM_S if self._has_joined(seeds) else HURRIED_S)
+            self._query(random.sample(seeds, 1 if has_joined else len(seeds)))
+            self._wake.wait(
+                JOINED_INTERVAL_S
+                if self._has_joined(seeds)
+                else JOINING_INTERVAL_S
+            )
             self._wake.clear()
 
     def _has_joined(self, seeds: abc.Sequence[str]) -> bool:
-        """Whether enough is known to leave the rest to membership.
+        """Whether enough seeds have responded; membership finds the rest.
 
-        A new system needs all its seeds, which are its first voters; one
-        that runs needs somebody else who knows it.
+        A new system needs all its seeds, since they are its first voters. To
+        join a running system, one seed other than this instance is enough.
         """
         others = self._ids_by_seed.keys() - {self._own_address}
         if self._forms:
             return set(seeds) <= self._ids_by_seed.keys()
         return bool(others) or set(seeds) <= {self._own_address}
 
-    def _ask(self, seeds: abc.Sequence[str]) -> None:
+    def _query(self, seeds: abc.Sequence[str]) -> None:
         self._rounds += 1
-        answered = [self._ask_one(seed) for seed in seeds]
-        if not any(answered) and self._rounds % ROUNDS_TO_TELL == 0:
-            logger.warning('no seed answers', seeds=', '.join(seeds))
+        answered = [self._query_one(seed) for seed in seeds]
+        if not any(answered) and self._rounds % ROUNDS_PER_WARNING == 0:
+            logger.warning('no seed responds', seeds=', '.join(seeds))
 
-    def _ask_one(self, seed: str) -> bool:
+    def _query_one(self, seed: str) -> bool:
         try:
             response = self._http.request('GET', f'http://{seed}{PATH}')
             members = Members.model_validate_json(response.data)
         except (urllib3.exceptions.HTTPError, pydantic.ValidationError) as e:
-            logger.debug(f'a seed did not answer: {e}', seed=seed)
+            logger.debug(f'seed query failed: {e}', seed=seed)
             return False
         if seed not in self._ids_by_seed:
-            logger.info('a seed answered', seed=seed, peer=members.instance_id)
+            logger.info('seed responded', seed=seed, peer=members.instance_id)
         self._ids_by_seed[seed] = members.instance_id
-        self._tell(members)
+        self._post_members(members)
         return True
 
-    def _tell(self, members: Members) -> None:
+    def _post_members(self, members: Members) -> None:
         seeds = [each.show() for each in self._read_seeds()]
         first: tuple[str, ...] = ()
         if self._forms and set(seeds) <= self._ids_by_seed.keys():
--- a/dandeliongw/operations.py
+++ b/dandeliongw/operations.py
@@ -1,7 +1,7 @@
-"""Between the operators' border and the reducer.
+"""Facade of the reducer for the operators' application.
 
-Changes of the document go to the register; what operators see is read from
-the parts, on the control thread only.
+Changes of the document go to the register; the data shown to operators is
+read from the reducer's parts, on the control thread only.
 """
 
 import functools
@@ -22,7 +22,7 @@
 
 
 class OperatorsControl:
-    """Changes and shows what operators may; a ``control.Control``."""
+    """Operations and data for operators; a ``control.Control``."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
             )
         return control.Configuration(
             revision=held.revision,
-            # Revision 0 is what the voters formed, before any document.
+            # Revision 0 is the one that the voters formed; it has no document.
             document=held.document or _EMPTY,
             author=held.author,
         )
@@ -90,7 +90,7 @@
     def propose_ordered(
         self, *, order: int, author: str, document: bytes
     ) -> control.Applied | control.Overtaken | control.Unavailable:
-        """Make a document the current one if its number is the highest."""
+        """Accept a document if its order number is the highest so far."""
         result = self._runtime.ask(
             functools.partial(
                 register.ProposeOrdered,
@@ -193,18 +193,18 @@
         for backend_id, backend in sorted(
             self._reducer.presence.backends_by_id.items()
         ):
-            said = backend.announcement
+            announcement = backend.announcement
             out.append(
                 control.BackendStatus(
                     backend_id=backend_id,
-                    service=said.service,
-                    role=said.role.value,
-                    url=said.url,
-                    data_centre=said.data_centre,
+                    service=announcement.service,
+                    role=announcement.role.value,
+                    url=announcement.url,
+                    data_centre=announcement.data_centre,
                     state='present' if backend.present else 'gone',
-                    slots=said.slots,
+                    slots=announcement.slots,
                     used=backend.load.slots_used if backend.load else 0,
-                    checks_fence=said.checks_fence,
+                    checks_fence=announcement.checks_fence,
                 )
             )
         return out
--- a/dandeliongw/pool.py
+++ b/dandeliongw/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that are kept for the next call."""
+"""A pool of idle HTTP connections to backend servers."""
 
 import collections
 import re
@@ -11,23 +11,24 @@
 
 from . import clock
 
-#: Seconds taken off what a backend server says it keeps a connection for:
-#: a call that crosses its close may or may not have run.
+#: Seconds subtracted from the keep-alive timeout that a backend server
+#: advertises: if a call is sent just as the server closes the connection, it
+#: is unknown whether the call ran.
 MARGIN_S = 1.0
-#: Seconds that one is kept where the backend server says nothing.
+#: Seconds that a connection is kept if the backend server advertises nothing.
 DEFAULT_KEEP_S = 3.0
-#: Idle connections kept to one address.
-MOST_IDLE = 8
+#: Most idle connections to one address.
+MAX_IDLE = 8
 _TIMEOUT = re.compile(r'timeout=([0-9]{1,6})')
 
 
 class _Idle(msgspec.Struct, frozen=True, kw_only=True):
     connection: urllib3.connection.HTTPConnection
-    until: float
+    expires_at: float
 
 
 class Pool:
-    """Idle connections by address; safe to use from any thread."""
+    """Idle connections by address; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -36,10 +37,10 @@
     def take(
         self, host: str, port: int
     ) -> urllib3.connection.HTTPConnection | None:
-        """Return a connection that is fit for a call, or ``None``.
+        """Return a connection that can carry another call, or ``None``.
 
-        One on which something can be read is not: either its other end has
-        closed it, or bytes wait there that would pass for the next answer.
+        A readable connection can't: either its other end has closed it, or
+        there are unread bytes that would be taken for the next answer.
         """
         while True:
             with self._lock:
@@ -47,35 +48,38 @@
                 found = idle.pop() if idle else None
             if found is None:
                 return None
-            if clock.now() < found.until and _is_silent(found.connection.sock):
+            if clock.now() < found.expires_at and _is_unreadable(
+                found.connection.sock
+            ):
                 return found.connection
             found.connection.close()
 
     def give(
         self, connection: urllib3.connection.HTTPConnection, keep_alive: str
     ) -> None:
-        """Keep a connection whose last answer was read to its end.
+        """Return a connection whose last answer was read to its end.
 
-        :param keep_alive: the answer's header of that name, or ``''``.
+        :param keep_alive: the answer's ``Keep-Alive`` header, or ``''``.
         """
-        said = _TIMEOUT.search(keep_alive)
-        keep_s = float(said[1]) - MARGIN_S if said else DEFAULT_KEEP_S
+        match = _TIMEOUT.search(keep_alive)
+        keep_s = float(match[1]) - MARGIN_S if match else DEFAULT_KEEP_S
         if keep_s <= 0:
             connection.close()
             return
-        kept = _Idle(connection=connection, until=clock.now() + keep_s)
+        kept = _Idle(connection=connection, expires_at=clock.now() + keep_s)
         address = (connection.host, connection.port)
         with self._lock:
             idle = self._idle_by_address.setdefault(
                 address, collections.deque()
             )
             idle.append(kept)
-            surplus = idle.popleft() if len(idle) > MOST_IDLE else None
+            surplus = idle.popleft() if len(idle) > MAX_IDLE else None
         if surplus is not None:
             surplus.connection.close()
 
 
-def _is_silent(sock: socket.socket | None) -> bool:
+def _is_unreadable(sock: socket.socket | None) -> bool:
+    """Whether the socket is open and has nothing to read."""
     if sock is None:
         return False
     poller = select.poll()
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -1,4 +1,4 @@
-"""Assembles an instance from its components; starts and stops them in order."""
+"""Assembles an instance, and starts and stops its components in order."""
 
 from collections import abc
 import contextlib
@@ -13,10 +13,10 @@
 
 from . import __version__
 from . import adapter as adapter_module
+from . import caller_facades
 from . import desks
 from . import events
 from . import exceptions
-from . import gates
 from . import heap
 from . import hosts
 from . import http_backends
@@ -424,12 +424,14 @@
         }
         if self._adapter is not None:
             return gateway.Gateway(
-                gate=gates.PassingGate(**parts, adapter=self._adapter),
+                gate=caller_facades.PassThroughFacade(
+                    **parts, adapter=self._adapter
+                ),
                 dialect=self._adapter.dialect,
                 metrics=self._metrics,
             )
         callers = callers_module.Callers(
-            gate=gates.CallersGate(**parts),
+            gate=caller_facades.CallersFacade(**parts),
             metrics=self._metrics,
             max_body_bytes=self._settings.limits.max_body_bytes,
         )
@@ -444,7 +446,7 @@
         parts = {'reducer': self._reducer, 'runtime': self._runtime}
         desk = desks.BackendsDesk(**parts)
         control = operations.OperatorsControl(settings=settings, **parts)
-        members = desks.MembersDesk(settings=settings, **parts)
+        members = desks.MembersFacade(settings=settings, **parts)
         backends = backends_module.Backends(
             desk=desk,
             key_sha256=settings.backend_key_sha256,
--- a/dandeliongw/shutdown.py
+++ b/dandeliongw/shutdown.py
@@ -1,8 +1,8 @@
-"""How an instance ends: it interrupts nothing that callers rely on.
+"""Graceful shutdown of an instance.
 
-It leaves the entries at once, serves whoever still holds its address for the
-time that callers keep it, refuses after that, waits for what is in flight,
-and is then gone.
+The instance is removed from the list of entries at once. It keeps serving for
+the list's time to live, since callers may still use its address. After that it
+refuses new requests, waits for those in flight up to a limit, and leaves.
 """
 
 import typing
@@ -17,24 +17,24 @@
 from .entry import admission
 from .entry import requests
 
-#: Seconds that requests get to tell their callers that they are cut off.
+#: Seconds for aborted requests to send an error to their callers.
 CUT_OFF_S = 2.0
 
 
 class HandOver(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: this instance is draining; its cells need other owners."""
+    """Event: this instance is draining; hand its cells over to others."""
 
     now: float
 
 
 class Left(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: the leave of this instance is on its way to the others."""
+    """Event: this instance's leave message has been sent to the others."""
 
     now: float
 
 
 class Shutdown:
-    """Nothing until :meth:`begin`; then the steps, one after the other."""
+    """The steps of a shutdown, in order; inactive until :meth:`begin`."""
 
     def __init__(
         self,
@@ -56,14 +56,14 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it has begun; read by other threads too."""
+        """Whether the shutdown has begun; also read by other threads."""
         return self._began_at is not None
 
     def begin(self, now: float) -> list[typing.Any]:
-        """Leave the entries, but serve those who still hold the address.
+        """Leave the list of entries, but keep serving for its time to live.
 
-        Callers keep an answer of ``GET /v1/entries`` for its time to live.
-        Refusing at once would fail calls of callers who did nothing wrong.
+        Callers cache the response of ``GET /v1/entries`` for that long. If
+        requests were refused at once, valid calls would fail.
         """
         if self._began_at is not None:
             return []
@@ -76,33 +76,36 @@
         ]
 
     def hand_over(self, event: HandOver) -> list[typing.Any]:
-        """Give the cells away, now that no ranking counts this instance."""
+        """Hand the cells over, now that no ranking includes this instance."""
         return self._succession.hand_over(event.now)
 
     def tick(self, now: float) -> list[typing.Any]:
-        """Take the next step when its time has come."""
+        """Perform the next step if it is due."""
         if self._began_at is None or self._has_left:
             return []
         past_ttl_s = now - self._began_at - self._timeouts.entries_ttl_s
         if past_ttl_s < 0:
             return []
         self._directory.is_draining = True
-        bound_s = self._timeouts.shutdown_s
+        limit_s = self._timeouts.shutdown_s
         out: list[typing.Any] = []
-        if past_ttl_s >= bound_s and self._cut_off is None:
-            # A caller that never reads would keep the process for good.
+        if past_ttl_s >= limit_s and self._cut_off is None:
+            # Without this limit, a caller that never reads its answer would
+            # keep the process running forever.
             self._cut_off = self._gate.in_flight
             out = self._requests.cut_off(now)
-        if self._gate.in_flight and past_ttl_s < bound_s + CUT_OFF_S:
+        if self._gate.in_flight and past_ttl_s < limit_s + CUT_OFF_S:
             return out
         self._has_left = True
         return [
             *out,
             effects.Dispatch(event=membership.Leave(now=now)),
-            effects.log(f'leaves with {self._gate.in_flight} in flight'),
+            effects.log(
+                f'leaving with {self._gate.in_flight} requests in flight'
+            ),
             effects.Dispatch(event=Left(now=now)),
         ]
 
     def left(self, event: Left) -> list[typing.Any]:
-        """The others have been told; the process may end."""
+        """Finish the shutdown, after the leave was sent to the others."""
         return [effects.Drained(cut_off=self._cut_off or 0)]
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -1,18 +1,18 @@
-"""A server that answers with given bytes, however wrong they are."""
+"""A server that answers with given bytes, valid HTTP or not."""
 
 import contextlib
 import json
 import socket
 import threading
 
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 class RawServer:
-    """Answers its n-th connection by the n-th reply, the last one for more.
+    """Answers its n-th connection with the n-th reply.
 
-    A reply is bytes, sent before the connection is closed, or a function
-    that gets the connection.
+    The last reply is repeated for further connections. A reply is bytes, sent
+    before the connection is closed, or a function that gets the connection.
     """
 
     def __init__(self, *replies):
@@ -21,7 +21,7 @@
         self.url = f'http://127.0.0.1:{self._listener.getsockname()[1]}'
         self.calls = []
         self.served = threading.Semaphore(0)
-        #: Set when a test is over, so that no reply blocks for good.
+        #: Set when a test is over, so that no reply blocks forever.
         self.over = threading.Event()
 
     def run(self):
@@ -43,7 +43,7 @@
             thread.join()
 
     def _serve(self, connection, reply):
-        connection.settimeout(PATIENCE_S)
+        connection.settimeout(TIMEOUT_S)
         with connection, contextlib.suppress(OSError):
             if not self._read(connection):
                 return
@@ -72,7 +72,7 @@
         return [json.loads(body) for _, _, body in self.calls]
 
     def hang(self, *before):
-        """Return a reply that sends some bytes and then nothing more."""
+        """Return a reply that sends some bytes and then stalls."""
 
         def reply(connection):
             for each in before:
@@ -85,7 +85,7 @@
 
     def close(self):
         self.over.set()
-        # Closing alone does not wake a thread that accepts.
+        # Closing the socket does not wake a thread blocked in accept().
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -100,11 +100,14 @@
         yield server
     finally:
         server.close()
-        thread.join(PATIENCE_S)
+        thread.join(TIMEOUT_S)
 
 
 def answer(body, status='200 OK', *headers):
-    """Return an HTTP answer with its length; bodies may be JSON values."""
+    """Return an HTTP answer with its length.
+
+    :param body: bytes, or a value to encode as JSON.
+    """
     if not isinstance(body, bytes):
         body = json.dumps(body).encode()
     head = [f'HTTP/1.1 {status}', f'Content-Length: {len(body)}', *headers]
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""What an instance makes of the members around it."""
+"""The directory of an instance, with various numbers of members."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class PlacingNetwork(network.Network):
-    """A network whose instances place by themselves."""
+    """A network whose instances place work while an owner is silent."""
 
     def _settings(self, instance_id: str) -> settings.Settings:
         made = super()._settings(instance_id)
@@ -18,21 +18,21 @@
 
 
 class PlacesAloneTest(unittest.TestCase):
-    """Symptom: calls are refused, "no backend server is ready".
+    """Guards against calls refused with "no backend server is ready".
 
-    Sequence: an owner answers after 0.2 s, once; an entry among many counts
-    it as silent and places by itself.
-    Cause: it was told of no backend server, nor would its part hold a call.
+    An owner replies after 0.2 s, once. If an entry among many counted it as
+    silent and placed the work itself, it would fail: it gets no messages of
+    backend servers, and its share of one would not hold a call.
     """
 
     @params(
         (directory.MOST_TO_TELL_ALL, True),
         (directory.MOST_TO_TELL_ALL + 1, False),
     )
-    def test_only_few_entries_place_alone(self, count, expected):
-        many = PlacingNetwork(count=count, voters=3)
-        many.run(10.0)
-        found = many.reducers_by_id['gw-5'].directory
+    def test_entries_place_work_only_in_small_systems(self, count, expected):
+        net = PlacingNetwork(count=count, voters=3)
+        net.run(10.0)
+        found = net.reducers_by_id['gw-5'].directory
         self.assertEqual(count, len(found.all_ids()))
         self.assertEqual(expected, found.places_alone)
 
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -1,4 +1,4 @@
-"""The coordination subpackage stands alone, and its example runs."""
+"""The coordination subpackage can be embedded alone; its example runs."""
 
 import ast
 import contextlib
@@ -11,8 +11,8 @@
 
 PACKAGE = pathlib.Path('dandeliongw/coordination')
 MODULES = sorted(path.name for path in PACKAGE.glob('*.py'))
-#: What the parts may use besides each other: nothing that does I/O, reads a
-#: clock or draws a random number.
+#: Modules that the parts may import besides each other: none that does I/O,
+#: reads a clock or draws random numbers.
 ALLOWED = {
     'bisect',
     'collections',
@@ -34,10 +34,10 @@
 
 
 def find_faults(source: str) -> list[str]:
-    """Return what a coordination module must not import or call.
+    """Return the forbidden imports and calls of a coordination module.
 
-    Of ``random`` it may use the generator that is seeded by its host's
-    entropy: the same events then always give the same effects.
+    Of ``random``, only the generator seeded with entropy from the events is
+    allowed: the same events then always give the same effects.
     """
     faults = []
     for node in ast.walk(ast.parse(source)):
@@ -63,7 +63,7 @@
 
 class EmbeddingTest(unittest.TestCase):
     @params(*MODULES)
-    def test_a_module_needs_nothing_of_the_daemon(self, name):
+    def test_a_module_depends_on_no_other_package(self, name):
         source = (PACKAGE / name).read_text(encoding='utf-8')
         self.assertEqual([], find_faults(source))
 
@@ -77,10 +77,10 @@
         ('from dandeliongw import reducer', 'dandeliongw'),
         ("open('journal')", 'open'),
     )
-    def test_the_check_sees(self, source, fault):
+    def test_the_check_detects(self, source, fault):
         self.assertEqual([fault], find_faults(source))
 
-    def test_the_example_tells_what_happened(self):
+    def test_the_example_prints_the_expected_lines(self):
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             runpy.run_path('examples/embedding.py', run_name='__main__')
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""One call and its connection, against a server that answers anything."""
+"""One HTTP call and its connection, against a raw socket server."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 from tests import raw_server
 
 
-class TimeOutTest(unittest.TestCase):
-    """Failure: every call of more than a second fails, as if stalled."""
+class TimeoutTest(unittest.TestCase):
+    """Guards against calls that count as stalled after the connect timeout."""
 
-    def test_an_answer_has_its_own_not_the_connects(self):
+    def test_an_answer_has_the_read_timeout(self):
         with raw_server.serving(raw_server.answer({})) as server:
             exchange = exchanges.Exchange(
                 url=server.url, connect_s=1.0, read_s=20.0
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Routes by host and path: which one decides, and what may not stand."""
+"""Routes by host and path: matching and validation."""
 
 import json
 import unittest
@@ -55,7 +55,7 @@
         ('a.example', '/q/x/y/', None),
         ('b.example', '/x/y/z', None),
     )
-    def test_the_longest_prefix_of_the_host_decides(self, host, path, name):
+    def test_the_longest_prefix_of_the_host_is_used(self, host, path, name):
         found = parse(
             make_route('short', '/x/'), make_route('long', '/x/y/')
         ).route_table.find(host, path)
@@ -91,7 +91,7 @@
         paths = [each.path for each in caught.exception.problems]
         self.assertEqual(paths, [f'host_routes[0].{field}'])
 
-    def test_two_routes_in_one_place_are_refused(self):
+    def test_two_routes_with_the_same_host_and_prefix_are_refused(self):
         with self.assertRaises(exceptions.InvalidInput) as caught:
             parse(make_route('one', '/x/'), make_route('two', '/x/'))
         (problem,) = caught.exception.problems
--- a/tests/test_http_backends.py
+++ b/tests/test_http_backends.py
@@ -1,4 +1,4 @@
-"""What an answer of a backend server proves, over real sockets."""
+"""What a backend server's answer proves about a call, over real sockets."""
 
 import socket
 import struct
@@ -59,7 +59,7 @@
 
 
 def reset(connection):
-    """End a connection as a process that dies does: with a reset."""
+    """Make the connection end with a reset, as when a process dies."""
     linger = struct.pack('ii', 1, 0)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
@@ -71,7 +71,7 @@
                 book(server.url, **options)
         return caught.exception
 
-    def test_a_whole_answer(self):
+    def test_a_complete_answer(self):
         with raw_server.serving(OK) as server:
             reply = book(server.url)
         self.assertEqual((reply.status, reply.body), (200, b'booked'))
@@ -94,11 +94,11 @@
         (raw_server.answer({}, '200 OK', 'X: ' + 'x' * 70000),),
     )
     def test_a_call_that_broke_may_have_run(self, reply):
-        """Symptom: two riders on one horse, or a caller without a verdict.
+        """Guards against calls that run twice or end without a verdict.
 
-        Sequence: the whole call went out; the answer is cut off, or no HTTP.
-        Cause: an error that the HTTP library does not wrap, or one that is
-        taken for "it did not run".
+        The whole call was sent; its answer is truncated or not HTTP. The HTTP
+        library does not wrap each of these errors, and none may count as proof
+        that the call did not run.
         """
         self.assertEqual(self.fails(reply).known, MAY_HAVE_RUN)
 
@@ -108,14 +108,14 @@
         (b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf', True),
         (raw_server.answer({}, '503 Busy', 'X-Not-Run: true'), False),
     )
-    def test_a_connection_that_ends_is_told_from_an_answer(self, reply, cut):
+    def test_a_lost_connection_differs_from_an_answer(self, reply, cut):
         self.assertEqual(cut, self.fails(reply).is_cut)
 
-    def test_silence_may_have_run(self):
-        """Symptom: every call of more than a second fails, as if stalled.
+    def test_a_call_that_stalled_may_have_run(self):
+        """Guards against false stalls of calls longer than a second.
 
-        Sequence: connect; send; wait longer than a connect may take.
-        Cause: the HTTP library puts the connect's time-out back.
+        The HTTP library restores the connection timeout when it sends the
+        request; the read timeout must apply to the answer.
         """
         with raw_server.serving(lambda c: server.hang()(c)) as server:
             with self.assertRaises(engine.StalledError) as caught:
@@ -123,7 +123,7 @@
         self.assertEqual(caught.exception.known, MAY_HAVE_RUN)
         self.assertFalse(caught.exception.is_cut)
 
-    def test_only_the_service_itself_can_say_that_it_did_not_run(self):
+    def test_only_the_service_itself_can_state_that_it_did_not_run(self):
         said = raw_server.answer(b'', '503 Busy', 'X-Not-Run: true')
         error = self.fails(said)
         self.assertEqual((error.known, error.reason), (NOT_RUN, 'busy'))
@@ -137,7 +137,7 @@
 
 
 class Engines(unittest.TestCase):
-    def test_every_hop_gets_ids_and_the_time_that_is_left(self):
+    def test_an_engine_gets_the_ids_and_the_remaining_time(self):
         done = {'kv': 'kv1', 'tokens': 5}
         with raw_server.serving(raw_server.answer(done)) as server:
             self.assertEqual(prefill(server.url).kv, 'kv1')
@@ -157,10 +157,10 @@
         ('200 OK', b'\xff', MAY_HAVE_RUN),
     )
     def test_what_an_answer_proves(self, status, body, known):
-        """Symptom: a billed quote is computed twice.
+        """Guards against a second run of a call that has already run.
 
-        Sequence: the engine, or a box before it, answers an error.
-        Cause: any error would count as proof that nothing ran.
+        An engine, or a proxy before it, answers with an error. Not every error
+        proves that nothing ran.
         """
         with raw_server.serving(raw_server.answer(body, status)) as server:
             with self.assertRaises(engine.EngineError) as caught:
@@ -173,13 +173,13 @@
         raw_server.chunk(b'data: no json\n\n'),
         b'zz\r\n',
     )
-    def test_a_piece_that_is_not_understood_breaks_the_stream(self, data):
+    def test_an_invalid_piece_breaks_the_stream(self, data):
         reply = raw_server.STREAM_HEAD + data
         with raw_server.serving(reply) as server:
             with self.assertRaises(engine.EngineError):
                 list(decode(model_engine(server.url)))
 
-    def test_a_stream_that_falls_silent_has_stalled(self):
+    def test_a_stream_without_data_has_stalled(self):
         first = raw_server.piece('r.1', 2, 'a')
         with raw_server.serving(
             lambda c: server.hang(raw_server.STREAM_HEAD, first)(c)
@@ -194,7 +194,7 @@
             adapter = model_engine(server.url)
             aborter = threading.Thread(
                 target=lambda: (
-                    server.served.acquire(timeout=raw_server.PATIENCE_S)
+                    server.served.acquire(timeout=raw_server.TIMEOUT_S)
                     and adapter.abort()
                 )
             )
@@ -202,7 +202,7 @@
             with self.assertRaises(engine.EngineError) as caught:
                 list(decode(adapter))
             aborter.join()
-        # It was this end that ended the connection.
+        # This process ended the connection itself.
         self.assertFalse(caught.exception.is_cut)
 
     def test_an_abort_before_the_call_sends_nothing(self):
@@ -229,7 +229,7 @@
     def test_an_order_is_answered(self):
         self.order(raw_server.answer(b'{}'))
 
-    def test_an_old_fencing_number_is_told(self):
+    def test_an_old_fencing_number_is_reported(self):
         refused = raw_server.answer(b'{"reason": "fenced"}', '409 Conflict')
         with self.assertRaises(engine.EngineError) as caught:
             self.order(refused)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Seeds: who may form a system, and who only joins one."""
+"""Discovery through seeds: forming a new system and joining a running one."""
 
 import queue
 import unittest
@@ -10,7 +10,7 @@
 from dandeliongw import settings
 
 OWN = '127.0.0.1:1'
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 def make_members(instance_id, *others):
@@ -26,7 +26,7 @@
 
 
 class JoinerTest(unittest.TestCase):
-    """Real seeds on ports that the system chose."""
+    """Uses real seeds on ports chosen by the operating system."""
 
     def setUp(self):
         self.events = queue.Queue()
@@ -54,9 +54,9 @@
         return joiner
 
     def next_event(self):
-        return self.events.get(timeout=PATIENCE_S)
+        return self.events.get(timeout=TIMEOUT_S)
 
-    def test_a_joiner_learns_of_all_that_a_seed_knows(self):
+    def test_a_joiner_finds_all_instances_that_a_seed_lists(self):
         seed = self.seed(make_members('gw-1', 'gw-7'))
         self.join(seed, forms=False)
         event = self.next_event()
@@ -66,26 +66,26 @@
         self.assertEqual((), event.first_voters)
 
     def test_the_first_voters_are_all_seeds_or_none(self):
-        """Symptom: two systems run, each with a configuration of its own.
+        """Guards against two systems, each with its own configuration.
 
-        Sequence: at the first start some instances hear of two seeds, some
-        of all three; each set forms a register.
-        Cause: the first voters would differ between instances.
+        At the first start some instances get responses of two seeds, others
+        of all three. If each formed a register with the seeds that responded,
+        the first voters would differ between instances.
         """
         seeds = [self.seed(make_members(name)) for name in ('c', 'a', 'b')]
         self.join(*seeds, forms=True)
-        told = [self.next_event().first_voters for _ in seeds]
-        self.assertEqual(told, [(), (), ('a', 'b', 'c')])
+        first_voters = [self.next_event().first_voters for _ in seeds]
+        self.assertEqual(first_voters, [(), (), ('a', 'b', 'c')])
 
     @params(True, False)
-    def test_a_seed_that_is_gone_keeps_nobody_waiting(self, forms):
-        """Symptom: an instance that restarts never finds the others."""
+    def test_an_unreachable_seed_does_not_block_joining(self, forms):
+        """Guards against a restarted instance that never finds the others."""
         gone = settings.Address(host='127.0.0.1', port=1)
-        there = self.seed(make_members('gw-2'))
-        self.join(gone, there, forms=forms)
+        reachable = self.seed(make_members('gw-2'))
+        self.join(gone, reachable, forms=forms)
         self.assertEqual('gw-2', self.next_event().instances[0].instance_id)
 
-    def test_other_seeds_are_asked_after_a_reload(self):
+    def test_other_seeds_are_queried_after_a_reload(self):
         joiner = self.join(self.seed(make_members('old')), forms=False)
         self.next_event()
         self.seeds = [self.seed(make_members('new'))]
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes, and what kill -9 does to it."""
+"""Requests through real processes, some of which are killed meanwhile."""
 
 import concurrent.futures
 import http.client
@@ -18,7 +18,7 @@
 
 
 def started(test, stand_ins):
-    """Start a system of three instances that ends with the test."""
+    """Start a system of three instances; the test's cleanup stops it."""
     folder = tempfile.mkdtemp(prefix='dandeliongw-')
     test.addCleanup(shutil.rmtree, folder)
     system = test.enterContext(
@@ -88,7 +88,7 @@
 
 
 class PathTest(unittest.TestCase):
-    def test_every_instance_serves_and_knows_every_claim(self):
+    def test_every_instance_serves_calls_and_replays_outcomes(self):
         system = started(
             self, [engine('prefill', 1), engine('decode', 1), PORTAL]
         )
@@ -106,10 +106,10 @@
         self.assertEqual(set(runs(system).values()), {1})
 
     def test_a_stream_outlives_its_decode_engine(self):
-        """Symptom: half a summary.
+        """Guards against a truncated answer when the decode engine dies.
 
-        Sequence: tokens flow; kill -9 of the decode engine.
-        Cause: what the caller has would be all that there is of the answer.
+        The engine is killed during the stream; another one must continue after
+        the tokens that the caller has received.
         """
         system = started(
             self,
@@ -127,22 +127,21 @@
         tokens, is_whole = complete(system, 'gw-2', kill)
         self.assertTrue(is_whole)
         self.assertEqual(len(tokens), TOKENS)
-        had = next(
+        received = next(
             number
             for number in range(1, TOKENS)
             if tokens[number].startswith('tok0-')
         )
-        head = ''.join(tokens[:had])
-        self.assertEqual(head, engine_model.expected_answer(PROMPT, had))
-        rest = engine_model.expected_answer(PROMPT + head, TOKENS - had)
-        self.assertEqual(''.join(tokens[had:]), rest)
+        head = ''.join(tokens[:received])
+        self.assertEqual(head, engine_model.expected_answer(PROMPT, received))
+        rest = engine_model.expected_answer(PROMPT + head, TOKENS - received)
+        self.assertEqual(''.join(tokens[received:]), rest)
 
     def test_a_booking_outlives_its_entry_and_runs_once(self):
-        """Symptom: two riders on one horse.
+        """Guards against a booking that runs twice.
 
-        Sequence: a booking is under way; kill -9 of its entry; the caller
-        sends again through another.
-        Cause: only the dead entry knew of the first send.
+        While a booking runs, its entry is killed; the caller sends it again
+        through another entry, which must find the claim of the first send.
         """
         system = started(self, [PORTAL])
         portal = system.stand_ins_by_id['portal-1']
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections: which are fit for another call."""
+"""The connection pool: which connections are reused."""
 
 import contextlib
 import socket
@@ -32,18 +32,17 @@
     def take(self):
         return self.pool.take('127.0.0.1', self.port)
 
-    def test_a_kept_one_is_given_once(self):
+    def test_a_pooled_connection_is_returned_once(self):
         made, _ = self.connect()
         self.pool.give(made, 'timeout=60')
         self.assertIs(self.take(), made)
         self.assertIsNone(self.take())
 
-    def test_one_with_unread_bytes_is_not_used(self):
-        """Symptom: a caller gets the answer to somebody else's call.
+    def test_a_connection_with_unread_bytes_is_not_reused(self):
+        """Guards against a caller who gets the answer to another call.
 
-        Sequence: a backend server sends an answer twice; its connection is
-        kept after the first; the next call goes over it.
-        Cause: the second answer waits where the next one is expected.
+        A backend server sends an answer twice. After the first, the connection
+        goes back to the pool; the next call on it would read the second.
         """
         made, other = self.connect()
         other.sendall(b'HTTP/1.1 200 OK\r\n\r\n')
@@ -51,25 +50,28 @@
         self.pool.give(made, 'timeout=60')
         self.assertIsNone(self.take())
 
-    def test_one_that_the_other_end_closed_is_not_used(self):
-        """Symptom: calls that may not be repeated fail, on quiet days too."""
+    def test_a_connection_closed_by_its_other_end_is_not_reused(self):
+        """Guards against failures of calls that may not be retried.
+
+        They would occur under low load too.
+        """
         made, other = self.connect()
         other.close()
         made.sock.recv(1, socket.MSG_PEEK)
         self.pool.give(made, 'timeout=60')
         self.assertIsNone(self.take())
 
-    def test_one_that_is_about_to_be_closed_is_not_used(self):
+    def test_a_connection_about_to_be_closed_is_not_reused(self):
         made, _ = self.connect()
         self.pool.give(made, 'timeout=1')
         self.assertIsNone(self.take())
         self.assertIsNone(made.sock)
 
-    def test_the_oldest_gives_way(self):
-        kept = [self.connect()[0] for _ in range(pool.MOST_IDLE + 1)]
+    def test_the_oldest_connection_is_evicted(self):
+        kept = [self.connect()[0] for _ in range(pool.MAX_IDLE + 1)]
         for each in kept:
             self.pool.give(each, '')
-        taken = [self.take() for _ in range(pool.MOST_IDLE)]
+        taken = [self.take() for _ in range(pool.MAX_IDLE)]
         self.assertNotIn(kept[0], taken)
         self.assertIsNone(self.take())
 
--- a/tests/test_probe.py
+++ b/tests/test_probe.py
@@ -1,4 +1,4 @@
-"""Whether any process listens at an address."""
+"""Probes whether a process listens at an address."""
 
 import socket
 import unittest
@@ -12,13 +12,16 @@
         (port,) = local.free_ports(1)
         self.assertTrue(probe.is_refused(f'http://127.0.0.1:{port}'))
 
-    def test_a_process_that_takes_nothing_is_there(self):
-        """A frozen process counts as there: its system takes connections."""
+    def test_a_process_that_accepts_nothing_is_not_refused(self):
+        """A frozen process counts as running.
+
+        Its operating system still completes connections.
+        """
         with socket.create_server(('127.0.0.1', 0)) as server:
             port = server.getsockname()[1]
             self.assertFalse(probe.is_refused(f'http://127.0.0.1:{port}'))
 
-    def test_no_answer_proves_nothing(self):
+    def test_a_timeout_is_not_a_refusal(self):
         with socket.create_server(('127.0.0.1', 0), backlog=0) as server:
             address = server.getsockname()
             fillers = []
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: real processes are told to end at the worst moment."""
+"""Graceful shutdown of real processes, while they serve requests."""
 
 import http.client
 import json
@@ -13,12 +13,12 @@
 
 LOOKUP = '/services/studio-portal/lookup'
 TOKENS = 40
-#: Slow enough for a stream to outlast the entries' time to live.
+#: Makes a stream last longer than the time to live of the list of entries.
 SLOW = ('--step-s=0.05', '--prefill-tokens-per-s=1e6')
 
 
 class Stream:
-    """A completion that is read piece by piece."""
+    """A streamed completion."""
 
     def __init__(self, instance, tokens=TOKENS):
         self._connection = http.client.HTTPConnection(
@@ -39,7 +39,7 @@
         self.response = self._connection.getresponse()
 
     def events(self):
-        """Return the texts, then what else came."""
+        """Return the texts of the stream, then its other lines."""
         texts, others = [], []
         for line in self.response:
             data = line.decode().strip().removeprefix('data: ')
@@ -51,7 +51,7 @@
 
 
 class ShutdownTest(unittest.TestCase):
-    """One instance: it holds the lease and is the only voter as well."""
+    """Uses a single instance, which is owner of the cells and only voter."""
 
     def start(self, **timeouts):
         folder = tempfile.mkdtemp(prefix='dandeliongw-')
@@ -87,11 +87,11 @@
         return self.instance.process.wait(local.PATIENCE_S)
 
     def test_nothing_in_flight_is_interrupted(self):
-        """Symptom: half a summary at every deployment.
+        """Guards against answers truncated by a deployment.
 
-        Sequence: a long stream and a kept connection; SIGTERM; SIGTERM
-        again; the connection sends again; the time to live passes.
-        Cause: a process that ends at its signal, or at the second one.
+        During a long stream, and with a persistent connection open, the
+        process gets SIGTERM twice. The connection sends another request, and
+        the time to live passes. Neither signal may end the process at once.
         """
         self.start()
         kept = http.client.HTTPConnection(
@@ -127,10 +127,10 @@
         return True
 
     def test_a_shutdown_ends_when_its_time_is_over(self):
-        """Symptom: a deployment hangs on one caller.
+        """Guards against a shutdown that waits for one caller forever.
 
-        Sequence: a stream that lasts longer than ``shutdown_s``; SIGTERM.
-        Cause: a shutdown that waits for everybody without an end.
+        The process gets SIGTERM during a stream that lasts longer than
+        ``shutdown_s``.
         """
         self.start(shutdown_s=0.3)
         stream = Stream(self.instance, tokens=2000)
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -1,4 +1,4 @@
-"""Failures of whole instances, with real processes on loopback addresses."""
+"""Failures of whole instances: real processes on loopback addresses."""
 
 from concurrent import futures
 import itertools
@@ -17,7 +17,7 @@
 
 
 class Serving(unittest.TestCase):
-    """The base: three instances that serve the example document."""
+    """Base class: three instances that serve the example document."""
 
     def setUp(self):
         folder = tempfile.mkdtemp(prefix='dandeliongw-')
@@ -31,7 +31,7 @@
 
 
 class SystemTest(Serving):
-    """A fresh system for each test: every one of them breaks it."""
+    """Uses a new system for each test, since each test damages it."""
 
     def setUp(self):
         super().setUp()
@@ -80,7 +80,7 @@
         ]
 
     def test_a_dead_owner_is_replaced(self):
-        """Failure: no call of a service is answered any more."""
+        """Guards against a service that answers no calls any more."""
         owner = local.wait_until('the cell has an owner', self.owner)
         instance = self.system.instances_by_id[owner]
         self.system.kill(instance.process)
@@ -88,8 +88,8 @@
             self.wait_lookup(instance_id)
         self.assertNotEqual(owner, self.owner())
 
-    def test_a_frozen_owner_is_one_of_two_no_longer_when_it_wakes(self):
-        """Failure: two instances say that they own the same cell."""
+    def test_a_paused_owner_gives_up_its_cell_when_it_resumes(self):
+        """Guards against two instances that both own the same cell."""
         owner = local.wait_until('the cell has an owner', self.owner)
         process = self.system.instances_by_id[owner].process
         process.send_signal(signal.SIGSTOP)
@@ -106,7 +106,7 @@
         self.assertEqual(1, len(epochs), epochs)
 
     def test_an_instance_cut_off_from_the_voters_admits_nothing(self):
-        """Failure: an accepted change is not in force at one instance."""
+        """Guards against an accepted change not in force at one instance."""
         frozen = [
             self.system.instances_by_id[each].process
             for each in ('gw-2', 'gw-3')
@@ -127,7 +127,7 @@
         self.wait_lookup('gw-1')
 
     def test_a_second_loss_right_after_a_repair_loses_nothing(self):
-        """Failure: a booking runs twice, or the document goes back."""
+        """Guards against a booking that runs twice or a reverted document."""
         first = self.book('gw-1', 'once')
         self.assertEqual(200, first[0], first)
         lost = self.system.instances_by_id['gw-3']
@@ -154,7 +154,7 @@
 
 
 class EngineMemoryTest(Serving):
-    """No engine memory stays held for a caller who has gone."""
+    """Engine memory is freed for callers who have disconnected."""
 
     def setUp(self):
         super().setUp()
@@ -166,7 +166,7 @@
         self.system.wait_backends(2)
 
     def open_stream(self, instance_id):
-        """Return an answer of which the first bytes have come."""
+        """Return an answer whose first bytes have arrived."""
         body = {
             'model': 'dieline-llm',
             'prompt': 'fold and glue ' * 50,
@@ -207,14 +207,14 @@
         return None
 
     def test_a_caller_who_leaves_frees_the_engines(self):
-        """Failure: slots are taken by answers that nobody reads."""
+        """Guards against slots held by answers that nobody reads."""
         answer = self.open_stream('gw-1')
         self.assertNotEqual([], self.held())
         answer.close()
         local.wait_until('the engines hold nothing', lambda: not self.held())
 
-    def test_owner_and_entry_lost_together_leave_nothing_behind(self):
-        """Failure: an engine's slots stay taken for minutes."""
+    def test_engines_are_freed_when_owner_and_entry_are_lost(self):
+        """Guards against engine slots held for minutes."""
         self.open_stream('gw-1').close()
         owner = local.wait_until('the cell has an owner', self.owner)
         answer = self.open_stream(owner)
@@ -224,11 +224,11 @@
 
 
 class EndingCall(Serving):
-    """The base: one call ends each backend server that begins to run it."""
+    """Base class: one call ends each backend server that begins to run it."""
 
-    #: Three ends tell that the call is to blame. Each of the three entries
-    #: may have sent it once more before it heard of the third.
-    MOST_ENDS = 6
+    #: After three ends the call is quarantined. Each of the three entries may
+    #: have sent it once more before it was notified of the third end.
+    MAX_ENDS = 6
     SENDS = 12
 
     def setUp(self):
@@ -270,16 +270,16 @@
             self.restart_ended()
             self.wait_for_others()
         self.assertGreaterEqual(self.ends, 3)
-        self.assertLessEqual(self.ends, self.MOST_ENDS)
+        self.assertLessEqual(self.ends, self.MAX_ENDS)
         error = answer['error']
         self.assertEqual((422, 'quarantined'), (status, error['reason']))
-        # This send ran nowhere, and to come back soon is of no use.
+        # This send did not run, and an early retry would not help.
         self.assertEqual('not_run', error['verdict'])
         self.assertGreater(error['retry_after_s'], 60.0)
 
 
 class EndingPlainCallTest(EndingCall):
-    """A call of a plain service that ends its backend servers."""
+    """A call to a plain service that ends the service's backend servers."""
 
     def backends(self):
         return 'portal-1', 'portal-2', 'portal-3', 'portal-4'
@@ -296,11 +296,11 @@
     def send(self, instance_id, what):
         return self.system.caller(instance_id, 'GET', f'{LOOKUP}?for={what}')
 
-    def test_the_entries_stop_it_together(self):
+    def test_the_entries_quarantine_it_together(self):
         self.check()
 
-    def test_a_wave_at_one_moment_is_the_only_one(self):
-        """Failure: copies that come at once end the servers as they return."""
+    def test_simultaneous_copies_end_the_servers_only_once(self):
+        """Guards against copies that end the servers again at each restart."""
         entries = list(self.system.instances_by_id) * 2
         with futures.ThreadPoolExecutor(len(entries)) as pool:
             for _ in range(2):
@@ -331,5 +331,5 @@
         body = {'model': 'dieline-llm', 'prompt': what, 'max_tokens': 3}
         return self.system.caller(instance_id, 'POST', '/v1/completions', body)
 
-    def test_the_entries_stop_it_together(self):
+    def test_the_entries_quarantine_it_together(self):
         self.check()
