--- a/dandeliongw/backend_forwarding.py
+++ b/dandeliongw/backend_forwarding.py
@@ -61,6 +61,6 @@
         return [effects.Dispatch(event=forward)]
 
     def _dispatchers_of(self, cell: str) -> tuple[str, ...]:
-        if self._directory.tells_all:
+        if self._directory.forwards_to_all:
             return self._directory.all_ids()
         return self._directory.owners_of(cell)[:DISPATCHERS]
--- a/dandeliongw/decisions.py
+++ b/dandeliongw/decisions.py
@@ -194,7 +194,7 @@
     why: str
 
 
-class MemberBelieved(Decision, frozen=True, kw_only=True):
+class MemberStateChanged(Decision, frozen=True, kw_only=True):
     """The membership state of another instance has changed here.
 
     :param was: the state before.
@@ -208,8 +208,8 @@
     draining: bool
 
 
-class MembersBelieved(Decision, frozen=True, kw_only=True):
-    """Summary of many :class:`MemberBelieved` that have no line of their own.
+class MemberStatesChanged(Decision, frozen=True, kw_only=True):
+    """Summary of many :class:`MemberStateChanged` that have no line of their own.
 
     :param peers: ids of some of the members.
     :param not_named: number of the other members.
--- a/dandeliongw/directory.py
+++ b/dandeliongw/directory.py
@@ -14,7 +14,7 @@
 #: while an owner does not respond. With more, an entry's share of an engine
 #: holds less than one request: 27,000 tokens of KV cache shared by 24 entries
 #: are 1,100 each, and a prompt has 3,000.
-MOST_TO_TELL_ALL = 20
+MAX_TO_FORWARD_TO_ALL = 20
 
 
 class Directory:
@@ -137,7 +137,7 @@
             return ranked
         return hint, *(owner for owner in ranked if owner != hint)
 
-    def note_owner(self, cell: str, holder: str, epoch: int) -> bool:
+    def record_owner(self, cell: str, holder: str, epoch: int) -> bool:
         """Record the sender of an owner's message as the owner of a cell.
 
         :param epoch: lease epoch in the message.
@@ -149,7 +149,7 @@
         self._holders_by_cell[cell] = holder
         return True
 
-    def note_not_owner(self, cell: str, sender: str, holder: str) -> None:
+    def record_not_owner(self, cell: str, sender: str, holder: str) -> None:
         """Remove or replace the recorded owner, if it is the sender.
 
         If the recorded owner is another instance, it is newer than the
@@ -178,12 +178,12 @@
         server is ready", although the owner would have replied a moment later.
         Then the owner is retried instead, and after it its deputies.
         """
-        return self._places_alone and self.tells_all
+        return self._places_alone and self.forwards_to_all
 
     @property
-    def tells_all(self) -> bool:
+    def forwards_to_all(self) -> bool:
         """Whether every instance gets the messages of every backend server."""
-        return self._members.count_alive() <= MOST_TO_TELL_ALL
+        return self._members.count_alive() <= MAX_TO_FORWARD_TO_ALL
 
     def all_ids(self) -> tuple[str, ...]:
         """Return the ids of all instances that are alive."""
--- a/dandeliongw/effects.py
+++ b/dandeliongw/effects.py
@@ -46,8 +46,8 @@
 class RunDecode(Directive, frozen=True, kw_only=True):
     """Import the KV cache unless ``kv`` is empty, then stream tokens.
 
-    An empty ``kv`` resumes a broken stream at the first token that the caller
-    has not received.
+    Without ``kv`` and ``reads``, this resumes a broken stream at the first
+    token that the caller has not received.
 
     :param deadline_in_s: seconds after which the step must not start.
     :param reads: the decode engine processes the prompt itself, without a
@@ -81,7 +81,7 @@
 
 
 class Replay(Directive, frozen=True, kw_only=True):
-    """Answer with the outcome recorded for an earlier attempt of the caller.
+    """Answer with the outcome recorded for an earlier send of this call.
 
     The caller has sent the call again with the same idempotency key.
     """
@@ -90,7 +90,7 @@
 
 
 class Complete(Directive, frozen=True, kw_only=True):
-    """Send the end of the answer: all that must be durable is on disk."""
+    """Send the end of the answer: all required records are durable."""
 
 
 class Abort(Directive, frozen=True, kw_only=True):
--- a/dandeliongw/joining.py
+++ b/dandeliongw/joining.py
@@ -122,7 +122,7 @@
         self._wake.set()
         self._thread.join()
 
-    def hurry(self) -> None:
+    def query_now(self) -> None:
         """Read the seeds again and query all of them at once."""
         self._ids_by_seed.clear()
         self._wake.set()
--- a/dandeliongw/membership_log.py
+++ b/dandeliongw/membership_log.py
@@ -49,7 +49,7 @@
             self._suppressed[member.instance_id] = member.state
             return lines
         self._lines += 1
-        line = decisions.MemberBelieved(
+        line = decisions.MemberStateChanged(
             peer=member.instance_id,
             state=member.state.name.lower(),
             was=was[0].name.lower() if was else 'unknown',
@@ -73,7 +73,7 @@
             return []
         counts = collections.Counter(suppressed.values())
         named = sorted(suppressed)[:MAX_NAMED]
-        line = decisions.MembersBelieved(
+        line = decisions.MemberStatesChanged(
             peers=', '.join(named),
             not_named=len(suppressed) - len(named),
             alive=counts[membership.MemberState.ALIVE],
--- a/dandeliongw/operations.py
+++ b/dandeliongw/operations.py
@@ -41,17 +41,17 @@
     def _read_current(
         self, now: float
     ) -> control.Configuration | control.Unavailable:
-        held = self._reducer.register
-        if held.revision is None or not held.is_fresh(now):
+        state = self._reducer.register
+        if state.revision is None or not state.is_fresh(now):
             return control.Unavailable(
                 message='no majority of the voters has confirmed the '
                 'document lately; ask another instance, or later'
             )
         return control.Configuration(
-            revision=held.revision,
-            # Revision 0 is the one that the voters formed; it has no document.
-            document=held.document or _EMPTY,
-            author=held.author,
+            revision=state.revision,
+            # Revision 0, with which the voters start, has no document.
+            document=state.document or _EMPTY,
+            author=state.author,
         )
 
     def propose(
@@ -126,16 +126,16 @@
         return self._runtime.look(self._read_status)
 
     def _read_status(self, now: float) -> control.Status:
-        held = self._reducer.register
-        revision = held.revision or 0
+        state = self._reducer.register
+        revision = state.revision or 0
         return control.Status(
             instance_id=self._settings.instance_id,
             revision=revision,
-            author=held.author,
+            author=state.author,
             in_force=self._read_in_force(revision, now),
             instances=self._read_instances(revision, now),
-            disks=held.voters_by_id,
-            joining=held.joining_by_id,
+            disks=state.voters_by_id,
+            joining=state.joining_by_id,
             leases=[
                 control.LeaseStatus(
                     name=cell_id,
--- a/dandeliongw/reducer.py
+++ b/dandeliongw/reducer.py
@@ -491,18 +491,18 @@
     def _receive_as_entry(self, event: parts.Received) -> list[typing.Any]:
         message = event.message
         if isinstance(message, cells.NotOwner):
-            self.directory.note_not_owner(
+            self.directory.record_not_owner(
                 message.cell, event.sender, message.holder
             )
         elif isinstance(message, (cells.Booked, cells.Queued)):
-            self.directory.note_owner(
+            self.directory.record_owner(
                 message.cell, event.sender, message.epoch
             )
         return self.requests.handle(event)
 
     def _reclaim(self, event: parts.Received) -> list[typing.Any]:
         message = event.message
-        if not self.directory.note_owner(
+        if not self.directory.record_owner(
             message.cell, event.sender, message.epoch
         ):
             return []
--- a/dandeliongw/repair.py
+++ b/dandeliongw/repair.py
@@ -108,10 +108,10 @@
         self._update_absent(now)
         if self._register.configuration is None or now < self._next_attempt_at:
             return []
-        wanted = self._choose_change(now, entropy)
-        if wanted:
+        change = self._choose_change(now, entropy)
+        if change:
             self._next_attempt_at = now + REPAIR_S
-        return wanted
+        return change
 
     def _choose_change(self, now: float, entropy: int) -> list[typing.Any]:
         state = self._register
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -85,7 +85,7 @@
         """Read the seeds again; no other setting can change at runtime."""
         logger.info('reloading the seeds')
         if self._joiner is not None:
-            self._joiner.hurry()
+            self._joiner.query_now()
 
     def wait(self) -> None:
         """Return when a shutdown is complete.
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -26,8 +26,8 @@
     """
 
     @params(
-        (directory.MOST_TO_TELL_ALL, True),
-        (directory.MOST_TO_TELL_ALL + 1, False),
+        (directory.MAX_TO_FORWARD_TO_ALL, True),
+        (directory.MAX_TO_FORWARD_TO_ALL + 1, False),
     )
     def test_entries_place_work_only_in_small_systems(self, count, expected):
         net = PlacingNetwork(count=count, voters=3)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -89,6 +89,6 @@
         joiner = self.join(self.seed(make_members('old')), forms=False)
         self.next_event()
         self.seeds = [self.seed(make_members('new'))]
-        joiner.hurry()
+        joiner.query_now()
         while self.next_event().instances[0].instance_id != 'new':
             pass
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -83,14 +83,14 @@
             metrics=metrics.Metrics(),
             engine_for=lambda url, backend_id: self.engine,
             journal=self.journal,
-            may_send=lambda wanted, now: self.may_send,
+            may_send=lambda effect, now: self.may_send,
         )
         self.runtime.start(FakeWire)
         self.addCleanup(self.runtime.stop)
         self.addCleanup(self.journal.may_sync.set)
 
-    def perform(self, *wanted):
-        self.reducer.effects_by_type[parts.Received] = list(wanted)
+    def perform(self, *performed):
+        self.reducer.effects_by_type[parts.Received] = list(performed)
         self.runtime.post(
             lambda now: parts.Received(now=now, sender='x', message=None)
         )
