--- a/dandeliongw/decisions.py
+++ b/dandeliongw/decisions.py
@@ -209,7 +209,7 @@
 
 
 class MemberStatesChanged(Decision, frozen=True, kw_only=True):
-    """Summary of many :class:`MemberStateChanged` that have no line of their own.
+    """Summary of the :class:`MemberStateChanged` lines that were suppressed.
 
     :param peers: ids of some of the members.
     :param not_named: number of the other members.
--- a/dandeliongw/desks.py
+++ b/dandeliongw/desks.py
@@ -122,7 +122,7 @@
         If accepted, an announcement that lacks the field, or that comes from
         another sender, would remove a known engine from its pool. A service
         that is not in the document is accepted: the next document may contain
-        it, and until then the announcement is not forwarded.
+        it, and until then no cell dispatches to the backend server.
 
         :raises InvalidInput: with the roles that exist for the service.
         """
--- a/dandeliongw/directory.py
+++ b/dandeliongw/directory.py
@@ -10,10 +10,11 @@
 
 
 #: Up to this number of instances, all of them get the messages of every
-#: backend server, at 30 bytes per second each, and may place work themselves
-#: while an owner does not respond. With more, an entry's share of an engine
-#: holds less than one request: 27,000 tokens of KV cache shared by 24 entries
-#: are 1,100 each, and a prompt has 3,000.
+#: backend server, at 30 bytes per second for each pair of instance and backend
+#: server, and may place work themselves while an owner does not respond. With
+#: more, an entry's share of an engine holds less than one request: 27,000
+#: tokens of KV cache shared by 24 entries are 1,100 each, and a prompt has
+#: 3,000.
 MAX_TO_FORWARD_TO_ALL = 20
 
 
--- a/dandeliongw/effects.py
+++ b/dandeliongw/effects.py
@@ -44,11 +44,12 @@
 
 
 class RunDecode(Directive, frozen=True, kw_only=True):
-    """Import the KV cache unless ``kv`` is empty, then stream tokens.
+    """Import the KV cache or the prompt, then stream tokens.
 
-    Without ``kv`` and ``reads``, this resumes a broken stream at the first
-    token that the caller has not received.
+    Without ``kv`` and ``reads`` there is no import: this resumes a broken
+    stream at the first token that the caller has not received.
 
+    :param kv: handle of the prefill result, or ``''``.
     :param deadline_in_s: seconds after which the step must not start.
     :param reads: the decode engine processes the prompt itself, without a
         prefill engine.
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -94,8 +94,8 @@
         )
         instance_ids = list(system.instances_by_id)
         for instance_id in instance_ids:
-            tokens, is_whole = complete(system, instance_id)
-            self.assertTrue(is_whole)
+            tokens, is_complete = complete(system, instance_id)
+            self.assertTrue(is_complete)
             expected = engine_model.expected_answer(PROMPT, TOKENS)
             self.assertEqual(''.join(tokens), expected)
             answers = [
@@ -124,8 +124,8 @@
                     ):
                         system.kill(stand_in.process)
 
-        tokens, is_whole = complete(system, 'gw-2', kill)
-        self.assertTrue(is_whole)
+        tokens, is_complete = complete(system, 'gw-2', kill)
+        self.assertTrue(is_complete)
         self.assertEqual(len(tokens), TOKENS)
         received = next(
             number
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -149,8 +149,8 @@
             self.wait_lookup(instance_id)
         self.assertEqual(first, self.book('gw-3', 'once'))
         self.assertEqual(1, self.runs()['{"horse": "once"}'])
-        _, held = self.system.operator('gw-3', 'GET', '/v1/document')
-        self.assertEqual(self.revision, held['revision'])
+        _, document = self.system.operator('gw-3', 'GET', '/v1/document')
+        self.assertEqual(self.revision, document['revision'])
 
 
 class EngineMemoryTest(Serving):
@@ -249,12 +249,12 @@
         raise NotImplementedError
 
     def restart_ended(self):
-        for backend_id, held in list(self.system.stand_ins_by_id.items()):
-            if held.process.poll() is None:
+        for backend_id, stand_in in list(self.system.stand_ins_by_id.items()):
+            if stand_in.process.poll() is None:
                 continue
             self.ends += 1
-            held.process.stdout.close()
-            self.start(backend_id, held.url.rpartition(':')[2])
+            stand_in.process.stdout.close()
+            self.start(backend_id, stand_in.url.rpartition(':')[2])
 
     def wait_for_others(self):
         for instance_id in self.system.instances_by_id:
