--- a/dandeliongw/reducer.py
+++ b/dandeliongw/reducer.py
@@ -450,7 +450,7 @@
                 return
         if effect.ticket.startswith(repair.TICKET):
             out.append(
-                effects.log(f'voter replacement proposed: {effect.result}')
+                effects.log(f'voter replacement result: {effect.result}')
             )
             return
         out.append(effect)
