--- a/dandeliongw/operations.py
+++ b/dandeliongw/operations.py
@@ -1,7 +1,7 @@
-"""Between the operators' border and the reducer.
+"""Facade of the reducer for the operators' application.
 
-Changes of the document go to the register; what operators see is read from
-the parts, on the control thread only.
+Changes of the document go to the register; the data shown to operators is
+read from the reducer's parts, on the control thread only.
 """
 
 import functools
@@ -22,7 +22,7 @@
 
 
 class OperatorsControl:
-    """Changes and shows what operators may; a ``control.Control``."""
+    """Operations and data for operators; a ``control.Control``."""
 
     def __init__(
         self,
@@ -41,17 +41,17 @@
     def _read_current(
         self, now: float
     ) -> control.Configuration | control.Unavailable:
-        held = self._reducer.register
-        if held.revision is None or not held.is_fresh(now):
+        state = self._reducer.register
+        if state.revision is None or not state.is_fresh(now):
             return control.Unavailable(
                 message='no majority of the voters has confirmed the '
                 'document lately; ask another instance, or later'
             )
         return control.Configuration(
-            revision=held.revision,
-            # Revision 0 is what the voters formed, before any document.
-            document=held.document or _EMPTY,
-            author=held.author,
+            revision=state.revision,
+            # Revision 0, with which the voters start, has no document.
+            document=state.document or _EMPTY,
+            author=state.author,
         )
 
     def propose(
@@ -90,7 +90,7 @@
     def propose_ordered(
         self, *, order: int, author: str, document: bytes
     ) -> control.Applied | control.Overtaken | control.Unavailable:
-        """Make a document the current one if its number is the highest."""
+        """Accept a document if its order number is the highest so far."""
         result = self._runtime.ask(
             functools.partial(
                 register.ProposeOrdered,
@@ -126,16 +126,16 @@
         return self._runtime.look(self._read_status)
 
     def _read_status(self, now: float) -> control.Status:
-        held = self._reducer.register
-        revision = held.revision or 0
+        state = self._reducer.register
+        revision = state.revision or 0
         return control.Status(
             instance_id=self._settings.instance_id,
             revision=revision,
-            author=held.author,
+            author=state.author,
             in_force=self._read_in_force(revision, now),
             instances=self._read_instances(revision, now),
-            disks=held.voters_by_id,
-            joining=held.joining_by_id,
+            disks=state.voters_by_id,
+            joining=state.joining_by_id,
             leases=[
                 control.LeaseStatus(
                     name=cell_id,
@@ -193,18 +193,18 @@
         for backend_id, backend in sorted(
             self._reducer.presence.backends_by_id.items()
         ):
-            said = backend.announcement
+            announcement = backend.announcement
             out.append(
                 control.BackendStatus(
                     backend_id=backend_id,
-                    service=said.service,
-                    role=said.role.value,
-                    url=said.url,
-                    data_centre=said.data_centre,
+                    service=announcement.service,
+                    role=announcement.role.value,
+                    url=announcement.url,
+                    data_centre=announcement.data_centre,
                     state='present' if backend.present else 'gone',
-                    slots=said.slots,
+                    slots=announcement.slots,
                     used=backend.load.slots_used if backend.load else 0,
-                    checks_fence=said.checks_fence,
+                    checks_fence=announcement.checks_fence,
                 )
             )
         return out
