--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The engine model keeps time, slots and memory as an engine would."""
+"""The engine model: prefill, transfers, decode slots and reports."""
 
 import math
 import unittest
@@ -32,7 +32,7 @@
 
 
 class PrefillTest(unittest.TestCase):
-    def test_an_urgent_prompt_passes_a_waiting_patient_one(self):
+    def test_an_urgent_prompt_runs_before_a_waiting_patient_one(self):
         model = make_model()
         prefill(model, 'running')
         prefill(model, 'patient', rank=1)
@@ -48,7 +48,7 @@
         self.assertEqual(64, second.cached_tokens)
         self.assertAlmostEqual(0.2 - 0.0064, second.at)
 
-    def test_a_result_that_nobody_takes_is_evicted_and_wasted(self):
+    def test_a_result_that_is_not_imported_is_evicted_and_wasted(self):
         model = make_model()
         prefill(model)
         evicted = model.advance(1.0)[-1]
@@ -75,11 +75,11 @@
         self.assertAlmostEqual(0.25, first.ends_at)
         self.assertAlmostEqual(0.30, second.ends_at)
 
-    def test_a_result_is_kept_while_it_moves_and_no_longer(self):
+    def test_a_result_is_kept_only_during_its_transfer(self):
         model = make_model()
         prefill(model, tokens=20_000)
         model.advance(2.0)
-        # One second on the link outlasts the 0.8 s until eviction.
+        # The transfer takes 1 s, longer than the 0.8 s until eviction.
         self.assertAlmostEqual(3.0, model.export(2.0, 's1.a1').ends_at)
         self.assertEqual([], model.advance(3.0))
         model.unpin_kv(3.0, 's1.a1')
@@ -126,14 +126,16 @@
         self.assertEqual(1, model.slots_used)
 
     @params((True, False), (False, True))
-    def test_an_old_fence_counts_only_where_it_is_checked(self, checks, ok):
+    def test_an_old_fence_is_refused_only_where_it_is_checked(
+        self, checks, ok
+    ):
         model = make_model(checks_fence=checks)
         model.accept_fence(5)
         self.assertEqual(ok, model.accept_fence(4))
 
 
 class ReporterTest(unittest.TestCase):
-    def test_a_report_tells_an_old_load(self):
+    def test_a_report_contains_an_earlier_load(self):
         model = make_model()
         reporter = engine_model.Reporter(model=model, lag_s=1.0)
         reporter.sample(0.0)
@@ -144,9 +146,9 @@
     def test_lost_cache_events_leave_a_gap_in_the_numbers(self):
         model = make_model()
         reporter = engine_model.Reporter(model=model, lag_s=0.0, gap_every=2)
-        firsts = []
+        first_numbers = []
         for block in ('x', 'y', 'z'):
             model.cache.store((block,))
             report = reporter.report(1.0)
-            firsts.append((report.first, len(report.events)))
-        self.assertEqual([(0, 1), (2, 0), (2, 1)], firsts)
+            first_numbers.append((report.first, len(report.events)))
+        self.assertEqual([(0, 1), (2, 0), (2, 1)], first_numbers)
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The stand-ins speak the contract of docs/ARCHITECTURE.md over HTTP."""
+"""The stand-ins implement the HTTP contract of docs/ARCHITECTURE.md."""
 
 import contextlib
 import json
@@ -26,7 +26,7 @@
 
 @contextlib.contextmanager
 def process(module: str, *options: str):
-    """Run a stand-in; give its URL and process."""
+    """Run a stand-in; yield its URL and process."""
     running = subprocess.Popen(
         [sys.executable, '-m', f'tools.{module}', *options],
         stdout=subprocess.PIPE,
@@ -83,7 +83,7 @@
 
 
 class EngineTest(unittest.TestCase):
-    def test_a_whole_answer_comes_through_the_pair(self):
+    def test_an_engine_pair_gives_a_complete_answer(self):
         with engine_pair() as (prefill_url, decode_url):
             self.assertEqual(
                 200, prefill_and_import(prefill_url, decode_url).status
@@ -108,8 +108,8 @@
         answer = engine_model.expected_answer(PROMPT, 5)
         self.assertEqual(answer, text_of(first + rest))
 
-    def test_a_stalled_stream_goes_on_over_a_new_connection(self):
-        """Symptom: tokens stop and the connection stays open."""
+    def test_a_stalled_stream_resumes_over_a_new_connection(self):
+        """The engine sends no more tokens but keeps the connection open."""
         with engine_pair('--faults={"stall_after_tokens": 2}') as urls:
             prefill_and_import(*urls)
             body = ids(max_tokens=5, from_offset=0)
@@ -124,7 +124,7 @@
             {'attempt_id': 'a1', 'end': True, 'tokens': 5}, rest[-1]
         )
 
-    def test_pieces_of_an_old_attempt_and_doubled_ones_can_be_told(self):
+    def test_faults_send_old_attempt_ids_and_duplicate_pieces(self):
         faults = {'old_attempt_id': True, 'duplicate_pieces': True}
         with engine_pair(f'--faults={json.dumps(faults)}') as urls:
             prefill_and_import(*urls)
@@ -132,7 +132,7 @@
         self.assertEqual([0, 0, 1, 1], [each['offset'] for each in pieces])
         self.assertNotIn('a1', {each['attempt_id'] for each in pieces})
 
-    def test_a_refused_import_and_an_old_fence_say_why(self):
+    def test_refusals_of_an_import_and_an_old_fence_carry_the_reason(self):
         with engine_pair('--faults={"refuse_imports": true}') as urls:
             answer = prefill_and_import(*urls)
             self.assertEqual({'reason': 'full'}, answer.json())
@@ -158,16 +158,16 @@
             ]
         self.assertEqual(['cancelled', 'unknown'], states)
 
-    def test_it_announces_renews_and_leaves_on_sigterm(self):
+    def test_it_announces_and_renews_and_leaves_on_sigterm(self):
         calls: queue.Queue = queue.Queue()
 
-        def take(request: json_server.Request) -> json_server.Answer:
+        def record(request: json_server.Request) -> json_server.Answer:
             calls.put((request.path.rpartition('/')[2], request.json()))
             body = {'lease_s': 1, 'renew_s': 0.05}
             return json_server.Answer(body=body)
 
         control = json_server.JsonServer(
-            host='127.0.0.1', port=0, handlers={}, otherwise=take, threads=2
+            host='127.0.0.1', port=0, handlers={}, otherwise=record, threads=2
         )
         control.start()
         self.addCleanup(control.stop)
@@ -177,8 +177,8 @@
             first, second = calls.get(timeout=30), calls.get(timeout=30)
             running.send_signal(signal.SIGTERM)
             self.assertEqual(0, running.wait(timeout=30))
-        verbs = [first[0], second[0]]
-        self.assertEqual(['announce', 'renew'], verbs)
+        operations = [first[0], second[0]]
+        self.assertEqual(['announce', 'renew'], operations)
         self.assertEqual('waco-hall', first[1]['data_centre'])
         last = first
         while not calls.empty():
@@ -188,7 +188,7 @@
 
 
 class ServiceTest(unittest.TestCase):
-    def test_runs_are_counted_also_when_the_answer_is_lost(self):
+    def test_runs_are_counted_even_when_the_answer_is_lost(self):
         with process('standin_service', '--backend-id=b1') as (url, _):
             headers = {'X-Request-Id': 'r1'}
             post(f'{url}/bookings', {'horse': 1}, headers=headers)
@@ -198,7 +198,7 @@
             runs = urllib3.request('GET', f'{url}/runs').json()
         self.assertEqual({'r1': 2}, runs['by_request'])
 
-    def test_calls_of_many_callers_do_not_cross(self):
+    def test_concurrent_callers_get_their_own_answers(self):
         answers = {}
         pool = urllib3.PoolManager(maxsize=8)
 
--- a/tests/test_standin_service.py
+++ b/tests/test_standin_service.py
@@ -1,4 +1,4 @@
-"""The stand-in plain service says what it ran as a real one would."""
+"""The stand-in plain service reports whether a request ran."""
 
 import contextlib
 import unittest
@@ -40,11 +40,11 @@
 
 
 class Refusals(unittest.TestCase):
-    def test_a_refused_call_is_told_as_not_run(self):
-        """Symptom: a refused booking is told as one that may have run.
+    def test_a_refused_call_is_reported_as_not_run(self):
+        """A refused booking must not count as one that may have run.
 
-        Sequence: the service is set to refuse; a booking comes.
-        Cause: a 503 that doesn't say that nothing ran counts as a run.
+        It does if the service's 503 lacks the header that marks a request
+        as not run.
         """
         with serving(refuse=True) as url:
             with self.assertRaises(engine.EngineError) as raised:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,6 +1,6 @@
-"""Starts one local system, sends real requests, prints each answer.
+"""Starts a local system, sends requests to it and prints each answer.
 
-Exit code 0 only if every request was answered whole and once.
+The exit code is 0 only if every request got one complete answer.
 """
 
 from collections import abc
@@ -23,7 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """:param problem: what was wrong with the answer; empty if nothing."""
+    """The outcome of one check.
+
+    :param what: the request, for people.
+    :param problem: what was wrong with the answer; empty if nothing.
+    """
 
     what: str
     problem: str
@@ -32,7 +36,7 @@
 def stream_completion(
     system: local.LocalSystem, instance: local.Instance
 ) -> Result:
-    """Print a completion as it arrives; check that it is whole."""
+    """Print a completion as it arrives; check that it is complete."""
     what = f'completion through {instance.instance_id}'
     answer = system.http.request(
         'POST',
@@ -53,35 +57,37 @@
         problem = answer.data.decode()
         print(problem)
         return Result(what=what, problem=problem)
-    texts, is_whole = _print_events(answer)
+    tokens, is_complete = _print_events(answer)
     print()
-    if not is_whole:
-        return Result(what=what, problem='no end mark')
-    if len(texts) != MAX_TOKENS:
-        return Result(what=what, problem=f'{len(texts)} tokens')
+    if not is_complete:
+        return Result(what=what, problem='stream ended without [DONE]')
+    if len(tokens) != MAX_TOKENS:
+        return Result(
+            what=what, problem=f'{len(tokens)} of {MAX_TOKENS} tokens'
+        )
     return Result(what=what, problem='')
 
 
 def _print_events(answer: urllib3.BaseHTTPResponse) -> tuple[list[str], bool]:
-    texts = []
-    for line in _lines(answer):
+    tokens = []
+    for line in _read_lines(answer):
         data = line.removeprefix('data: ')
         if data == '[DONE]':
-            return texts, True
+            return tokens, True
         if not line.startswith('data: '):
             continue
         text = json.loads(data).get('choices', [{}])[0].get('text', '')
         if text:
             print(text, end='', flush=True)
-            texts.append(text)
-    return texts, False
+            tokens.append(text)
+    return tokens, False
 
 
-def _lines(answer: urllib3.BaseHTTPResponse) -> abc.Iterator[str]:
-    rest = b''
+def _read_lines(answer: urllib3.BaseHTTPResponse) -> abc.Iterator[str]:
+    remainder = b''
     while data := answer.read1(65536):
-        *whole, rest = (rest + data).split(b'\n')
-        yield from (line.decode().strip() for line in whole)
+        *complete_lines, remainder = (remainder + data).split(b'\n')
+        yield from (line.decode().strip() for line in complete_lines)
 
 
 def look_up(system: local.LocalSystem, instance_id: str) -> Result:
@@ -97,15 +103,15 @@
 def book_twice(
     system: local.LocalSystem, instance_id: str, other_id: str
 ) -> list[Result]:
-    """Send a booking and send it again, through another instance."""
+    """Send a booking, then resend it through another instance."""
     key = {'Idempotency-Key': f'booking-through-{instance_id}'}
     body = {'horse': f'horse of {instance_id}', 'rider': 'Saran'}
     path = '/services/studio-portal/bookings'
     results = []
     answers = []
-    for through in (instance_id, other_id):
-        what = f'booking {key["Idempotency-Key"]} through {through}'
-        status, answer = system.caller(through, 'POST', path, body, key)
+    for receiver_id in (instance_id, other_id):
+        what = f'booking {key["Idempotency-Key"]} through {receiver_id}'
+        status, answer = system.caller(receiver_id, 'POST', path, body, key)
         print(f'{what}: {status} {answer}')
         answers.append(answer)
         results.append(
@@ -113,51 +119,54 @@
         )
     if answers[0] != answers[1]:
         results[-1] = Result(
-            what=results[-1].what, problem='the resend got another answer'
+            what=results[-1].what, problem='the resend got a different answer'
         )
     return results
 
 
 def check_runs(system: local.LocalSystem, bookings: int) -> Result:
-    """Ask the plain services themselves how often bookings ran."""
+    """Compare the plain services' own count of runs with ``bookings``."""
     runs = 0
     for backend_id, stand_in in system.stand_ins_by_id.items():
         if backend_id.startswith('portal'):
             _, answer = system.call('GET', f'{stand_in.url}/runs')
-            # Lookups have no body.
+            # Requests without a body are lookups.
             answer['by_body'].pop('', None)
             runs += sum(answer['by_body'].values())
     print(f'bookings that ran: {runs} of {bookings}')
-    problem = '' if runs == bookings else f'{runs} ran'
+    problem = '' if runs == bookings else f'{runs} runs'
     return Result(what='each booking ran once', problem=problem)
 
 
 def show(system: local.LocalSystem) -> bool:
-    """Send everything; return whether all was answered whole and once."""
+    """Send all requests.
+
+    :returns: whether each request got one complete answer.
+    """
     revision = system.apply('gw-1', local.example_document(), 'demo-change')
     system.wait_serving(revision)
     local.start_stand_ins(system)
     system.wait_backends(len(system.stand_ins_by_id))
     ids = list(system.instances_by_id)
     results = []
-    for place, instance_id in enumerate(ids):
-        other_id = ids[(place + 1) % len(ids)]
+    for index, instance_id in enumerate(ids):
+        other_id = ids[(index + 1) % len(ids)]
         instance = system.instances_by_id[instance_id]
         results.append(stream_completion(system, instance))
         results.append(look_up(system, instance_id))
         results.extend(book_twice(system, instance_id, other_id))
-    once = check_runs(system, len(ids))
-    return report(results, once)
+    runs_check = check_runs(system, len(ids))
+    return report(results, runs_check)
 
 
-def report(results: list[Result], once: Result) -> bool:
-    """Print the summary; its last line counts the answers."""
+def report(results: list[Result], runs_check: Result) -> bool:
+    """Print the problems, then the number of answers as the last line."""
     answered = sum(not result.problem for result in results)
-    for result in (*results, once):
+    for result in (*results, runs_check):
         if result.problem:
-            print(f'not as it should be: {result.what}: {result.problem}')
+            print(f'failed: {result.what}: {result.problem}')
     print(f'answered: {answered} of {len(results)}')
-    return answered == len(results) and not once.problem
+    return answered == len(results) and not runs_check.problem
 
 
 def main(*, command: str = '') -> None:
@@ -173,9 +182,9 @@
             timeouts={'entries_ttl_s': 2},
             **options,
         ) as system:
-            is_good = show(system)
+            is_ok = show(system)
     sys.stdout.flush()
-    sys.exit(0 if is_good else 1)
+    sys.exit(0 if is_ok else 1)
 
 
 if __name__ == '__main__':
--- a/tools/engine_model.py
+++ b/tools/engine_model.py
@@ -1,9 +1,9 @@
-"""How a model engine behaves, as a pure model on any clock.
+"""A deterministic model of a model engine; the caller supplies the time.
 
-The same model runs inside the stand-in processes on the real clock and
-inside the measurements on a virtual one. It knows continuous batching,
-serial prefill by priority, a prefix cache of limited size, and KV cache
-that moves over links of limited rate and is evicted when nobody takes it.
+The stand-in processes run it on the real clock, the measurements on a
+virtual one. It covers continuous batching, serial prefill by priority, a
+prefix cache of limited size, and KV caches that are transferred over links
+of limited rate and evicted if they aren't imported in time.
 """
 
 import collections
@@ -17,16 +17,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EngineSpeeds:
-    """What an engine can do; the defaults follow the users' description.
+    """Speeds and limits of an engine; the defaults are a usual engine's.
 
-    A prompt of 1,000 tokens takes 0.1 s, as much as 66 tokens of a full
-    batch of twenty at 30 ms a step.
+    With the defaults, prefill of 1,000 tokens takes 0.1 s. A full batch of
+    twenty streams at 30 ms a step decodes 66 tokens in that time.
 
-    :param step_s: of an empty batch.
-    :param step_per_stream_s: added for each stream of the batch.
-    :param kv_ttl_s: a prefill's result is evicted after so long, unless
+    :param prefill_overhead_s: added to each prefill, in seconds.
+    :param prefill_queue: limit of waiting prompts.
+    :param slots: limit of streams that decode at the same time.
+    :param step_s: seconds of a decode step with an empty batch.
+    :param step_per_stream_s: seconds added for each stream of the batch.
+    :param kv_ttl_s: seconds until a prefill's KV cache is evicted, unless
         its transfer has begun.
-    :param cache_blocks: blocks the prefix cache holds.
+    :param cache_blocks: capacity of the prefix cache, in blocks.
     """
 
     prefill_tokens_per_s: float = 10_000.0
@@ -44,12 +47,14 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Faults:
-    """Switches for what may go wrong; all off at first.
+    """Switches for injected faults; all are off by default.
 
-    The last six concern only the HTTP process around the model; token
-    counts of ``-1`` mean never.
+    The last six are implemented by the stand-in process, not by the model.
+    A token count of ``-1`` means never.
 
-    :param end_on: the prompt that ends the process which decodes for it.
+    :param slow: factor on the duration of prefills, transfers and steps.
+    :param end_on: the process exits when it streams the answer to this
+        prompt.
     """
 
     refuse_imports: bool = False
@@ -65,7 +70,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why an engine refuses a call."""
+    """Why an engine refuses a request."""
 
     BUSY = 'busy'
     EVICTED = 'evicted'
@@ -75,7 +80,7 @@
 
 
 class Waste(enum.StrEnum):
-    """Why prefill work was thrown away."""
+    """Why the result of a prefill was discarded."""
 
     EVICTED = 'evicted'
     CANCELLED = 'cancelled'
@@ -83,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Prefilled:
-    """A prefill is done; its KV cache waits to be imported."""
+    """A prefill has finished; its KV cache can be imported."""
 
     at: float
     stream_id: str
@@ -96,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Evicted:
-    """A prefill's result was thrown away; nobody imported it in time."""
+    """A prefill's KV cache was evicted; it wasn't imported in time."""
 
     at: float
     stream_id: str
@@ -106,7 +111,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Stepped:
-    """One decode step: each of these streams has one more token."""
+    """A decode step has finished.
+
+    :param stream_ids: streams that got one more token.
+    :param finished: those of them that got their last token.
+    """
 
     at: float
     stream_ids: tuple[str, ...]
@@ -115,7 +124,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Transfer:
-    """When an export moves over the link; it never ends when stalled."""
+    """When an export occupies the link; ``ends_at`` is infinite if stalled."""
 
     starts_at: float
     ends_at: float
@@ -126,7 +135,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class PrefillJob:
-    """A prompt that waits or runs."""
+    """A prompt that waits for prefill or is being prefilled."""
 
     stream_id: str
     attempt_id: str
@@ -140,17 +149,17 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class HeldKv:
-    """A prefill's result in memory."""
+    """The KV cache of a finished prefill, in memory."""
 
     job: PrefillJob
     expires_at: float
-    #: Transfers that have begun; while there are any, it is kept.
+    #: Transfers under way; the cache isn't evicted while there are any.
     transfers: int = 0
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Stream:
-    """A stream in a decode slot, or finished and not yet read."""
+    """A stream in a decode slot, or a finished one not read to its end."""
 
     stream_id: str
     attempt_id: str
@@ -158,6 +167,7 @@
     prompt_tokens: int
     seed: str
     max_tokens: int = 0
+    #: Tokens decoded so far.
     made: int = 0
     decoding: bool = False
     finished: bool = False
@@ -165,7 +175,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Load:
-    """What an engine reports."""
+    """The load that an engine reports."""
 
     running: int
     waiting: int
@@ -176,14 +186,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CacheEvent:
-    """A block entered or left the prefix cache."""
+    """A block was added to the prefix cache or evicted from it.
+
+    :param kind: ``stored`` or ``evicted``.
+    """
 
     kind: str
     prefix: str
 
 
 def seed_of(prompt: str) -> str:
-    """Return what makes the answer to this prompt its own."""
+    """Return a hash of the prompt, which is part of each answer token."""
     return xxhash.xxh32(prompt.encode()).hexdigest()
 
 
@@ -193,13 +206,13 @@
 
 
 def expected_answer(prompt: str, tokens: int) -> str:
-    """Return the whole answer that a stand-in gives to a prompt."""
+    """Return the complete answer of a stand-in to a prompt."""
     seed = seed_of(prompt)
     return ''.join(token_text(seed, offset) for offset in range(tokens))
 
 
 class PrefixCache:
-    """Least recently used blocks, and the events of their coming and going."""
+    """An LRU cache of prefix blocks that records its cache events."""
 
     def __init__(self, *, blocks: int) -> None:
         self._limit = blocks
@@ -209,7 +222,7 @@
         self.events: list[CacheEvent] = []
 
     def match(self, prefix: tuple[str, ...]) -> int:
-        """Return how many leading blocks are held."""
+        """Return the number of leading blocks that are cached."""
         count = 0
         for block in prefix:
             if block not in self._blocks:
@@ -219,7 +232,7 @@
         return count
 
     def store(self, prefix: tuple[str, ...]) -> None:
-        """Take the blocks in; evict the oldest above the limit."""
+        """Cache the blocks; evict the least recently used above the limit."""
         for block in prefix:
             if block not in self._blocks:
                 self.events.append(CacheEvent(kind='stored', prefix=block))
@@ -231,7 +244,10 @@
 
 
 class EngineModel:
-    """One engine. Call :meth:`advance` before any other call at a time."""
+    """The state of one engine.
+
+    Call :meth:`advance` with the current time before any other method.
+    """
 
     def __init__(
         self, *, speeds: EngineSpeeds, checks_fence: bool = True
@@ -252,10 +268,13 @@
         self._link_free_at = 0.0
         self._step_ends_at: float | None = None
         self._step_ids: tuple[str, ...] = ()
-        self._serial = 0
+        self._sequence = 0
 
     def accept_fence(self, fence: int) -> bool:
-        """Return whether an order with this fencing number may run."""
+        """Return whether a request with this fencing number may run.
+
+        With ``checks_fence``, it may not after a higher number.
+        """
         if self.checks_fence and fence < self.highest_fence:
             return False
         self.highest_fence = max(fence, self.highest_fence)
@@ -272,10 +291,13 @@
         rank: int = 0,
         seed: str = '',
     ) -> Reason | None:
-        """Queue a prompt; lower ranks go first."""
+        """Queue a prompt; lower ranks go first.
+
+        :returns: why it is refused, or ``None``.
+        """
         if len(self._queue) >= self.speeds.prefill_queue:
             return Reason.BUSY
-        self._serial += 1
+        self._sequence += 1
         job = PrefillJob(
             stream_id=stream_id,
             attempt_id=attempt_id,
@@ -283,17 +305,17 @@
             prefix=prefix,
             seed=seed,
         )
-        heapq.heappush(self._queue, (rank, self._serial, job))
+        heapq.heappush(self._queue, (rank, self._sequence, job))
         self._start_next(now)
         return None
 
     def has_prefill(self, stream_id: str, attempt_id: str) -> bool:
-        """Return whether this attempt's prompt waits or runs."""
+        """Return whether this attempt's prefill is queued or running."""
         jobs = [job for _, _, job in self._queue]
         if self._running is not None:
             jobs.append(self._running)
-        wanted = (stream_id, attempt_id)
-        return any((job.stream_id, job.attempt_id) == wanted for job in jobs)
+        key = (stream_id, attempt_id)
+        return any((job.stream_id, job.attempt_id) == key for job in jobs)
 
     def _start_next(self, now: float) -> None:
         while self._running is None and self._queue:
@@ -311,9 +333,9 @@
     def export(
         self, now: float, kv: str, *, not_before: float = 0.0
     ) -> Transfer | Reason:
-        """Book the link for a transfer, after those booked already.
+        """Reserve the link for a transfer, after those already reserved.
 
-        :param not_before: when the other end's link is free.
+        :param not_before: when the receiver's link is free.
         """
         held = self.kv_by_name.get(kv)
         if held is None:
@@ -322,8 +344,8 @@
         if starts_at >= held.expires_at:
             return Reason.EVICTED
         kv_bytes = self._kv_bytes(held.job)
-        took_s = kv_bytes / self.speeds.link_bytes_per_s * self.faults.slow
-        ends_at = starts_at + took_s
+        duration_s = kv_bytes / self.speeds.link_bytes_per_s * self.faults.slow
+        ends_at = starts_at + duration_s
         if self.faults.stall_transfer:
             ends_at = math.inf
         else:
@@ -338,11 +360,11 @@
         )
 
     def drop_kv(self, kv: str) -> None:
-        """Free a result that has been imported."""
+        """Free a KV cache that has been imported."""
         self.kv_by_name.pop(kv, None)
 
     def unpin_kv(self, now: float, kv: str) -> None:
-        """End a transfer that failed; the result lives out its time."""
+        """End a failed transfer; the KV cache stays until it expires."""
         held = self.kv_by_name.get(kv)
         if held is not None:
             held.transfers -= 1
@@ -358,7 +380,10 @@
         tokens: int = 0,
         seed: str = '',
     ) -> Reason | None:
-        """Take a decode slot for an import that begins."""
+        """Reserve a decode slot when an import begins.
+
+        :returns: why it is refused, or ``None``.
+        """
         if self.faults.refuse_imports:
             return Reason.FULL
         held = stream_id in self.streams_by_id
@@ -380,7 +405,10 @@
     def start_decode(
         self, now: float, *, stream_id: str, max_tokens: int
     ) -> Stream | None:
-        """Begin or go on with a stream that holds a slot."""
+        """Start to decode a stream that holds a slot, unless started before.
+
+        :returns: the stream; ``None`` if it isn't known.
+        """
         stream = self.streams_by_id.get(stream_id)
         if stream is None:
             return None
@@ -405,7 +433,10 @@
         self._step_ends_at = now + step_s * self.faults.slow
 
     def cancel(self, now: float, *, stream_id: str, attempt_id: str) -> bool:
-        """Free all that this attempt holds; return whether it held any."""
+        """Release everything that this attempt holds.
+
+        :returns: whether it held anything.
+        """
         if self.faults.drop_cancels:
             return False
         held = self._cancel_stream(stream_id, attempt_id)
@@ -424,15 +455,15 @@
         held = self.kv_by_name.pop(name, None)
         if held is None:
             return False
-        self._waste(Waste.CANCELLED, held.job)
+        self._count_wasted(Waste.CANCELLED, held.job)
         return True
 
     def _cancel_prefill(
         self, now: float, stream_id: str, attempt_id: str
     ) -> bool:
-        wanted = (stream_id, attempt_id)
+        key = (stream_id, attempt_id)
         job = self._running
-        if job and (job.stream_id, job.attempt_id) == wanted:
+        if job and (job.stream_id, job.attempt_id) == key:
             rate = self.speeds.prefill_tokens_per_s
             done = int((now - job.started_at) * rate)
             self.prefill_tokens_done += done
@@ -443,19 +474,19 @@
         kept = [
             each
             for each in self._queue
-            if (each[2].stream_id, each[2].attempt_id) != wanted
+            if (each[2].stream_id, each[2].attempt_id) != key
         ]
         found = len(kept) < len(self._queue)
         heapq.heapify(kept)
         self._queue = kept
         return found
 
-    def _waste(self, reason: Waste, job: PrefillJob) -> None:
+    def _count_wasted(self, reason: Waste, job: PrefillJob) -> None:
         computed = job.tokens - job.cached_tokens
         self.wasted_tokens_by_reason[reason] += computed
 
     def next_at(self) -> float:
-        """Return when something happens next; infinity if nothing will."""
+        """Return the time of the next event; infinity if there is none."""
         at = math.inf
         if self._running is not None:
             at = self._running.ends_at
@@ -467,15 +498,15 @@
         return at
 
     def advance(self, now: float) -> list[Prefilled | Evicted | Stepped]:
-        """Let everything up to ``now`` happen, in order of time."""
-        happened: list[Prefilled | Evicted | Stepped] = []
+        """Process all events up to ``now`` in order of time; return them."""
+        events: list[Prefilled | Evicted | Stepped] = []
         at = self.next_at()
         while at <= now and at != math.inf:
-            happened.extend(self._happen(at))
+            events.extend(self._process_event(at))
             at = self.next_at()
-        return happened
+        return events
 
-    def _happen(self, at: float) -> list[Prefilled | Evicted | Stepped]:
+    def _process_event(self, at: float) -> list[Prefilled | Evicted | Stepped]:
         if self._running is not None and self._running.ends_at <= at:
             return [self._finish_prefill(at)]
         if self._step_ends_at is not None and self._step_ends_at <= at:
@@ -515,8 +546,9 @@
             stream.made += 1
             made.append(stream_id)
             if stream.made >= stream.max_tokens:
-                # The slot and its KV cache are free; the text stays until
-                # it is read, so that a broken connection can resume.
+                # This frees the slot and the KV cache. The text is kept
+                # until it has been read, so that a client can resume
+                # after a broken connection.
                 stream.decoding = False
                 stream.finished = True
                 finished.append(stream_id)
@@ -525,13 +557,13 @@
         return Stepped(at=at, stream_ids=tuple(made), finished=tuple(finished))
 
     def _evict(self, at: float) -> list[Evicted]:
-        gone = []
+        evicted = []
         for name, held in list(self.kv_by_name.items()):
             if held.transfers or at < held.expires_at:
                 continue
             del self.kv_by_name[name]
-            self._waste(Waste.EVICTED, held.job)
-            gone.append(
+            self._count_wasted(Waste.EVICTED, held.job)
+            evicted.append(
                 Evicted(
                     at=at,
                     stream_id=held.job.stream_id,
@@ -539,10 +571,10 @@
                     tokens=held.job.tokens - held.job.cached_tokens,
                 )
             )
-        return gone
+        return evicted
 
     def load(self) -> Load:
-        """Return the load as it is now."""
+        """Return the current load."""
         waiting = [job for _, _, job in self._queue]
         queued = sum(job.tokens for job in waiting)
         if self._running is not None:
@@ -567,7 +599,7 @@
         )
 
     def held(self) -> list[tuple[str, str]]:
-        """Return (stream id, attempt id) of all that holds memory."""
+        """Return (stream id, attempt id) of all streams and KV caches."""
         ids = [
             (each.stream_id, each.attempt_id)
             for each in self.streams_by_id.values()
@@ -579,21 +611,21 @@
         return ids
 
     def forget_stream(self, stream_id: str) -> None:
-        """Drop a finished stream whose text has been read to the end."""
+        """Remove a stream that was read to its end or never imported."""
         self.streams_by_id.pop(stream_id, None)
 
 
 def kv_name(stream_id: str, attempt_id: str) -> str:
-    """Return the name under which a prefill's result is exported."""
+    """Return the name under which a prefill's KV cache is exported."""
     return f'{stream_id}.{attempt_id}'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """What one renewal carries.
+    """The contents of one renewal.
 
-    :param first: number of the first cache event; numbers that were
-        skipped are events that were lost.
+    :param first: sequence number of the first cache event; a gap to the
+        previous report means that events were lost.
     """
 
     load: Load
@@ -602,12 +634,11 @@
 
 
 class Reporter:
-    """Late reports of an engine, with gaps in the cache events.
+    """Makes delayed reports of an engine, with gaps in the cache events.
 
-    :param lag_s: how old the load is that a report tells, and how late
-        cache events are published.
-    :param gap_every: lose the cache events of every so many reports; zero
-        loses none.
+    :param lag_s: delay of the reported load and cache events, in seconds.
+    :param gap_every: drop the cache events of every n-th report; zero drops
+        none.
     """
 
     def __init__(
@@ -622,20 +653,20 @@
         self._reports = 0
 
     def sample(self, now: float) -> None:
-        """Remember the load and the new cache events."""
+        """Record the load and the new cache events."""
         self._samples.append((now, self._model.load()))
         events = self._model.cache.events
         self._events.extend((now, event) for event in events)
         events.clear()
 
     def report(self, now: float) -> Report:
-        """Return what is known to the outside at ``now``."""
+        """Return the report at ``now``: the state ``lag_s`` ago."""
         self.sample(now)
-        seen_at = now - self._lag_s
-        while len(self._samples) > 1 and self._samples[1][0] <= seen_at:
+        published_at = now - self._lag_s
+        while len(self._samples) > 1 and self._samples[1][0] <= published_at:
             self._samples.popleft()
         events = []
-        while self._events and self._events[0][0] <= seen_at:
+        while self._events and self._events[0][0] <= published_at:
             events.append(self._events.popleft()[1])
         first = self._first
         self._first += len(events)
--- a/tools/json_server.py
+++ b/tools/json_server.py
@@ -21,12 +21,15 @@
 
 
 class CutConnection(Exception):
-    """Closes the connection in the middle of a body."""
+    """Raised by a handler's stream to close the connection in the body."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """What a handler gets to see."""
+    """An HTTP request.
+
+    :param headers: by lower-case name.
+    """
 
     method: str
     path: str
@@ -35,15 +38,16 @@
     body: bytes
 
     def json(self) -> dict[str, typing.Any]:
-        """Return the body as a JSON object; empty counts as empty."""
+        """Return the body as a JSON object; an empty object if empty."""
         return json.loads(self.body) if self.body else {}
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Answer:
-    """A JSON answer, or a stream of bytes that the handler yields.
+    """A JSON answer, or a stream of bytes.
 
-    :param headers: sent beside the type and length of a JSON answer.
+    :param body: encoded as JSON if there is no ``stream``.
+    :param headers: further headers of a JSON answer.
     """
 
     status: int = 200
@@ -79,7 +83,7 @@
 def _log_error(
     message: str = '', level: int = 20, traceback: bool = False
 ) -> None:
-    # A cut connection is an exception on purpose, not an error.
+    # CutConnection is raised on purpose; it isn't an error.
     if not isinstance(sys.exception(), CutConnection):
         print(message, file=sys.stderr)
         if traceback:
@@ -87,11 +91,11 @@
 
 
 class JsonServer:
-    """Serves handlers by (method, path) until stopped.
+    """Calls handlers by (method, path) until stopped.
 
-    :param port: zero lets the system choose; see :attr:`port`.
-    :param otherwise: handler of all other paths; 404 if ``None``.
-    :param threads: calls that may be open at once.
+    :param port: zero for any free port; see :attr:`port`.
+    :param otherwise: handler of all other requests; 404 if ``None``.
+    :param threads: limit of concurrent requests.
     """
 
     def __init__(
@@ -119,12 +123,12 @@
         return self._server.bind_addr[1]
 
     def start(self) -> None:
-        """Bind and serve in a thread of its own."""
+        """Bind the port and serve in a background thread."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self) -> None:
-        """Close the port and the connections."""
+        """Close the port and all connections."""
         self._server.stop()
         self._thread.join()
 
--- a/tools/local.py
+++ b/tools/local.py
@@ -1,7 +1,7 @@
-"""One local system: instances, stand-in engines and plain services.
+"""Runs instances, stand-in engines and stand-in services on one machine.
 
-For the demo, for tests with real processes and for measurements. Every
-process is started here and ended here, by its own handle.
+Used by the demo, by tests with real processes and by measurements. Every
+process is started by this module and ended through its own handle.
 """
 
 from collections import abc
@@ -25,16 +25,17 @@
 HOST = '127.0.0.1'
 OPERATOR_TOKEN = 'demo-operator-token'
 ACCOUNT_KEY = 'demo-account-key'
-#: Longest wait for any condition; a slow machine only makes it be used.
+#: Default timeout of any wait; generous, because machines may be slow.
 PATIENCE_S = 60.0
 POLL_S = 0.05
+#: Until a process that was sent SIGTERM is killed.
 STOP_S = 40.0
-#: Instances that tell the others who there is, and vote first.
+#: How many instances are listed as seeds in the settings of all of them.
 SEEDS = 3
-#: Starts of a system before a port that is taken each time is told.
+#: Attempts to start a system when a port was taken by another process.
 MOST_STARTS = 5
-#: Lines of an instance's log in the message that it ended.
-SHOWN_LINES = 10
+#: Lines of an instance's log that :class:`InstanceEnded` shows.
+LOG_TAIL_LINES = 10
 
 
 def sha256(text: str) -> str:
@@ -42,10 +43,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different ports that are free just now.
+    """Return distinct ports that are free at the moment.
 
-    All are held until the last one is found: the system may choose a port
-    again as soon as it is let go.
+    All sockets stay bound until the last port is found, because the
+    operating system may assign a port again as soon as it is closed.
     """
     with contextlib.ExitStack() as stack:
         probes = [stack.enter_context(socket.socket()) for _ in range(count)]
@@ -55,17 +56,18 @@
 
 
 class InstanceEnded(Exception):
-    """An instance's process ended by itself.
+    """An instance's process exited without being stopped by this module.
 
-    :param code: its exit code; negative for the signal that ended it.
-    :param log_file: its last lines are shown.
+    :param code: its exit code; the negated number of the signal that
+        ended it, if one did.
+    :param log_file: its last lines become part of the message.
     """
 
     def __init__(
         self, *, instance_id: str, code: int, log_file: pathlib.Path
     ) -> None:
         lines = log_file.read_text(errors='replace').splitlines()
-        shown = '\n'.join(lines[-SHOWN_LINES:])
+        shown = '\n'.join(lines[-LOG_TAIL_LINES:])
         super().__init__(
             f'{instance_id} ended with exit code {code}; the last lines of '
             f'{log_file}:\n{shown}'
@@ -76,9 +78,10 @@
 def wait_until(
     what: str, check: abc.Callable[[], typing.Any], patience_s: float = 0.0
 ) -> typing.Any:
-    """Return what ``check`` returns once it is true.
+    """Poll ``check`` until its result is true, and return the result.
 
-    :raises TimeoutError: naming ``what`` when it never is.
+    :param patience_s: timeout; :data:`PATIENCE_S` if zero.
+    :raises TimeoutError: naming ``what``.
     """
     ends_at = time.monotonic() + (patience_s or PATIENCE_S)
     while True:
@@ -86,13 +89,13 @@
         if result:
             return result
         if time.monotonic() >= ends_at:
-            raise TimeoutError(f'waited in vain for: {what}')
+            raise TimeoutError(f'timed out waiting for: {what}')
         time.sleep(POLL_S)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Instance:
-    """One instance of the program and where it listens."""
+    """An instance of the program, its ports, its files and its process."""
 
     instance_id: str
     data_centre: str
@@ -114,7 +117,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class StandIn:
-    """One stand-in process."""
+    """A running stand-in engine or service."""
 
     backend_id: str
     url: str
@@ -124,10 +127,11 @@
 class LocalSystem:
     """Instances and stand-ins on loopback addresses.
 
-    :param folder: settings, data folders and logs are kept below it.
+    :param folder: where settings, data folders and logs are written.
     :param instances: number of instances; all of them become voters.
-    :param timeouts: overrides of the settings' time-outs.
-    :param command: how to run the program.
+    :param timeouts: overrides of ``timeouts`` in the settings.
+    :param command: the command line that runs the program.
+    :param data_centres: assigned to the instances in turn.
     """
 
     def __init__(
@@ -145,8 +149,8 @@
         self._timeouts = timeouts or {}
         self.http = urllib3.PoolManager(retries=False, timeout=30.0)
         self.stand_ins_by_id: dict[str, StandIn] = {}
-        #: Processes that were to end, by their process id.
-        self._killed: set[int] = set()
+        #: Processes that :meth:`kill` ended.
+        self._killed_pids: set[int] = set()
         ports = iter(free_ports(3 * instances))
         self.instances_by_id = {
             f'gw-{number}': self._plan_instance(number, ports)
@@ -204,7 +208,7 @@
     # Processes
 
     def start_instance(self, instance_id: str) -> None:
-        """Start an instance; see :meth:`wait_serving`."""
+        """Start an instance without waiting; see :meth:`wait_serving`."""
         instance = self.instances_by_id[instance_id]
         is_first = instance.process is None
         self._write_settings_of(instance, bootstrap=is_first)
@@ -219,7 +223,7 @@
     def start_stand_in(
         self, module: str, backend_id: str, *options: str
     ) -> StandIn:
-        """Start a stand-in and wait until it says that it is ready."""
+        """Start a stand-in and wait until it prints that it is ready."""
         urls = [each.control_url for each in self.instances_by_id.values()]
         log = (self.folder / f'{backend_id}.log').open('ab')
         with log:
@@ -248,20 +252,23 @@
         return stand_in
 
     def kill(self, process: subprocess.Popen) -> None:
-        """End a process at once, as kill -9 does."""
-        self._killed.add(process.pid)
+        """End a process with SIGKILL."""
+        self._killed_pids.add(process.pid)
         process.kill()
         process.wait()
 
     def discard(self) -> None:
-        """End all instances at once and delete what they kept."""
+        """Kill all instances and delete their data folders."""
         for instance_id, instance in self.instances_by_id.items():
             if instance.process is not None:
                 self.kill(instance.process)
             shutil.rmtree(self.folder / instance_id, ignore_errors=True)
 
     def stop(self) -> None:
-        """End everything that was started here, politely, then firmly."""
+        """Stop every process: SIGTERM, then SIGKILL after ``STOP_S``.
+
+        Stopped (SIGSTOP) processes are continued first.
+        """
         processes = [each.process for each in self.stand_ins_by_id.values()]
         processes += [
             each.process
@@ -286,7 +293,10 @@
     def operator(
         self, instance_id: str, method: str, path: str, body: typing.Any = None
     ) -> tuple[int, typing.Any]:
-        """Call the operators' API; return the status and the JSON."""
+        """Send a request to the operators' API of an instance.
+
+        :returns: as :meth:`call`.
+        """
         instance = self.instances_by_id[instance_id]
         return self.call(
             method,
@@ -303,7 +313,10 @@
         body: typing.Any = None,
         headers: abc.Mapping[str, str] | None = None,
     ) -> tuple[int, typing.Any]:
-        """Call as the demo's account; return the status and the JSON."""
+        """Send a request to an instance as the demo's client account.
+
+        :returns: as :meth:`call`.
+        """
         instance = self.instances_by_id[instance_id]
         return self.call(
             method,
@@ -319,6 +332,11 @@
         body: typing.Any = None,
         headers: abc.Mapping[str, str] | None = None,
     ) -> tuple[int, typing.Any]:
+        """Send a request with a JSON body.
+
+        :returns: the status and the decoded JSON, or the text if the body
+            isn't JSON; status 0 if there was no answer.
+        """
         data = None if body is None else json.dumps(body).encode()
         try:
             answer = self.http.request(
@@ -340,10 +358,10 @@
     def wait_serving(self, revision: int = 0) -> None:
         """Wait until every instance that wasn't killed serves a revision.
 
-        :raises InstanceEnded: as soon as the process of one has ended.
-        :raises TimeoutError: when one never does.
+        :raises InstanceEnded: as soon as the process of one has exited.
+        :raises TimeoutError: when one doesn't serve it in time.
         """
-        for instance in self._awaited():
+        for instance in self._expected_instances():
             instance_id = instance.instance_id
             wait_until(
                 f'{instance_id} serves revision {revision}, see '
@@ -353,17 +371,18 @@
                 ),
             )
 
-    def _awaited(self) -> list[Instance]:
+    def _expected_instances(self) -> list[Instance]:
         return [
             each
             for each in self.instances_by_id.values()
             if each.process is not None
-            and each.process.pid not in self._killed
+            and each.process.pid not in self._killed_pids
         ]
 
     def _serves(self, instance_id: str, revision: int) -> bool:
-        # Any of them: one that waits for the others' votes serves never.
-        for instance in self._awaited():
+        # Check all processes: if another voter has exited, this instance
+        # may wait for a quorum until the timeout.
+        for instance in self._expected_instances():
             code = instance.process.poll()
             if code is not None:
                 raise InstanceEnded(
@@ -375,7 +394,7 @@
         return status == 200 and answer['revision'] >= revision
 
     def apply(self, instance_id: str, document: dict, change_id: str) -> int:
-        """Apply a document over the present one; return its revision."""
+        """Replace the current document; return the new revision."""
         _, current = self.operator(instance_id, 'GET', '/v1/document')
         status, answer = self.operator(
             instance_id,
@@ -388,46 +407,51 @@
             },
         )
         if status != 200:
-            raise RuntimeError(f'the change was not applied: {answer}')
+            raise RuntimeError(f'the document was not applied: {answer}')
         return answer['revision']
 
     def wait_backends(self, count: int) -> None:
-        """Wait until so many backend servers are present at some instance."""
+        """Wait until the instances list ``count`` backend servers as present.
+
+        A backend server counts if at least one instance lists it.
+        """
         wait_until(
             f'{count} backend servers are present',
-            lambda: self._present() >= count,
+            lambda: self._count_present() >= count,
         )
 
-    def _present(self) -> int:
-        known: set[str] = set()
+    def _count_present(self) -> int:
+        present_ids: set[str] = set()
         for instance_id in self.instances_by_id:
             status, answer = self.operator(instance_id, 'GET', '/v1/backends')
             if status == 200:
-                known.update(
+                present_ids.update(
                     each['backend_id']
                     for each in answer['backends']
                     if each['state'] == 'present'
                 )
-        return len(known)
+        return len(present_ids)
 
 
 @contextlib.contextmanager
 def running(**options: typing.Any) -> abc.Iterator[LocalSystem]:
-    """Start all instances; end whatever was started when done.
+    """Start all instances; stop every process at the end of the block.
 
-    A port that was free when it was chosen may be another process's when
-    the instance wants it: then everything starts anew with other ports.
+    Another process may take a port between its choice and the instance's
+    start. All instances are then started again on other ports.
 
-    :raises InstanceEnded: also when that happens ``MOST_STARTS`` times.
+    :param options: those of :class:`LocalSystem`.
+    :raises InstanceEnded: when an instance exits for another reason, or
+        when ports were taken in ``MOST_STARTS`` attempts.
     """
-    for starts_left in reversed(range(MOST_STARTS)):
+    for attempts_left in reversed(range(MOST_STARTS)):
         system = LocalSystem(**options)
         try:
             _start_all(system)
         except InstanceEnded as error:
-            is_port_lost = error.code == exceptions.ExitCode.PORT_IN_USE
+            is_port_taken = error.code == exceptions.ExitCode.PORT_IN_USE
             system.discard()
-            if not is_port_lost or not starts_left:
+            if not is_port_taken or not attempts_left:
                 raise
         except BaseException:
             system.stop()
@@ -447,7 +471,7 @@
 
 
 def example_document() -> dict[str, typing.Any]:
-    """Return a document for the stand-ins of :func:`start_stand_ins`."""
+    """Return a document that fits the stand-ins of :func:`start_stand_ins`."""
     return {
         'version': 1,
         'services': [
--- a/tools/standin_engine.py
+++ b/tools/standin_engine.py
@@ -1,8 +1,8 @@
-"""A stand-in model engine: the engine model behind real HTTP.
+"""A stand-in model engine: serves the engine model over HTTP.
 
-Run ``python -m tools.standin_engine --help``. Prints one line of JSON with
-its port when it is ready. ``POST /faults`` sets fault switches, see
-:class:`tools.engine_model.Faults`; ``GET /state`` shows counters.
+Run ``python -m tools.standin_engine --help``. When it is ready, it prints
+one line of JSON with its port. ``POST /faults`` sets fault switches, see
+:class:`tools.engine_model.Faults`; ``GET /state`` returns counters.
 """
 
 from collections import abc
@@ -24,14 +24,18 @@
 from tools import engine_model
 from tools import json_server
 
-#: Of a process that a call ended.
+#: Exit code of a process that a request ends, see ``Faults.end_on``.
 EXIT_CODE = 70
-#: Longest wait of any handler, so that no thread is held for good.
+#: Longest wait of any handler, so that none blocks its thread forever.
 LONGEST_WAIT_S = 120.0
 
 
 class Engine:
-    """One engine on the real clock; thread-safe."""
+    """Runs an engine model on the real clock; thread-safe.
+
+    :param priorities: names, the most urgent first.
+    :param import_timeout_s: timeout of the transfer of an import.
+    """
 
     def __init__(
         self,
@@ -51,16 +55,16 @@
         self._reader_by_stream: dict[str, int] = {}
         self._http = urllib3.PoolManager(retries=False, maxsize=32)
         self._ticker = threading.Thread(
-            target=self._tick, name='ticker', daemon=True
+            target=self._run_ticker, name='ticker', daemon=True
         )
 
     def start(self) -> None:
-        """Let the model's time run."""
+        """Start to advance the model with the real clock."""
         self._ticker.start()
 
     @contextlib.contextmanager
     def at_now(self) -> abc.Iterator[float]:
-        """Hold the model, brought up to the present time."""
+        """Lock the model, advance it to the current time and yield that."""
         with self._changed:
             now = time.monotonic()
             self._advance(now)
@@ -68,11 +72,11 @@
             self._changed.notify_all()
 
     def _advance(self, now: float) -> None:
-        for happened in self.model.advance(now):
-            if isinstance(happened, engine_model.Prefilled):
-                self._prefilled_by_kv[happened.kv] = happened
+        for change in self.model.advance(now):
+            if isinstance(change, engine_model.Prefilled):
+                self._prefilled_by_kv[change.kv] = change
 
-    def _tick(self) -> None:
+    def _run_ticker(self) -> None:
         with self._changed:
             while True:
                 self._advance(time.monotonic())
@@ -81,29 +85,33 @@
                 self._changed.wait(min(max(wait_s, 0.0), 1.0))
 
     def _wait_for(self, ready: abc.Callable[[], typing.Any]) -> typing.Any:
-        """Wait, holding the model, until ``ready`` returns true."""
-        until = time.monotonic() + LONGEST_WAIT_S
+        """Wait until ``ready`` returns true; the caller holds the lock.
+
+        :returns: the last result of ``ready``, false after a timeout.
+        """
+        deadline = time.monotonic() + LONGEST_WAIT_S
         result = ready()
-        while not result and time.monotonic() < until:
+        while not result and time.monotonic() < deadline:
             self._changed.wait(0.5)
             result = ready()
         return result
 
     def rank(self, priority: typing.Any) -> int:
-        """Return the rank of a priority; names not known go last."""
+        """Return the rank of a priority; unknown names go last."""
         if isinstance(priority, int):
             return priority
         last = len(self._rank_by_priority)
         return self._rank_by_priority.get(priority, last)
 
     def is_idle(self) -> bool:
-        """Return whether nothing runs, waits or is held to be read."""
+        """Return whether no request runs or waits and no stream is held."""
         with self.at_now():
             load = self.model.load()
             busy = load.running or load.waiting or load.slots_used
             return not busy and not self.model.streams_by_id
 
     def prefill(self, request: json_server.Request) -> json_server.Answer:
+        """Answer when the prompt is prefilled, or with the refusal."""
         body = request.json()
         stream_id, attempt_id = body['stream_id'], body['attempt_id']
         prompt = body['prompt']
@@ -141,14 +149,15 @@
         return json_server.Answer(body=answer)
 
     def export(self, request: json_server.Request) -> json_server.Answer:
+        """Answer when the transfer of a KV cache has ended."""
         kv = request.query['kv']
         with self.at_now() as now:
             transfer = self.model.export(now, kv)
             if not isinstance(transfer, engine_model.Transfer):
                 return refuse(404, transfer)
-            self._wait_for(lambda: self._transfer_over(kv, transfer))
-            moved = time.monotonic() >= transfer.ends_at
-            if not moved or kv not in self.model.kv_by_name:
+            self._wait_for(lambda: self._is_transfer_over(kv, transfer))
+            transferred = time.monotonic() >= transfer.ends_at
+            if not transferred or kv not in self.model.kv_by_name:
                 self.model.unpin_kv(time.monotonic(), kv)
                 return refuse(404, engine_model.Reason.EVICTED)
             self.model.drop_kv(kv)
@@ -159,16 +168,18 @@
         }
         return json_server.Answer(body=answer)
 
-    def _transfer_over(self, kv: str, transfer: engine_model.Transfer) -> bool:
+    def _is_transfer_over(
+        self, kv: str, transfer: engine_model.Transfer
+    ) -> bool:
         if kv not in self.model.kv_by_name:
             return True
         stalled = transfer.ends_at == math.inf
         if stalled and not self.model.faults.stall_transfer:
             return True
-        left_s = transfer.ends_at - time.monotonic()
-        if left_s <= 0:
+        remaining_s = transfer.ends_at - time.monotonic()
+        if remaining_s <= 0:
             return True
-        self._changed.wait(min(left_s, 0.5))
+        self._changed.wait(min(remaining_s, 0.5))
         return time.monotonic() >= transfer.ends_at
 
     def import_kv(self, request: json_server.Request) -> json_server.Answer:
@@ -183,26 +194,26 @@
             reason = self.model.reserve_slot(now, **ids)
             if reason is not None:
                 return refuse(409, reason)
-        moved = self._pull(body['source_url'], body['kv'])
+        transferred = self._fetch_kv(body['source_url'], body['kv'])
         with self.at_now() as now:
-            if isinstance(moved, engine_model.Reason):
-                self._free(now, ids)
-                return refuse(409, moved)
-            # The slot is gone if the stream was cancelled meanwhile.
+            if isinstance(transferred, engine_model.Reason):
+                self._free_slot(now, ids)
+                return refuse(409, transferred)
+            # The slot was freed if the stream was cancelled meanwhile.
             stream = self.model.streams_by_id.get(ids['stream_id'])
             if stream is None or stream.attempt_id != ids['attempt_id']:
                 return refuse(409, engine_model.Reason.STALLED)
-            stream.kv_bytes = moved['bytes']
-            stream.prompt_tokens = moved['tokens']
-            stream.seed = moved['seed']
-        return json_server.Answer(body={'bytes': moved['bytes']})
+            stream.kv_bytes = transferred['bytes']
+            stream.prompt_tokens = transferred['tokens']
+            stream.seed = transferred['seed']
+        return json_server.Answer(body={'bytes': transferred['bytes']})
 
-    def _free(self, now: float, ids: dict[str, str]) -> None:
+    def _free_slot(self, now: float, ids: dict[str, str]) -> None:
         stream = self.model.streams_by_id.get(ids['stream_id'])
         if stream is not None and stream.attempt_id == ids['attempt_id']:
             self.model.forget_stream(ids['stream_id'])
 
-    def _pull(
+    def _fetch_kv(
         self, source_url: str, kv: str
     ) -> dict[str, typing.Any] | engine_model.Reason:
         try:
@@ -256,18 +267,18 @@
                 if not self._is_reading(stream, reader):
                     return
                 made = stream.made
-                over = stream.finished
-                # A fault hits the first connection of a stream only, so
-                # that a resume can be seen to mend it.
+                is_last = stream.finished
+                # Faults affect only the first connection of a stream, so
+                # that a client can resume over a second one.
                 faults = self.model.faults if reader == 1 else None
             while offset < made:
-                if faults and self._fault_ends(faults, stream, offset):
+                if faults and self._apply_fault(faults, stream, offset):
                     return
                 yield self._piece(stream, offset)
                 if faults and faults.duplicate_pieces:
                     yield self._piece(stream, offset)
                 offset += 1
-            if over:
+            if is_last:
                 yield event(
                     {
                         'attempt_id': stream.attempt_id,
@@ -286,7 +297,7 @@
         current = self._reader_by_stream.get(stream.stream_id)
         return held is stream and current == reader
 
-    def _fault_ends(
+    def _apply_fault(
         self,
         faults: engine_model.Faults,
         stream: engine_model.Stream,
@@ -395,7 +406,7 @@
         return json_server.Answer(body=body)
 
     def handlers(self) -> dict[tuple[str, str], json_server.Handler]:
-        """Return the handlers by method and path."""
+        """Return the handlers by (method, path)."""
         return {
             ('POST', '/v1/prefill'): self.prefill,
             ('GET', '/v1/export'): self.export,
@@ -410,12 +421,12 @@
 
 
 def refuse(status: int, reason: engine_model.Reason) -> json_server.Answer:
-    """Return a refusal with its reason."""
+    """Return a refusal that carries its reason."""
     return json_server.Answer(status=status, body={'reason': reason.value})
 
 
 def event(body: dict[str, typing.Any]) -> bytes:
-    """Return one server-sent event."""
+    """Encode one server-sent event."""
     return f'data: {json.dumps(body)}\n\n'.encode()
 
 
@@ -425,7 +436,10 @@
     announce: announcer.Announcer,
     is_idle: abc.Callable[[], bool],
 ) -> None:
-    """Serve until SIGTERM; then leave, finish what runs, and stop."""
+    """Serve until SIGTERM or SIGINT; then leave, drain and stop.
+
+    :param ready: printed as JSON once announcing has started.
+    """
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
@@ -464,20 +478,20 @@
 ) -> None:
     """Run a stand-in engine until SIGTERM.
 
-    :param backend_id: the name to announce.
+    :param backend_id: the id to announce.
     :param role: prefill or decode.
-    :param port: zero lets the system choose; the ready line tells it.
-    :param control_urls: control ports of instances to announce to.
-    :param ignore_fence: obey orders with old fencing numbers.
+    :param port: zero for any free port; the ready line contains it.
+    :param control_urls: control URLs of instances to announce to.
+    :param ignore_fence: accept requests with old fencing numbers.
     :param priorities: priority names, the most urgent first.
-    :param step_s: seconds a step of an empty batch takes.
+    :param step_s: seconds of a decode step with an empty batch.
     :param step_per_stream_s: seconds added for each stream of the batch.
-    :param kv_ttl_s: seconds until an unclaimed prefill is evicted.
-    :param cache_blocks: blocks of 64 words that the prefix cache holds.
-    :param import_timeout_s: seconds until a transfer counts as stalled.
-    :param report_lag_s: how old load reports and cache events are.
-    :param gap_every: lose the cache events of every so many reports.
-    :param faults: switches as JSON, see tools.engine_model.Faults.
+    :param kv_ttl_s: seconds until a KV cache that isn't imported is evicted.
+    :param cache_blocks: capacity of the prefix cache, in blocks of 64 words.
+    :param import_timeout_s: timeout of a transfer, in seconds.
+    :param report_lag_s: delay of load reports and cache events, in seconds.
+    :param gap_every: drop the cache events of every n-th report.
+    :param faults: fault switches as JSON, see tools.engine_model.Faults.
     """
     speeds = engine_model.EngineSpeeds(
         slots=slots,
@@ -510,11 +524,11 @@
 
     def report() -> dict[str, typing.Any]:
         with engine.at_now() as now:
-            told = reporter.report(now)
-        events = [dataclasses.asdict(each) for each in told.events]
+            current = reporter.report(now)
+        events = [dataclasses.asdict(each) for each in current.events]
         return {
-            'load': dataclasses.asdict(told.load),
-            'cache_events': {'first': told.first, 'events': events},
+            'load': dataclasses.asdict(current.load),
+            'cache_events': {'first': current.first, 'events': events},
         }
 
     announcement = {
--- a/tools/standin_service.py
+++ b/tools/standin_service.py
@@ -1,8 +1,9 @@
-"""A stand-in plain service that counts how often each call ran.
+"""A stand-in plain service that counts how often it runs each request.
 
-Run ``python -m tools.standin_service --help``. ``GET /lookup`` may be
-repeated, ``POST /bookings`` may not; ``GET /runs`` shows how often each
-ran. ``POST /faults`` sets the switches of :class:`ServiceFaults`.
+Run ``python -m tools.standin_service --help``. By the demo's document,
+``GET /lookup`` is idempotent and ``POST /bookings`` is not. ``GET /runs``
+returns the counts. ``POST /faults`` sets the switches of
+:class:`ServiceFaults`.
 """
 
 import collections
@@ -23,15 +24,16 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class ServiceFaults:
-    """Switches for what may go wrong; all off at first.
-
-    :param delay_s: before a call runs.
-    :param delay_after_s: after it ran, before the answer.
-    :param refuse: answer 503, say that nothing ran, and do not run.
-    :param cut_before_run: close the connection and do not run.
-    :param cut_after_run: run, then close the connection in the answer.
-    :param end_on: end this process once it runs a call whose path, query or
-        body holds this text; every connection to it breaks.
+    """Switches for injected faults; all are off by default.
+
+    :param delay_s: seconds before a request runs.
+    :param delay_after_s: seconds between the run and the answer.
+    :param refuse: don't run requests; answer 503 with the header that marks
+        them as not run.
+    :param cut_before_run: close the connection instead of running.
+    :param cut_after_run: run, then close the connection during the answer.
+    :param end_on: exit after running a request whose path, query or body
+        contains this text; this breaks all connections of the process.
     """
 
     delay_s: float = 0.0
@@ -43,48 +45,49 @@
 
 
 class Service:
-    """Answers calls and counts the runs."""
+    """Answers requests and counts the runs."""
 
     def __init__(self, *, faults: ServiceFaults) -> None:
         self.faults = faults
         self._lock = threading.Lock()
-        self._open = 0
+        self._in_progress = 0
         self._runs_by_request: collections.Counter[str] = collections.Counter()
         self._runs_by_body: collections.Counter[str] = collections.Counter()
-        # Never set: waiting on it is a delay that any thread may have.
+        # Never set; waiting on it with a timeout delays a thread.
         self._never = threading.Event()
 
     def is_idle(self) -> bool:
-        """Return whether no call is being answered."""
+        """Return whether no request is being answered."""
         with self._lock:
-            return self._open == 0
+            return self._in_progress == 0
 
     def load(self) -> dict[str, typing.Any]:
-        """Return what a renewal carries."""
+        """Return the load fields of a renewal."""
         load = {
-            'running': self._open,
+            'running': self._in_progress,
             'waiting': 0,
             'queued_tokens': 0,
-            'slots_used': self._open,
+            'slots_used': self._in_progress,
             'kv_bytes': 0,
         }
         return {'load': load, 'cache_events': {'first': 0, 'events': []}}
 
     def call(self, request: json_server.Request) -> json_server.Answer:
-        """Run any call that is not about the stand-in itself."""
+        """Run a request to any path that has no handler of its own."""
         with self._lock:
-            self._open += 1
+            self._in_progress += 1
         try:
             return self._run(request)
         finally:
             with self._lock:
-                self._open -= 1
+                self._in_progress -= 1
 
     def _run(self, request: json_server.Request) -> json_server.Answer:
         faults = self.faults
         self._never.wait(faults.delay_s)
         if faults.refuse:
-            # A bare 503 counts as run: a proxy may have made it.
+            # Without the header, a 503 means that the call may have run,
+            # because a proxy may have sent it.
             return json_server.Answer(
                 status=503,
                 body={'reason': 'busy'},
@@ -94,7 +97,7 @@
             return json_server.Answer(stream=cut())
         run = self._count(request)
         self._never.wait(faults.delay_after_s)
-        if faults.end_on and _holds(request, faults.end_on):
+        if faults.end_on and _contains(request, faults.end_on):
             os._exit(standin_engine.EXIT_CODE)
         if faults.cut_after_run:
             return json_server.Answer(stream=cut())
@@ -135,7 +138,7 @@
         return json_server.Answer(body=dataclasses.asdict(self.faults))
 
 
-def _holds(request: json_server.Request, text: str) -> bool:
+def _contains(request: json_server.Request, text: str) -> bool:
     return (
         text in request.path
         or text in request.query.values()
@@ -144,7 +147,7 @@
 
 
 def cut() -> abc.Iterator[bytes]:
-    """Close the connection where a body would begin."""
+    """Close the connection before the first byte of the body."""
     raise json_server.CutConnection
     yield b''
 
@@ -162,21 +165,21 @@
 ) -> None:
     """Run a stand-in plain service until SIGTERM.
 
-    :param backend_id: the name to announce.
-    :param port: zero lets the system choose; the ready line tells it.
-    :param control_urls: control ports of instances to announce to.
-    :param slots: calls to announce that it takes at once.
-    :param faults: switches as JSON, see ServiceFaults.
+    :param backend_id: the id to announce.
+    :param port: zero for any free port; the ready line contains it.
+    :param control_urls: control URLs of instances to announce to.
+    :param slots: announced limit of concurrent calls.
+    :param faults: fault switches as JSON, see ServiceFaults.
     """
-    running = Service(faults=ServiceFaults(**json.loads(faults)))
+    stand_in = Service(faults=ServiceFaults(**json.loads(faults)))
     server = json_server.JsonServer(
         host=host,
         port=port,
         handlers={
-            ('GET', '/runs'): running.runs,
-            ('POST', '/faults'): running.set_faults,
+            ('GET', '/runs'): stand_in.runs,
+            ('POST', '/faults'): stand_in.set_faults,
         },
-        otherwise=running.call,
+        otherwise=stand_in.call,
     )
     server.start()
     url = f'http://{host}:{server.port}'
@@ -192,10 +195,10 @@
         control_urls=control_urls or [],
         backend_id=backend_id,
         announcement=announcement,
-        report=running.load,
+        report=stand_in.load,
     )
     ready = {'backend_id': backend_id, 'port': server.port, 'url': url}
-    standin_engine.run_until_signal(server, ready, announce, running.is_idle)
+    standin_engine.run_until_signal(server, ready, announce, stand_in.is_idle)
 
 
 if __name__ == '__main__':
