--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -1,4 +1,4 @@
-"""The measurement is the same each time, and its sums are right."""
+"""Measurements of policies: repeatable runs and correct figures."""
 
 import dataclasses
 import json
@@ -21,13 +21,13 @@
 
 
 class MeasureTest(unittest.TestCase):
-    def test_a_run_repeats_to_the_last_figure(self):
+    def test_equal_runs_give_equal_figures(self):
         first, second = (
             json.dumps(run(measure.CURRENT).figures()) for _ in range(2)
         )
         self.assertEqual(first, second)
 
-    def test_all_policies_get_the_same_work(self):
+    def test_all_policies_get_the_same_requests(self):
         offered = {
             run(name).counts['offered']
             for name in ('round-robin-8', 'v1-slots', measure.CURRENT)
@@ -53,11 +53,11 @@
 
 
 class VersionsTest(unittest.TestCase):
-    def test_the_last_version_is_the_policy_in_force(self):
-        """Symptom: an old version's figures change with each new decision.
+    def test_the_last_version_is_the_current_policy(self):
+        """The figures of old versions must not change with new options.
 
-        A version was named by what it lacked at its time, and so got all
-        decisions made after it.
+        They did when a version was defined by the options that it lacks,
+        since it then had all options that were added later.
         """
         versions = measure.versions()
         self.assertEqual(options.Options(), versions[measure.CURRENT])
@@ -65,13 +65,13 @@
 
 
 class FaultTest(unittest.TestCase):
-    """Symptom: a call is answered twice, cut short or never.
+    """No fault may cause a double, short or missing answer.
 
-    Each fault strikes in the middle of a run at work; see tools.faults.
+    Each fault of tools.faults is injected into a run under load.
     """
 
     @params(*faults.FAULTS_BY_NAME)
-    def test_every_call_is_answered_once_and_whole(self, name):
+    def test_every_call_gets_one_complete_answer(self, name):
         result = run(
             measure.CURRENT,
             duration_s=28.0,
@@ -94,7 +94,7 @@
 
 
 class PlotsTest(unittest.TestCase):
-    def test_the_best_limit_of_a_router_counts(self):
+    def test_only_the_best_limit_of_a_router_is_plotted(self):
         lines = [
             {'policy': policy, 'load': 1.0, 'goodput': goodput}
             for policy, goodput in (('rr-2', 3.0), ('rr-8', 5.0), ('v1', 4.0))
--- a/tools/baselines.py
+++ b/tools/baselines.py
@@ -1,12 +1,12 @@
-"""What the current policy is measured against, behind the same Protocol.
-
-The plain routers get what any router has: the list of backend servers,
-their load reports, and what they themselves have sent. They pass
-priorities and deadlines on, move a KV cache when an import is refused and
-try again like every policy here. They don't predict, queue or book: a
-request is refused only when every engine of a role is full, by report or by
-the router's own count. No single limit of waiting prompts is best at every
-load, so each router is measured with several and the best one counts.
+"""Plain routers, the baselines of the measurements, as policies.
+
+The plain routers use what any router has: the list of backend servers,
+their load reports, and the calls that they sent themselves. They pass on
+priorities and deadlines, move a KV cache when an import is refused, and
+retry like every policy here. They don't predict, queue or book: a request is
+refused only when every engine of a role is full, by its report or by the
+router's own count. No single limit of waiting prompts is best at every load,
+so each router is measured with several and the best result counts.
 """
 
 import math
@@ -19,13 +19,13 @@
 from dandeliongw.cell import vocabulary
 from dandeliongw.verdict import RefusalReason
 
-#: Prompts waiting at an engine from which a plain router calls it full.
-#: Eight prompts are about the patience of an urgent request.
+#: Waiting prompts from which a plain router considers an engine full. The
+#: prefill of eight prompts takes about as long as an urgent request may wait.
 WAITING_LIMIT = 16
 
 
 class InTurn:
-    """Takes the backend servers of a role in turn; never queues."""
+    """Selects the backend servers of a role in turn; never queues."""
 
     def __init__(self) -> None:
         self._turn_by_role: dict[vocabulary.Role, int] = {}
@@ -52,14 +52,14 @@
     def dispatch(
         self, *, now: float, view: cell_view.CellView
     ) -> list[tuple[vocabulary.Booking, policy.Decision]]:
-        """Return nothing: no work is ever queued."""
+        """Return no decisions, because nothing is queued."""
         return []
 
 
 class RoundRobin(InTurn):
-    """Takes engines in turn, passing over those that report being full.
+    """Selects engines in turn, except those that report being full.
 
-    :param waiting_limit: prompts at an engine from which it is full.
+    :param waiting_limit: waiting prompts from which an engine is full.
     """
 
     def __init__(self, *, waiting_limit: int) -> None:
@@ -89,7 +89,7 @@
 
 
 class LeastReported:
-    """Takes the engine with the least reported load that isn't full."""
+    """Selects the engine with the least reported load that isn't full."""
 
     def __init__(self, *, waiting_limit: int) -> None:
         self._waiting_limit = waiting_limit
@@ -117,18 +117,18 @@
     def dispatch(
         self, *, now: float, view: cell_view.CellView
     ) -> list[tuple[vocabulary.Booking, policy.Decision]]:
-        """Return nothing: no work is ever queued."""
+        """Return no decisions, because nothing is queued."""
         return []
 
 
 class LeastConnections:
-    """Takes the engine with the fewest open calls, up to a limit.
+    """Selects the engine with the fewest open calls, up to a limit.
 
-    As a router on each entry would that knows only its own calls: the
-    limits are divided between the entries, and a call to a decode engine
-    is open only once its prefill is done.
+    Models a router on each entry that counts only its own calls. The limits
+    are divided between the entries. A call to a decode engine is open only
+    once its prefill is done.
 
-    :param entries: how many share each engine's limit.
+    :param entries: number of entries that share each engine's limit.
     """
 
     def __init__(self, *, waiting_limit: int, entries: int) -> None:
@@ -169,28 +169,28 @@
     def dispatch(
         self, *, now: float, view: cell_view.CellView
     ) -> list[tuple[vocabulary.Booking, policy.Decision]]:
-        """Return nothing: no work is ever queued."""
+        """Return no decisions, because nothing is queued."""
         return []
 
 
 def reports_full(
     state: backend_state.BackendState, waiting_limit: int
 ) -> bool:
-    """Return whether the last report says that no work fits."""
+    """Return whether the engine was full by its last report."""
     if state.backend.role is vocabulary.Role.PREFILL:
         return state.reported_waiting >= waiting_limit
     return state.reported_running >= state.backend.slots
 
 
 def reported_load(state: backend_state.BackendState) -> int:
-    """Return the reported load, in tokens of prompt or streams."""
+    """Return the reported load: queued prompt tokens or streams."""
     if state.backend.role is vocabulary.Role.PREFILL:
         return state.reported_queued_tokens
     return state.reported_running
 
 
 def refuse_full(role: vocabulary.Role) -> policy.Decline:
-    """Return a plain router's refusal."""
+    """Return a plain router's refusal when a role has no capacity."""
     return policy.Decline(
         reason=RefusalReason.NO_CAPACITY,
         message=f'every {role.value} backend server reports being full',
@@ -199,7 +199,7 @@
 
 
 def _place(ids_by_role: dict[vocabulary.Role, str]) -> policy.Place:
-    """Return a place from chosen ids."""
+    """Return the decision for the selected ids."""
     return policy.Place(
         prefill_id=ids_by_role.get(vocabulary.Role.PREFILL, ''),
         decode_id=ids_by_role.get(vocabulary.Role.DECODE, ''),
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,8 +1,9 @@
-"""Load on a virtual clock: callers, entries, one real cell, engine models.
+"""Simulates load on one cell, on a virtual clock.
 
-The cell and its policy are the product's own; entries do what an entry has
-to do with the owner's answers and nothing more. Every hop takes
-:data:`HOP_S`. This measures the policy's decisions, not the processes.
+The cell and its policy are the program's own code. Callers, entries and
+engines are simulated; an entry does only what the owner's answers require.
+Every hop takes :data:`HOP_S`. This measures the decisions of the policy, not
+the cost of the processes.
 """
 
 import collections
@@ -26,52 +27,55 @@
 from tools import tally
 from tools import workloads
 
-#: One way between any two of entry, owner and engine, in seconds.
+#: One-way delay between any two of entry, owner and engine, in seconds.
 HOP_S = 0.0005
 REPORT_EVERY_S = 1.0
 REPORT_LAG_S = 0.5
-#: Lose the cache events of every so many reports.
+#: Drop the cache events of every n-th report.
 GAP_EVERY = 7
 TICK_S = 0.05
-#: A transfer or stream silent for so long counts as stalled.
+#: A transfer that would take longer than this counts as stalled.
 STALL_S = 1.5
-#: A dead engine's presence lease runs out after so long.
+#: Until the presence lease of a dead engine expires.
 PRESENCE_S = 2.0
 MAX_ATTEMPTS = 4
-#: Pause after every decode engine refused a KV cache.
-MOVE_AGAIN_S = 0.05
-#: How often a refused caller comes back.
-MAX_COMEBACKS = 3
-#: A refusal that took longer than this was held back.
-HELD_BACK_S = 0.05
-#: Until entries have learned of a new owner and told it what they hold.
+#: Backoff when no decode engine accepts a KV cache.
+MOVE_RETRY_S = 0.05
+#: How often a caller retries a refused call.
+MAX_CALLER_RETRIES = 3
+#: Refusals later than this after the arrival are counted as late.
+LATE_REFUSAL_S = 0.05
+#: Until the entries have discovered a new owner and sent their bookings.
 RECLAIM_AFTER_S = 0.5
 CELL_ID = 'service/region/0'
 
 
 class Clock:
-    """Runs calls in order of their virtual time."""
+    """A virtual clock that runs scheduled calls in order of time."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._calls: list = []
-        self._serial = 0
+        self._sequence = 0
 
     def at(self, when: float, call: abc.Callable, *arguments) -> None:
-        """Make a call at a time, or now if that has passed."""
-        self._serial += 1
+        """Schedule a call; if the time has passed, for now."""
+        self._sequence += 1
         when = max(when, self.now)
-        heapq.heappush(self._calls, (when, self._serial, call, arguments))
+        heapq.heappush(self._calls, (when, self._sequence, call, arguments))
 
     def run(self, until: float) -> None:
-        """Run all calls up to a time."""
+        """Run all calls that are scheduled up to a time."""
         while self._calls and self._calls[0][0] <= until:
             self.now, _, call, arguments = heapq.heappop(self._calls)
             call(*arguments)
 
 
 class SimulatedEngine:
-    """An engine model on the virtual clock; tells what happens."""
+    """An engine model on the virtual clock.
+
+    :param on_event: called with this engine and each event of the model.
+    """
 
     def __init__(
         self,
@@ -94,12 +98,12 @@
         self._wakes_at = math.inf
 
     def wake(self) -> None:
-        """Bring the model up to now and plan the next wake."""
+        """Advance the model to now and schedule its next event."""
         if not self.alive:
             return
         now = self._clock.now
-        for happened in self.model.advance(now):
-            self._on_event(self, happened)
+        for event in self.model.advance(now):
+            self._on_event(self, event)
         next_at = self.model.next_at()
         if next_at < self._wakes_at or self._wakes_at <= now:
             self._wakes_at = next_at
@@ -109,18 +113,18 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Job:
-    """One call of one caller, as its entry sees it."""
+    """The state of one call at its entry."""
 
     request: workloads.Request
     name: str
     entry: str
     arrived_at: float
-    comebacks: int = 0
+    caller_retries: int = 0
     attempt: int = 0
     stage: vocabulary.Stage = vocabulary.Stage.PAIR
     exclude: tuple[str, ...] = ()
     booked: cells.Booked | None = None
-    #: Where the KV cache is until it has been imported.
+    #: The engine that holds the KV cache until it has been imported.
     prefill_id: str = ''
     prefilled: engine_model.Prefilled | None = None
     started_at: float | None = None
@@ -128,7 +132,7 @@
     last_token_at: float | None = None
     made: int = 0
     streaming: bool = False
-    #: Between a failed attempt and the next.
+    #: Whether it waits between a failed attempt and the next one.
     pausing: bool = False
     over: bool = False
 
@@ -138,13 +142,16 @@
 
     @property
     def token_gap_s(self) -> float:
-        """Mean gap between the tokens of a whole answer."""
+        """Mean gap between the tokens of a complete answer."""
         gaps = max(1, self.made - 1)
         return (self.last_token_at - self.first_token_at) / gaps
 
 
 class Run:
-    """One run of one policy on one stream of requests."""
+    """One simulation run of one policy on one sequence of requests.
+
+    :param seed: of the choice of entries and of the jitter of backoffs.
+    """
 
     def __init__(
         self,
@@ -159,20 +166,20 @@
         self.tally = tally.Tally(terms=deployment.terms)
         self.jobs_by_name: dict[str, Job] = {}
         self.engines_by_id: dict[str, SimulatedEngine] = {}
-        self._draw = random.Random(seed)
+        self._random = random.Random(seed)
         self._policy_factory = policy_factory
         self._epoch = 1
         self._lost_entries: set[str] = set()
-        usual = settings.Retries()
-        share = max(1.0, usual.saved / deployment.entries)
+        defaults = settings.Retries()
+        share = max(1.0, defaults.saved / deployment.entries)
         self._budgets_by_entry = collections.defaultdict(
             lambda: retries.RetryBudget(
-                part=usual.part, burst=share, left=share
+                part=defaults.part, burst=share, left=share
             )
         )
         self._add_engines()
         self.cell = self._make_cell()
-        self._tell_backends()
+        self._send_backends()
         for request in requests:
             self.clock.at(request.at, self._arrive, request, request.name, 0)
         self.clock.at(0.0, self._report_all)
@@ -189,7 +196,7 @@
                 self.add_engine(f'{role.value}-{number}', role)
 
     def add_engine(self, backend_id: str, role: vocabulary.Role) -> None:
-        """Start an engine; the owner learns of it with the next change."""
+        """Start an engine; the owner is notified with the next change."""
         speeds = self.deployment.speeds
         backend = vocabulary.CellBackend(
             backend_id=backend_id,
@@ -215,7 +222,7 @@
         )
 
     def run(self, until: float) -> tally.Tally:
-        """Run to a time; return the figures."""
+        """Run until a virtual time; return the figures."""
         self.clock.run(until)
         for engine in self.engines_by_id.values():
             self.tally.count_engine(engine.model)
@@ -225,27 +232,29 @@
         self.tally.counts['bookings_held'] = len(self.cell.bookings_by_key)
         return self.tally
 
-    # The owner.
+    # The owner
 
-    def _tell_backends(self) -> None:
+    def _send_backends(self) -> None:
         backends = tuple(
             engine.backend
             for engine in self.engines_by_id.values()
             if engine.alive
         )
-        self._own(cells.BackendsChanged(now=self.clock.now, backends=backends))
+        self._handle_at_owner(
+            cells.BackendsChanged(now=self.clock.now, backends=backends)
+        )
 
-    def _own(self, event: typing.Any) -> None:
+    def _handle_at_owner(self, event: typing.Any) -> None:
         for effect in self.cell.handle(event):
-            later = self.clock.now + HOP_S
+            arrives_at = self.clock.now + HOP_S
             if isinstance(effect, parts.Send):
-                self.clock.at(later, self._hear, effect.message)
+                self.clock.at(arrives_at, self._handle_answer, effect.message)
             elif isinstance(effect, cells.ListStreams):
-                self.clock.at(later, self._list_streams, effect)
+                self.clock.at(arrives_at, self._list_streams, effect)
             elif isinstance(effect, cells.CancelStream):
-                self.clock.at(later, self._cancel_stream, effect)
+                self.clock.at(arrives_at, self._cancel_stream, effect)
             else:
-                # Nobody reads the lines of a measurement.
+                # Log lines are ignored in a measurement.
                 assert isinstance(effect, effects.Log), effect
 
     def _send(self, job: Job, message: typing.Any) -> None:
@@ -254,12 +263,12 @@
         )
 
     def _receive(self, entry: str, message: typing.Any) -> None:
-        self._own(
+        self._handle_at_owner(
             parts.Received(now=self.clock.now, sender=entry, message=message)
         )
 
     def _tick(self) -> None:
-        self._own(parts.Ticked(now=self.clock.now, entropy=0))
+        self._handle_at_owner(parts.Ticked(now=self.clock.now, entropy=0))
         self.clock.at(self.clock.now + TICK_S, self._tick)
 
     def _report_all(self) -> None:
@@ -274,14 +283,16 @@
         report = engine.reporter.report(now)
         backend_id = engine.backend.backend_id
         load = dataclasses.asdict(report.load)
-        self._own(cells.LoadReported(now=now, backend_id=backend_id, **load))
+        self._handle_at_owner(
+            cells.LoadReported(now=now, backend_id=backend_id, **load)
+        )
         by_kind = {
             kind: tuple(e.prefix for e in report.events if e.kind == kind)
             for kind in ('stored', 'evicted')
         }
         gap = report.first != engine.next_cache_event
         engine.next_cache_event = report.first + len(report.events)
-        self._own(
+        self._handle_at_owner(
             cells.CacheHint(now=now, backend_id=backend_id, gap=gap, **by_kind)
         )
 
@@ -304,7 +315,7 @@
                 stream_id=effect.stream_id,
                 attempt_id=effect.attempt_id,
             )
-            self.clock.at(confirmed.now, self._own, confirmed)
+            self.clock.at(confirmed.now, self._handle_at_owner, confirmed)
 
     def _list_streams(self, effect: cells.ListStreams) -> None:
         engine = self.engines_by_id[effect.backend_id]
@@ -320,19 +331,19 @@
                 for stream_id, attempt_id in engine.model.held()
             ),
         )
-        self.clock.at(listed.now, self._own, listed)
+        self.clock.at(listed.now, self._handle_at_owner, listed)
 
-    # The callers.
+    # Callers
 
     def _arrive(
-        self, request: workloads.Request, name: str, comebacks: int
+        self, request: workloads.Request, name: str, caller_retries: int
     ) -> None:
         job = Job(
             request=request,
             name=name,
-            entry=self._draw.choice(self._entries()),
+            entry=self._random.choice(self._entries()),
             arrived_at=self.clock.now,
-            comebacks=comebacks,
+            caller_retries=caller_retries,
         )
         self.jobs_by_name[name] = job
         self._budgets_by_entry[job.entry].earn()
@@ -362,17 +373,21 @@
     ) -> None:
         self._end(job)
         held_s = self.clock.now - job.arrived_at
-        if held_s > HELD_BACK_S:
+        if held_s > LATE_REFUSAL_S:
             self.tally.counts['refused_late'] += 1
-        again = job.comebacks < MAX_COMEBACKS
-        self.tally.refused(job, reason, last=not again)
-        if again:
-            comebacks = job.comebacks + 1
-            name = f'{job.request.name}+{comebacks}'
-            when = self.clock.now + retry_after_s * self._draw.uniform(1, 1.1)
-            self.clock.at(when, self._arrive, job.request, name, comebacks)
+        is_retried = job.caller_retries < MAX_CALLER_RETRIES
+        self.tally.refused(job, reason, last=not is_retried)
+        if is_retried:
+            caller_retries = job.caller_retries + 1
+            name = f'{job.request.name}+{caller_retries}'
+            when = self.clock.now + retry_after_s * self._random.uniform(
+                1, 1.1
+            )
+            self.clock.at(
+                when, self._arrive, job.request, name, caller_retries
+            )
 
-    # The entries.
+    # Entries
 
     def _progress_all(self) -> None:
         holdings_by_entry: dict[str, list[cells.Holding]] = {}
@@ -388,8 +403,8 @@
             self.clock.at(
                 self.clock.now + HOP_S, self._receive, entry, message
             )
-        later = self.clock.now + cells.PROGRESS_EVERY_S
-        self.clock.at(later, self._progress_all)
+        next_at = self.clock.now + cells.PROGRESS_EVERY_S
+        self.clock.at(next_at, self._progress_all)
 
     def _book(self, job: Job, stage: vocabulary.Stage) -> None:
         request = job.request
@@ -407,7 +422,7 @@
                 attempt_id=job.attempt_id,
                 account=request.account,
                 priority=request.priority,
-                # A stream that broke goes on after what was delivered.
+                # A broken stream resumes after the delivered tokens.
                 prompt_tokens=request.prompt_tokens + job.made,
                 max_tokens=request.max_tokens - job.made,
                 prefix=request.prefix,
@@ -417,16 +432,16 @@
             ),
         )
 
-    def _hear(self, message: typing.Any) -> None:
+    def _handle_answer(self, message: typing.Any) -> None:
         job = self.jobs_by_name.get(getattr(message, 'request_id', ''))
         if job is None or message.attempt_id != job.attempt_id:
             return
         if job.pausing:
-            # The caller left while the owner answered.
+            # The attempt failed while the owner's answer was on its way.
             return
         match message:
             case cells.Declined():
-                self._hear_declined(job, message)
+                self._handle_declined(job, message)
             case cells.Cancelled():
                 self._retry(job, RetryReason.OWNER_CHANGED, '')
             case cells.Booked() if job.booked is None:
@@ -434,16 +449,20 @@
                 when = self.clock.now + message.start_in_s + HOP_S
                 self.clock.at(when, self._start, job, message)
 
-    def _hear_declined(self, job: Job, declined: cells.Declined) -> None:
+    def _handle_declined(self, job: Job, declined: cells.Declined) -> None:
         if job.stage is vocabulary.Stage.DECODE:
-            self.clock.at(self.clock.now + MOVE_AGAIN_S, self._move_again, job)
+            self.clock.at(self.clock.now + MOVE_RETRY_S, self._retry_move, job)
         elif job.first_token_at is not None:
             self._fail(job, declined.reason)
         else:
             self._refuse(job, declined.reason, declined.retry_after_s)
 
-    def _move_again(self, job: Job) -> None:
-        """Every decode engine refused: try while the KV cache lasts."""
+    def _retry_move(self, job: Job) -> None:
+        """Book a decode engine again, unless the KV cache was evicted.
+
+        Called when the owner declined a booking of a decode engine. Engines
+        that refused the KV cache before are candidates again.
+        """
         if job.over or job.prefilled is None:
             return
         gone_at = job.prefilled.at + self.deployment.speeds.kv_ttl_s
@@ -485,14 +504,14 @@
             self._retry(job, RetryReason.BACKEND_BUSY, '')
 
     def _on_engine_event(
-        self, engine: SimulatedEngine, happened: typing.Any
+        self, engine: SimulatedEngine, event: typing.Any
     ) -> None:
-        match happened:
+        match event:
             case engine_model.Prefilled():
-                later = self.clock.now + HOP_S
-                self.clock.at(later, self._prefilled, happened)
+                arrives_at = self.clock.now + HOP_S
+                self.clock.at(arrives_at, self._prefilled, event)
             case engine_model.Stepped():
-                self._count_tokens(engine, happened)
+                self._count_tokens(engine, event)
 
     def _prefilled(self, done: engine_model.Prefilled) -> None:
         job = self.jobs_by_name.get(done.stream_id)
@@ -510,8 +529,8 @@
             kv_bytes=done.kv_bytes,
         )
         self._send(job, message)
-        later = self.clock.now + HOP_S
-        self.clock.at(later, self._import, job, job.booked)
+        arrives_at = self.clock.now + HOP_S
+        self.clock.at(arrives_at, self._import, job, job.booked)
 
     def _import(self, job: Job, booked: cells.Booked) -> None:
         if not self._is_current(job, booked):
@@ -550,7 +569,7 @@
             return
         stalls_at = self.clock.now + STALL_S
         if transfer.ends_at > stalls_at:
-            self.clock.at(stalls_at, self._stalled, job, booked)
+            self.clock.at(stalls_at, self._transfer_stalled, job, booked)
             return
         engine.link_in_free_at = transfer.ends_at
         self.clock.at(
@@ -562,7 +581,7 @@
             self.clock.now, stream_id=job.name, attempt_id=job.attempt_id
         )
 
-    def _stalled(self, job: Job, booked: cells.Booked) -> None:
+    def _transfer_stalled(self, job: Job, booked: cells.Booked) -> None:
         if not self._is_current(job, booked):
             return
         source = self.engines_by_id[job.prefill_id]
@@ -570,7 +589,7 @@
         source.model.unpin_kv(self.clock.now, job.prefilled.kv)
         source.wake()
         self._free_slot(job, self.engines_by_id[booked.decode_id])
-        # The KV cache is past its time by now: compute it again elsewhere.
+        # The KV cache has expired by now: prefill again on another engine.
         self._retry(
             job, RetryReason.TRANSFER_STALLED, source.backend.backend_id
         )
@@ -596,23 +615,23 @@
         )
         engine.wake()
 
-    def _reading(self, engine: SimulatedEngine, name: str) -> Job | None:
-        """Return the call that reads this stream from this engine.
+    def _find_reader(self, engine: SimulatedEngine, name: str) -> Job | None:
+        """Return the call whose current attempt streams from this engine.
 
-        An earlier attempt may still run on another one.
+        An earlier attempt may still run on another engine.
         """
         job = self.jobs_by_name.get(name)
         if job is None or not job.streaming:
             return None
-        here = job.booked.decode_id == engine.backend.backend_id
-        return job if here else None
+        is_current = job.booked.decode_id == engine.backend.backend_id
+        return job if is_current else None
 
     def _count_tokens(
         self, engine: SimulatedEngine, step: engine_model.Stepped
     ) -> None:
         seen_at = step.at + HOP_S
         for stream_id in step.stream_ids:
-            job = self._reading(engine, stream_id)
+            job = self._find_reader(engine, stream_id)
             if job is None:
                 continue
             job.made += 1
@@ -620,7 +639,7 @@
             if job.first_token_at is None:
                 job.first_token_at = seen_at
         for stream_id in step.finished:
-            job = self._reading(engine, stream_id)
+            job = self._find_reader(engine, stream_id)
             if job is not None:
                 self._finish(job)
 
@@ -651,14 +670,14 @@
         self._send(job, message)
 
     def _move(self, job: Job, reason: RetryReason) -> None:
-        """Ask for another decode engine for the KV cache that waits."""
+        """Book another decode engine for the prefilled KV cache."""
         self.tally.retried(reason)
         failed = job.booked.decode_id
         job.exclude = (*job.exclude, failed)
         self._book(job, vocabulary.Stage.DECODE)
 
     def _retry(self, job: Job, reason: RetryReason, fault: str) -> None:
-        """Give this attempt up and begin another one."""
+        """End this attempt as failed and start another after a backoff."""
         self.tally.retried(reason)
         wasted_tokens = 0
         if job.streaming:
@@ -673,11 +692,13 @@
         if job.attempt >= MAX_ATTEMPTS or not budget.spend():
             self._fail(job, RefusalReason.RETRIES_SPENT)
             return
-        pause_s = retries.pause_s(job.attempt + 1, self._draw.getrandbits(64))
+        pause_s = retries.pause_s(
+            job.attempt + 1, self._random.getrandbits(64)
+        )
         job.pausing = True
-        self.clock.at(self.clock.now + pause_s, self._try_again, job)
+        self.clock.at(self.clock.now + pause_s, self._start_next_attempt, job)
 
-    def _try_again(self, job: Job) -> None:
+    def _start_next_attempt(self, job: Job) -> None:
         if not job.over:
             job.pausing = False
             self._book(job, vocabulary.Stage.PAIR)
@@ -688,10 +709,10 @@
         self._end(job)
         self.tally.failed(job, reason)
 
-    # Faults.
+    # Faults
 
     def kill(self, backend_id: str) -> None:
-        """Kill an engine; its connections are reset."""
+        """Kill an engine; calls with connections to it retry."""
         engine = self.engines_by_id[backend_id]
         engine.alive = False
         for job in list(self.jobs_by_name.values()):
@@ -705,10 +726,10 @@
             )
             if at_decode or at_prefill:
                 self._retry(job, RetryReason.STREAM_BROKEN, backend_id)
-        self.clock.at(self.clock.now + PRESENCE_S, self._tell_backends)
+        self.clock.at(self.clock.now + PRESENCE_S, self._send_backends)
 
     def lose_entry(self, entry: str) -> None:
-        """Kill an entry; its callers are cut off and it says no more."""
+        """Kill an entry; its callers leave and it sends nothing more."""
         for job in list(self.jobs_by_name.values()):
             if job.entry == entry:
                 self._end(job)
@@ -716,9 +737,9 @@
         self._lost_entries.add(entry)
 
     def join_engine(self, backend_id: str, role: vocabulary.Role) -> None:
-        """Start an engine that the owner learns of at once."""
+        """Start an engine and notify the owner at once."""
         self.add_engine(backend_id, role)
-        self._tell_backends()
+        self._send_backends()
 
     def set_fault(self, backend_id: str, **switches: typing.Any) -> None:
         """Set fault switches of an engine."""
@@ -728,10 +749,10 @@
             setattr(engine.model.faults, name, value)
 
     def lose_owner(self) -> None:
-        """Replace the owner; entries tell the new one what they hold."""
+        """Replace the owner; entries reclaim their bookings later."""
         self._epoch += 1
         self.cell = self._make_cell()
-        self._tell_backends()
+        self._send_backends()
         self.clock.at(self.clock.now + RECLAIM_AFTER_S, self._reclaim_all)
 
     def _reclaim_all(self) -> None:
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,7 +1,8 @@
-"""Measures each policy on the same work; see docs/POLICY.md.
+"""Measures all policies on the same requests; see docs/POLICY.md.
 
-Prints one line of JSON for each deployment, policy and load. The last line
-sums up the current policy against the best plain router.
+Prints one line of JSON for each deployment, policy, load and seed. With
+``--quick``, it prints one line that compares the current policy with the best
+plain router.
 """
 
 from collections import abc
@@ -25,29 +26,30 @@
 WARM_UP_S = 10.0
 #: Arrivals of a quick run, in virtual seconds.
 QUICK_S = 60.0
-#: Part of the calls that are good again once a fault is overcome.
+#: Fraction of good calls from which a fault counts as overcome.
 RECOVERED = 0.9
+#: Prefixes of the names of the baselines that the summary uses.
 NAMED_BASELINES = ('round-robin', 'least-reported')
-#: After the last arrival, for what still runs to end.
+#: Time for calls to end after the last arrival, in virtual seconds.
 DRAIN_S = 70.0
 
 PolicyFactory = abc.Callable[[], policy.Policy]
 
-#: Limits of waiting prompts that are tried for the plain routers.
+#: Limits of waiting prompts with which the plain routers are measured.
 WAITING_LIMITS = (2, 3, 8, 16)
 
 
 def plain_routers(
     deployment: workloads.Deployment,
 ) -> dict[str, PolicyFactory]:
-    """Return the baselines by name."""
-    divided = functools.partial(
+    """Return the factories of the baselines by name."""
+    least_connections = functools.partial(
         baselines.LeastConnections, entries=deployment.entries
     )
     factories_by_name = {
         'round-robin': baselines.RoundRobin,
         'least-reported': baselines.LeastReported,
-        'least-connections': divided,
+        'least-connections': least_connections,
     }
     return {
         f'{name}-{limit}': functools.partial(factory, waiting_limit=limit)
@@ -68,7 +70,7 @@
     cap=False,
     weigh=False,
 )
-#: What each version added to the one before it; the last is in force.
+#: The options that each version changed; the last version is in use.
 STEPS_BY_VERSION: dict[str, dict[str, typing.Any]] = {
     'v1-slots': {},
     'v2-queue': {'queue': True},
@@ -100,7 +102,7 @@
 def all_policies(
     deployment: workloads.Deployment,
 ) -> dict[str, PolicyFactory]:
-    """Return the baselines and every version, by name."""
+    """Return the factories of the baselines and of all versions, by name."""
     ours = {
         name: functools.partial(scheduler.Scheduler, options=options)
         for name, options in versions().items()
@@ -120,7 +122,7 @@
 ) -> tally.Tally:
     """Return the figures of one run.
 
-    :param disturb: plans faults on the run's clock before it starts.
+    :param disturb: schedules faults on the run's clock.
     :param mix: further arguments of ``workloads.make_requests``.
     """
     requests = workloads.make_requests(
@@ -140,11 +142,12 @@
 
 
 def summarize(duration_s: float, seed: int) -> dict[str, typing.Any]:
-    """Return the current policy against the best plain router.
+    """Compare the current policy with the best plain router.
 
-    The best of round robin and least reported load, each with every limit
-    of waiting prompts, at 1.2 of capacity; the worse deployment counts.
-    Answers are also counted in runs with a killed engine and a lost owner.
+    The best plain router is the best of round robin and least reported
+    load, each with every limit of waiting prompts, at 1.2 of capacity. The
+    ratios are those of the worse deployment. Double and lost answers are
+    also counted in runs with a killed engine and with a lost owner.
     """
     summary: dict[str, typing.Any] = {
         'goodput_ratio': math.inf,
@@ -200,17 +203,17 @@
 ) -> None:
     """Measure policies and print JSON lines.
 
-    :param quick: a short run that ends within 50 s.
-    :param policies: names to measure; all if none are given.
-    :param loads: in parts of the capacity.
+    :param quick: print only the summary; takes less than 50 s.
+    :param policies: names of policies; all by default.
+    :param loads: as fractions of the capacity.
     :param duration_s: virtual seconds of arrivals.
     :param mixes: brazos, khangai, brazos-shared, khangai-shared,
         brazos-deep, khangai-deep.
     :param fault: a name in tools.faults; none if empty.
-    :param leaving: part of the callers that leave early.
-    :param flood: part of all calls that come from a single account.
-    :param burst: let the load swing between 0.4 and 1.6 of itself.
-    :param seeds: of the arrivals; three if none are given.
+    :param leaving: fraction of the callers that disconnect early.
+    :param flood: fraction of all calls that come from a single account.
+    :param burst: alternate between 1.6 and 0.4 of the load.
+    :param seeds: of the arrivals; 1, 2 and 3 by default.
     """
     deployments = workloads.DEPLOYMENTS_BY_NAME | workloads.VARIANTS_BY_NAME
     if quick:
--- a/tools/tally.py
+++ b/tools/tally.py
@@ -1,4 +1,4 @@
-"""What a run of the load tool counts, and the figures made from it."""
+"""Counts the results of a simulation run and computes its figures."""
 
 import collections
 import typing
@@ -10,7 +10,7 @@
 from dandeliongw.verdict import RetryReason
 from tools import engine_model
 
-#: Histograms count microseconds up to ten minutes, to three digits.
+#: Upper limit of histograms, ten minutes; they have three digits.
 LONGEST_US = 600_000_000
 
 
@@ -20,7 +20,7 @@
 
 
 def percentiles(of: histogram.HdrHistogram) -> dict[str, float]:
-    """Return the usual percentiles in seconds."""
+    """Return the 50th, 95th and 99th percentile in seconds."""
     return {
         f'p{percent}': of.get_value_at_percentile(percent) / 1e6
         for percent in (50, 95, 99)
@@ -28,14 +28,16 @@
 
 
 class Tally:
-    """Counts what becomes of each call.
+    """Counts the outcomes of calls.
 
     A call is good when its first token came within ``first_token_s`` plus
     its priority's ``max_wait_s`` of its arrival, and its mean gap between
-    tokens was at most ``token_gap_s``. A refused caller who comes back
-    makes a new call; ``good_first`` counts only those who never had to.
+    tokens was at most ``token_gap_s``. When a caller retries a refused
+    call, that is a new call; ``good_first`` counts only good calls that
+    are no retries.
 
-    :param since: arrivals before this time are warm-up and don't count.
+    Calls that arrive before ``since`` are warm-up and aren't counted;
+    neither are those from ``until`` on.
     """
 
     def __init__(self, *, terms: vocabulary.CellTerms) -> None:
@@ -65,7 +67,7 @@
         self.arrived_by_second[int(job.arrived_at)] += 1
         if self._is_counted(job):
             self.counts['calls'] += 1
-            self.counts['offered'] += job.comebacks == 0
+            self.counts['offered'] += job.caller_retries == 0
 
     def refused(
         self, job: typing.Any, reason: RefusalReason, *, last: bool
@@ -107,14 +109,14 @@
         self.gap.record_value(int(gap_s * 1e6) + 1)
         longest = self.longest_wait_by_priority.get(priority, 0.0)
         self.longest_wait_by_priority[priority] = max(longest, wait_s)
-        patience_s = self.terms.max_wait_s_by_priority.get(priority, 0.0)
-        in_time = first_token_s <= self.terms.first_token_s + patience_s
+        max_wait_s = self.terms.max_wait_s_by_priority.get(priority, 0.0)
+        in_time = first_token_s <= self.terms.first_token_s + max_wait_s
         if in_time and gap_s <= self.terms.token_gap_s:
             self._count_good(job)
 
     def _count_good(self, job: typing.Any) -> None:
         self.counts['good'] += 1
-        self.counts['good_first'] += job.comebacks == 0
+        self.counts['good_first'] += job.caller_retries == 0
         self.counts[f'good_{job.request.priority}'] += 1
         self.good_by_second[int(job.arrived_at)] += 1
         self.good_by_account[job.request.account] += 1
@@ -131,7 +133,7 @@
         self._answered.add(job.name)
 
     def count_engine(self, model: engine_model.EngineModel) -> None:
-        """Add an engine's own counts of prefill work."""
+        """Add an engine's counts of computed and wasted prefill tokens."""
         self.prefill_tokens += model.prefill_tokens_done
         for reason, tokens in model.wasted_tokens_by_reason.items():
             self.wasted_by_reason[reason.value] += tokens
@@ -143,15 +145,16 @@
 
     @property
     def wasted_share(self) -> float:
-        """Wasted prefill tokens, as a part of all that were computed."""
+        """Wasted prefill tokens, as a fraction of all computed ones."""
         return sum(self.wasted_by_reason.values()) / max(
             1, self.prefill_tokens
         )
 
     def seconds_below(self, part: float, since: float, until: float) -> int:
-        """Return how long after a time goodput was last below a part.
+        """Return the seconds from ``since`` until goodput stays sufficient.
 
-        Counted by the second in which calls arrive.
+        It is insufficient in a second if less than ``part`` of the calls
+        that arrive in it are good.
         """
         below = [
             second
@@ -162,7 +165,7 @@
         return int(max(below, default=since - 1) + 1 - since)
 
     def _goodput_others(self) -> float:
-        """Good calls a second of all accounts but the busiest."""
+        """Good calls a second of all accounts except ``account-0``."""
         good = self.counts['good'] - self.good_by_account['account-0']
         return good / (self.until - self.since)
 
--- a/tools/workloads.py
+++ b/tools/workloads.py
@@ -1,4 +1,4 @@
-"""The users' deployments: sizes, mixes of requests, and capacity."""
+"""Deployments to measure: sizes, mixes of requests, and capacity."""
 
 from collections import abc
 import dataclasses
@@ -14,9 +14,12 @@
 class Kind:
     """One kind of request in a mix.
 
-    :param part: of all requests, between zero and one.
-    :param shared_tokens: leading tokens that an account's prompts share.
-    :param stop_early: an answer has between this part and all of its
+    :param part: fraction of all requests, between zero and one.
+    :param prompt_tokens: least and most tokens of a prompt.
+    :param shared_tokens: length of the prefix that an account's prompts
+        share.
+    :param max_tokens: least and most of a request's ``max_tokens``.
+    :param stop_early: least length of an answer, as a fraction of its
         ``max_tokens``.
     """
 
@@ -30,7 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """What one caller wants."""
+    """One request of a caller.
+
+    :param at: when it arrives, in virtual seconds.
+    :param leaves_after_s: when the caller disconnects, after its arrival.
+    """
 
     name: str
     at: float
@@ -45,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Deployment:
-    """One user's model service."""
+    """One model service: its engines, entries and mix of requests."""
 
     name: str
     prefill_engines: int
@@ -62,9 +69,9 @@
 
 
 def best_batch(speeds: engine_model.EngineSpeeds) -> tuple[int, float]:
-    """Return the largest batch within the token gap, and its step."""
-    room_s = TOKEN_GAP_S - speeds.step_s
-    streams = min(speeds.slots, int(room_s / speeds.step_per_stream_s))
+    """Return the largest batch within the token gap, and its step time."""
+    budget_s = TOKEN_GAP_S - speeds.step_s
+    streams = min(speeds.slots, int(budget_s / speeds.step_per_stream_s))
     return streams, speeds.step_s + speeds.step_per_stream_s * streams
 
 
@@ -76,7 +83,7 @@
     patient_wait_s: float,
     weights: vocabulary.Weights,
 ) -> vocabulary.CellTerms:
-    """Return the terms that an operator's document would give."""
+    """Return the terms as an operator's document would set them."""
     return vocabulary.CellTerms(
         first_token_s=first_token_s,
         token_gap_s=TOKEN_GAP_S,
@@ -149,10 +156,10 @@
 )
 
 
-def share_more(deployment: Deployment) -> Deployment:
-    """Return a mix whose prompts begin alike for all they can.
+def lengthen_shared_prefixes(deployment: Deployment) -> Deployment:
+    """Return a variant in which prompts share the longest prefix possible.
 
-    Accounts have more such beginnings than one prefix cache holds.
+    The prefixes of all accounts together exceed one prefix cache.
     """
     block = deployment.speeds.block_tokens
     kinds = tuple(
@@ -166,8 +173,8 @@
     )
 
 
-def deepen(deployment: Deployment) -> Deployment:
-    """Return engines with more slots than the token gap bears."""
+def add_slots(deployment: Deployment) -> Deployment:
+    """Return a variant with more slots than the token gap allows."""
     speeds = dataclasses.replace(
         deployment.speeds, slots=32, prefill_tokens_per_s=15_000.0
     )
@@ -181,35 +188,35 @@
 
 VARIANTS_BY_NAME = {
     each.name: each
-    for change in (share_more, deepen)
-    for each in (change(BRAZOS), change(KHANGAI))
+    for make_variant in (lengthen_shared_prefixes, add_slots)
+    for each in (make_variant(BRAZOS), make_variant(KHANGAI))
 }
 DEPLOYMENTS_BY_NAME = {each.name: each for each in (BRAZOS, KHANGAI)}
 
 
-def middle(bounds: tuple[int, int]) -> float:
+def mean_of(bounds: tuple[int, int]) -> float:
     """Return the mean of a uniform choice."""
     return sum(bounds) / 2
 
 
 def capacity(deployment: Deployment) -> float:
-    """Return the requests a second that the engines could serve at best.
+    """Return an upper bound of the requests a second that engines can serve.
 
-    The least of what prefill, links and decode slots carry. Every shared
-    prefix counts as cached and every slot as always in use, which no
-    router attains; no policy enters into it.
+    It is the least of the limits of prefill, links and decode slots. It
+    assumes that every shared prefix is cached and every slot always in use,
+    which no router attains. It doesn't depend on a policy.
     """
     speeds = deployment.speeds
     streams, step_s = best_batch(speeds)
     prefill_s = link_s = slot_s = 0.0
     for kind in deployment.kinds:
-        prompt = middle(kind.prompt_tokens)
+        prompt = mean_of(kind.prompt_tokens)
         computed = prompt - kind.shared_tokens
         work_s = computed / speeds.prefill_tokens_per_s
         prefill_s += kind.part * (work_s + speeds.prefill_overhead_s)
         kv_bytes = prompt * speeds.kv_bytes_per_token
         link_s += kind.part * kv_bytes / speeds.link_bytes_per_s
-        answer = middle(kind.max_tokens) * (1 + kind.stop_early) / 2
+        answer = mean_of(kind.max_tokens) * (1 + kind.stop_early) / 2
         slot_s += kind.part * answer * step_s
     return min(
         deployment.prefill_engines / prefill_s,
@@ -228,45 +235,45 @@
     leaving: float = 0.0,
     flood: float = 0.0,
 ) -> abc.Iterator[Request]:
-    """Yield the same requests for the same arguments, in order of time.
+    """Yield requests in order of time; deterministic for equal arguments.
 
-    :param load: in parts of the capacity.
-    :param burst: swing between 0.4 and 1.6 of the load every 5 s.
-    :param leaving: part of the callers that leave early.
-    :param flood: part of all requests that come from a single account.
+    :param load: as a fraction of the capacity.
+    :param burst: alternate between 1.6 and 0.4 of the load every 5 s.
+    :param leaving: fraction of the callers that disconnect early.
+    :param flood: fraction of all requests that come from a single account.
     """
-    draw = random.Random(f'{deployment.name}/{seed}')
+    rng = random.Random(f'{deployment.name}/{seed}')
     rate = capacity(deployment) * load
     at = 0.0
     number = 0
     while True:
-        busy = int(at / 5.0) % 2 == 0
-        swing = (1.6 if busy else 0.4) if burst else 1.0
-        at += draw.expovariate(rate * swing)
+        is_peak = int(at / 5.0) % 2 == 0
+        swing = (1.6 if is_peak else 0.4) if burst else 1.0
+        at += rng.expovariate(rate * swing)
         if at >= duration_s:
             return
         number += 1
-        yield _make_request(deployment, draw, number, at, leaving, flood)
+        yield _make_request(deployment, rng, number, at, leaving, flood)
 
 
 def _make_request(
     deployment: Deployment,
-    draw: random.Random,
+    rng: random.Random,
     number: int,
     at: float,
     leaving: float,
     flood: float,
 ) -> Request:
     weights = [kind.part for kind in deployment.kinds]
-    kind = draw.choices(deployment.kinds, weights)[0]
-    # A few accounts are busy, most are not.
-    account = int(deployment.accounts * draw.random() ** 2)
-    if draw.random() < flood:
+    kind = rng.choices(deployment.kinds, weights)[0]
+    # Skewed: a few accounts send most of the requests.
+    account = int(deployment.accounts * rng.random() ** 2)
+    if rng.random() < flood:
         account = 0
-    prompt_tokens = draw.randint(*kind.prompt_tokens)
-    max_tokens = draw.randint(*kind.max_tokens)
-    early = draw.uniform(kind.stop_early, 1.0)
-    leaves = draw.uniform(0.0, 5.0) if draw.random() < leaving else None
+    prompt_tokens = rng.randint(*kind.prompt_tokens)
+    max_tokens = rng.randint(*kind.max_tokens)
+    answer_share = rng.uniform(kind.stop_early, 1.0)
+    leaves = rng.uniform(0.0, 5.0) if rng.random() < leaving else None
     blocks = prompt_tokens // deployment.speeds.block_tokens
     shared = kind.shared_tokens // deployment.speeds.block_tokens
     prefix = tuple(
@@ -283,6 +290,6 @@
         prompt_tokens=prompt_tokens,
         prefix=prefix,
         max_tokens=max_tokens,
-        answer_tokens=max(1, int(max_tokens * early)),
+        answer_tokens=max(1, int(max_tokens * answer_share)),
         leaves_after_s=leaves,
     )
