--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity tool: its lines, its bills, and that it runs at all."""
+"""The capacity tool: fits, calculated costs and a run at small sizes."""
 
 import os
 import unittest
@@ -14,7 +14,7 @@
 
 
 class FitTest(unittest.TestCase):
-    def test_points_on_a_line_give_the_line(self) -> None:
+    def test_points_on_a_line_give_that_line(self) -> None:
         line = capacity_fits.fit(
             'x', unit='B', per='y', points=[(1, 12), (2, 14), (4, 18)]
         )
@@ -23,7 +23,7 @@
         self.assertAlmostEqual(0, line.residual)
         self.assertAlmostEqual(710, line.at(350))
 
-    def test_a_bend_shows_as_a_residual(self) -> None:
+    def test_a_curve_has_a_residual(self) -> None:
         line = capacity_fits.fit(
             'x', unit='B', per='y', points=[(0, 0), (1, 10), (2, 10)]
         )
@@ -35,17 +35,17 @@
     def test_cells_are_never_fewer_than_services_by_region(
         self, cell_size: int | None, cells: int
     ) -> None:
-        aim = capacity_model.Aim(cell_size=cell_size)
-        self.assertEqual(cells, aim.cells)
+        scale = capacity_model.TargetScale(cell_size=cell_size)
+        self.assertEqual(cells, scale.cells)
 
-    def test_means_follow_from_the_rates(self) -> None:
-        aim = capacity_model.Aim()
-        self.assertAlmostEqual(1964, aim.prompt_tokens, delta=1)
-        self.assertAlmostEqual(13.4, aim.held_s, delta=0.1)
+    def test_means_are_derived_from_the_rates(self) -> None:
+        scale = capacity_model.TargetScale()
+        self.assertAlmostEqual(1964, scale.prompt_tokens, delta=1)
+        self.assertAlmostEqual(13.4, scale.held_s, delta=0.1)
 
 
 class RunTest(unittest.TestCase):
-    """One run at small sizes, for all tests."""
+    """All tests use the same run at small sizes."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -61,12 +61,12 @@
         self.assertLess(line.residual, 0.01)
         self.assertGreater(line.slope, 100)
 
-    def test_the_document_travels_whole(self) -> None:
+    def test_a_change_sends_the_full_document(self) -> None:
         line = self.fits_by_name['change bytes at an entry']
-        # Of each account 32 bytes are a digest, which can't be packed.
+        # Each account has a digest of 32 bytes, which can't be compressed.
         self.assertGreater(line.slope, 32)
 
-    def test_every_line_of_the_bill_has_its_slope(self) -> None:
+    def test_every_cost_has_its_fit(self) -> None:
         model = capacity_model.Model(
             fits_by_name=self.fits_by_name,
             process_us_per_s=1.0,
@@ -74,16 +74,16 @@
             process_bytes=3.0,
             renewal_us=4.0,
         )
-        bill = model.bill(capacity_model.Aim())
-        self.assertEqual(3.0, bill[0].memory_bytes)
-        self.assertTrue(all(each.bytes_per_s >= 0 for each in bill))
-        lines = [each.as_line() | {'variant': 'whole'} for each in bill]
+        costs = model.costs(capacity_model.TargetScale())
+        self.assertEqual(3.0, costs[0].memory_bytes)
+        self.assertTrue(all(each.bytes_per_s >= 0 for each in costs))
+        lines = [each.as_line() | {'variant': 'whole'} for each in costs]
         table = capacity_page._costs(lines, 'whole')
-        self.assertEqual(len(bill) + 2, len(table.splitlines()))
+        self.assertEqual(len(costs) + 2, len(table.splitlines()))
 
 
 class ProcessTest(unittest.TestCase):
-    def test_a_process_is_read_from_proc(self) -> None:
+    def test_figures_of_a_process_are_read_from_proc(self) -> None:
         read = capacity_processes._read([os.getpid()], set())[os.getpid()]
         self.assertGreater(read.cpu_s, 0)
         self.assertGreater(read.rss_bytes, 2**20)
@@ -92,5 +92,5 @@
 
 class PageTest(unittest.TestCase):
     @params((3072, '3,070'), (3073, '**3,070**'))
-    def test_what_exceeds_a_limit_is_bold(self, value, shown) -> None:
-        self.assertEqual(shown, capacity_page._marked(value, 3072))
+    def test_values_above_a_limit_are_bold(self, value, shown) -> None:
+        self.assertEqual(shown, capacity_page._bold_if_above(value, 3072))
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,4 +1,8 @@
-"""Measures what control costs, and works out the size of two years."""
+"""Measures the costs of control and extrapolates them to the target scale.
+
+The target scale is the one expected after two years of growth, see
+:class:`tools.capacity_model.TargetScale`.
+"""
 
 from collections import abc
 import json
@@ -17,28 +21,28 @@
 from tools import capacity_processes as processes
 from tools import capacity_runs as runs
 
-#: Cells of this many replicas, which is the default of the document.
-SPLIT = 32
-#: Sizes of the systems of real processes.
-PROCESSES = (3, 9)
+#: Replicas of a cell in the split variant; the default of the document.
+SPLIT_CELL_SIZE = 32
+#: Numbers of instances in the systems of real processes.
+INSTANCE_COUNTS = (3, 9)
 
 
 def measure(quick: bool) -> abc.Iterator[dict[str, typing.Any]]:
-    """Yield the JSON lines of one run."""
+    """Measure, and yield the JSON lines."""
     yield _machine()
-    found = []
+    measured = []
     for each in runs.all_fits(common.QUICK if quick else common.Sizes()):
-        found.append(each)
+        measured.append(each)
         yield each.as_line()
-    spent, renewed = [], []
-    for count in (1, 2) if quick else PROCESSES:
+    usages, renewals = [], []
+    for count in (1, 2) if quick else INSTANCE_COUNTS:
         for each in processes.measure(count, 0.5 if quick else 3.0):
-            is_renewed = isinstance(each, processes.Renewed)
-            (renewed if is_renewed else spent).append(each)
+            is_renewal = isinstance(each, processes.RenewalCost)
+            (renewals if is_renewal else usages).append(each)
             yield each.as_line()
-    outside = _outside_of_reducers(spent, 1.0 if quick else 4.0)
+    outside = _outside_of_reducers(usages, 1.0 if quick else 4.0)
     yield outside.as_line()
-    yield from _bills(found, spent, renewed, outside)
+    yield from _cost_lines(measured, usages, renewals, outside)
 
 
 def _machine() -> dict[str, typing.Any]:
@@ -47,11 +51,15 @@
 
 
 def _outside_of_reducers(
-    spent: abc.Iterable[processes.Spent], seconds: float
+    usages: abc.Iterable[processes.ProcessUsage], seconds: float
 ) -> fits.Fit:
-    """Compare idle processes with reducers alone, by their messages."""
+    """Fit the processor time that idle processes spend outside the reducer.
+
+    It is what a process spends beyond a simulated reducer, by messages a
+    second.
+    """
     points = []
-    for each in spent:
+    for each in usages:
         if each.changes:
             continue
         network = networks.Network(
@@ -74,24 +82,24 @@
     )
 
 
-def _bills(
-    found: abc.Sequence[fits.Fit],
-    spent: abc.Sequence[processes.Spent],
-    renewed: abc.Sequence[processes.Renewed],
+def _cost_lines(
+    measured: abc.Sequence[fits.Fit],
+    usages: abc.Sequence[processes.ProcessUsage],
+    renewals: abc.Sequence[processes.RenewalCost],
     outside: fits.Fit,
 ) -> abc.Iterator[dict[str, typing.Any]]:
     calculated = model.Model(
-        fits_by_name={each.name: each for each in found},
+        fits_by_name={each.name: each for each in measured},
         process_us_per_s=outside.intercept,
         message_us=outside.slope,
-        process_bytes=max(each.rss_bytes for each in spent),
-        renewal_us=statistics.fmean(each.cpu_us for each in renewed),
+        process_bytes=max(each.rss_bytes for each in usages),
+        renewal_us=statistics.fmean(each.cpu_us for each in renewals),
     )
-    for variant, aim in (
-        ('whole', model.Aim()),
-        ('split', model.Aim(cell_size=SPLIT)),
+    for variant, scale in (
+        ('whole', model.TargetScale()),
+        ('split', model.TargetScale(cell_size=SPLIT_CELL_SIZE)),
     ):
-        for cost in calculated.bill(aim):
+        for cost in calculated.costs(scale):
             line = cost.as_line()
             line['cpu_us_per_s'] += calculated.cpu_of_messages(cost)
             yield line | {'variant': variant}
@@ -100,9 +108,10 @@
 def main(*, quick: bool = False, page_from: str = '') -> None:
     """Measure and print JSON lines.
 
-    :param quick: small sizes, to see that it works; no figures to use.
-    :param page_from: write the tables of docs/CAPACITY.md from the lines of
-        this file, and measure nothing.
+    :param quick: use small sizes, to check that the tool works; the figures
+        aren't meaningful.
+    :param page_from: only write the tables of docs/CAPACITY.md from the lines
+        of this file; measure nothing.
     """
     if page_from:
         lines = page.read(pathlib.Path(page_from))
--- a/tools/capacity_calls.py
+++ b/tools/capacity_calls.py
@@ -1,4 +1,4 @@
-"""Renewals, requests, bookings that are held, and claims."""
+"""Measures the costs of renewals, requests, held bookings and claims."""
 
 import collections
 from collections import abc
@@ -12,17 +12,17 @@
 from tools import capacity_fits as fits
 from tools import capacity_network as networks
 
-#: Cache events in one renewal of a model engine.
+#: Cache events in each renewal of a model engine.
 CACHE_EVENTS = 4
-#: Tokens of a call that ends soon, and seconds until bookings are all held.
+#: Tokens of a short call; seconds until all bookings are held.
 _FEW_TOKENS = 10
 _BOOKED_S = 3.0
-#: Virtual seconds in which the cost without calls is taken.
+#: Virtual seconds in which the costs without calls are measured.
 IDLE_S = 5.0
 
 
-class _Replicas:
-    """Stand-ins for backend servers that renew once a second."""
+class _RenewingReplicas:
+    """Simulated backend servers of one service, renewed once a second."""
 
     def __init__(
         self, network: networks.Network, count: int, slots: int = 20
@@ -44,33 +44,33 @@
                     else presence.BackendRole.PREFILL
                 ),
                 url=f'http://10.9.{number // 200}.{number % 200 + 1}:9000',
-                # All in one cell, whose owner is looked at.
+                # All in one cell, whose owner is measured.
                 data_centre=f'centre-{number % 2}',
                 slots=slots,
                 checks_fence=True,
             )
-            front = ids[number % len(ids)]
-            network.tell(
-                front,
+            entry_id = ids[number % len(ids)]
+            network.handle_event(
+                entry_id,
                 presence.Announced(
                     now=network.now, announcement=announcement, ticket=''
                 ),
             )
-            self._due_by_node.setdefault(front, []).append(
+            self._due_by_node.setdefault(entry_id, []).append(
                 (backend_id, network.now + number / count)
             )
         self._network = network
         network.load = self.renew
 
     def renew(self, node: networks.Node) -> None:
-        """Send what is due at one instance."""
+        """Send the renewals that are due at one instance."""
         due = self._due_by_node.get(node.instance_id, [])
-        for place, (backend_id, at) in enumerate(due):
+        for index, (backend_id, at) in enumerate(due):
             if at > self._network.now:
                 continue
-            due[place] = (backend_id, at + 1.0)
+            due[index] = (backend_id, at + 1.0)
             self._sequence += 1
-            self._network.tell(
+            self._network.handle_event(
                 node.instance_id, self._renewed(backend_id), 'presence'
             )
 
@@ -103,14 +103,14 @@
 
 
 def by_replicas(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """Renewals with load and cache events, passed on to a cell's owner."""
+    """Measure renewals with load and cache events, forwarded to the owner."""
     points = collections.defaultdict(list)
     seconds = sizes.seconds
     for count in (0, *sizes.replicas):
-        network = common.started(sizes.fronts, common.VOTERS, models=1)
-        _Replicas(network, count)
+        network = common.start_network(sizes.fronts, common.VOTERS, models=1)
+        _RenewingReplicas(network, count)
         network.run(3.0)
-        common.measured(network, seconds)
+        common.measure(network, seconds)
         owner = common.owner_of(network, 'model-0').meter
         meters = [each.meter for each in network.nodes_by_id.values()]
         total = sum(each.bytes_by_part['presence'] for each in meters)
@@ -127,7 +127,7 @@
         points['renewal processor time at the owner', 'us/s'].append(
             (count, cpu * common.MICRO / seconds)
         )
-    yield from common.lines(points, 'replica of one cell')
+    yield from common.fit_lines(points, 'replica of one cell')
 
 
 def _call(max_tokens: int, prompt_tokens: int) -> events.Call:
@@ -146,10 +146,12 @@
     )
 
 
-class _Calls:
-    """Callers that send at an even rate to the instances in turn.
+class _CallSchedule:
+    """Schedules calls at a constant rate, to the entries in turn.
 
-    :param entries: who gets them.
+    :param rate: calls a second.
+    :param seconds: how long calls are sent.
+    :param make_call: returns the n-th call.
     """
 
     def __init__(
@@ -159,24 +161,26 @@
         entries: abc.Sequence[str],
         rate: float,
         seconds: float,
-        make: abc.Callable[[int], events.Call],
+        make_call: abc.Callable[[int], events.Call],
     ) -> None:
         for number in range(int(rate * seconds)):
             entry = entries[number % len(entries)]
             network.at(
                 number / rate,
                 lambda number=number, entry=entry: network.call(
-                    entry, f'{number:032x}', make(number)
+                    entry, f'{number:032x}', make_call(number)
                 ),
             )
 
 
-def _engines() -> tuple[networks.Network, networks.Node, list[networks.Node]]:
-    """Return a network with engines, the owner and entries of its region."""
-    network = common.started(9, common.VOTERS, models=1)
-    _Replicas(network, 12, slots=400)
+def _start_with_engines() -> tuple[
+    networks.Network, networks.Node, list[networks.Node]
+]:
+    """Return a network with engines, the cell's owner and its entries."""
+    network = common.start_network(9, common.VOTERS, models=1)
+    _RenewingReplicas(network, 12, slots=400)
     network.run(3.0)
-    common.measured(network, IDLE_S)
+    common.measure(network, IDLE_S)
     owner = common.owner_of(network, 'model-0')
     entries = [
         each
@@ -189,42 +193,42 @@
 def _run_calls(
     *, rate: float, prompt_tokens: int, seconds: float
 ) -> tuple[dict[tuple[str, str], float], int]:
-    """Return what the owner and the entries spent, and the answered calls.
+    """Return the costs of the owner and of the entries, and the answers.
 
-    Processor time that they spend anyway is taken off.
+    Processor time that they spend without calls is subtracted.
     """
-    network, owner, entries = _engines()
-    _Calls(
+    network, owner, entries = _start_with_engines()
+    _CallSchedule(
         network=network,
         entries=[each.instance_id for each in entries],
         rate=rate,
         seconds=seconds,
-        make=lambda _: _call(_FEW_TOKENS, prompt_tokens),
+        make_call=lambda _: _call(_FEW_TOKENS, prompt_tokens),
     )
-    # To the end of the last, so that every call counts whole.
+    # Measure until the last call has ended, to count all of its costs.
     drain_s = networks.PREFILL_S + _FEW_TOKENS * networks.TOKEN_S + 1.0
     groups = {'the owner': [owner], 'the entries': entries}
     idle = {name: _cpu(group) / IDLE_S for name, group in groups.items()}
-    common.measured(network, seconds + drain_s)
+    common.measure(network, seconds + drain_s)
     if network.refusals or network.answered < int(rate * seconds):
         raise RuntimeError(
             f'{network.answered} answered, refused: {network.refusals}'
         )
-    spent = {}
+    costs_by_name = {}
     for name, group in groups.items():
-        spent[f'request bytes at {name}', 'B'] = sum(
+        costs_by_name[f'request bytes at {name}', 'B'] = sum(
             each.meter.bytes_by_part['cells'] for each in group
         )
-        # Renewals go by the second, and are counted with held bookings.
-        spent[f'request messages at {name}', '1'] = sum(
+        # Progress messages depend on time and are measured in by_bookings.
+        costs_by_name[f'request messages at {name}', '1'] = sum(
             each.meter.messages_by_part['cells']
             - each.meter.messages_by_kind[cells.Progress.__name__]
             for each in group
         )
-        spent[f'request processor time at {name}', 'us'] = (
+        costs_by_name[f'request processor time at {name}', 'us'] = (
             _cpu(group) - idle[name] * (seconds + drain_s)
         ) * common.MICRO
-    return spent, network.answered
+    return costs_by_name, network.answered
 
 
 def _cpu(nodes: list[networks.Node]) -> float:
@@ -232,34 +236,34 @@
 
 
 def by_requests(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """Booking, start and release of requests that end soon."""
+    """Measure booking, start and release of short requests."""
     points = collections.defaultdict(list)
     for rate in sizes.rates:
-        spent, answered = _run_calls(
+        costs_by_name, answered = _run_calls(
             rate=rate, prompt_tokens=64, seconds=sizes.seconds
         )
-        for key, value in spent.items():
+        for key, value in costs_by_name.items():
             points[key].append((answered, value))
-    yield from common.lines(points, 'request')
+    yield from common.fit_lines(points, 'request')
 
 
 def by_bookings(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """Bookings that are held all the time, and nothing else."""
+    """Measure bookings that are held during the whole measurement."""
     points = collections.defaultdict(list)
     for count in sizes.bookings:
-        network, owner, entries = _engines()
+        network, owner, entries = _start_with_engines()
         tokens = int((_BOOKED_S + sizes.seconds + 2) / networks.TOKEN_S)
-        _Calls(
+        _CallSchedule(
             network=network,
             entries=[each.instance_id for each in entries],
             rate=max(1, count),
             seconds=count and 1.0,
-            make=lambda _, tokens=tokens: _call(tokens, 64),
+            make_call=lambda _, tokens=tokens: _call(tokens, 64),
         )
         network.run(_BOOKED_S)
-        common.measured(network, sizes.seconds)
+        common.measure(network, sizes.seconds)
         if network.refusals or network.answered:
-            raise RuntimeError('not all bookings were held all the time')
+            raise RuntimeError('a booking ended during the measurement')
         for name, group in (('the owner', [owner]), ('the entries', entries)):
             for what, unit, value in (
                 ('bytes', 'B/s', _bytes_of_cells(group)),
@@ -268,7 +272,7 @@
                 points[f'held booking {what} at {name}', unit].append(
                     (count, value / sizes.seconds)
                 )
-    yield from common.lines(points, 'booking')
+    yield from common.fit_lines(points, 'booking')
 
 
 def _bytes_of_cells(nodes: list[networks.Node]) -> float:
@@ -276,15 +280,15 @@
 
 
 def by_prompt(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """The hashes of a prompt's blocks travel to the owner."""
+    """Measure the block hashes of prompts, which are sent to the owner."""
     points = []
     for tokens in sizes.prompt_tokens:
-        spent, answered = _run_calls(
+        costs_by_name, answered = _run_calls(
             rate=sizes.rates[0],
             prompt_tokens=tokens,
             seconds=sizes.seconds / 2,
         )
-        total = spent['request bytes at the entries', 'B']
+        total = costs_by_name['request bytes at the entries', 'B']
         points.append((tokens, total / answered))
     yield fits.fit(
         'request bytes at its entry',
@@ -295,25 +299,26 @@
 
 
 def by_claims(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """Non-idempotent calls with a key: a claim before, a record after."""
+    """Measure non-idempotent calls with a key: one claim, one record."""
     points = collections.defaultdict(list)
     for rate in sizes.rates:
-        network = common.started(9, 5, models=1)
+        network = common.start_network(9, 5, models=1)
         _announce_desk(network)
         network.run(1.0)
-        common.measured(network, 0.0)
+        common.measure(network, 0.0)
         entries = [
             each.instance_id
             for each in network.nodes_by_id.values()
             if not common.is_voter(each) and each.region == networks.REGIONS[0]
         ]
-        # Presence of the plain service lasts three seconds unrenewed.
-        _Calls(
+        # The presence lease of the plain service lasts three seconds and
+        # isn't renewed, so the measurement must end before.
+        _CallSchedule(
             network=network,
             entries=entries,
             rate=rate,
             seconds=1.0,
-            make=_booking,
+            make_call=_booking,
         )
         network.run(2.0)
         if network.answered < rate or network.refusals:
@@ -343,11 +348,11 @@
             ),
         ):
             points[name, unit].append((rate, value))
-    yield from common.lines(points, 'claimed call')
+    yield from common.fit_lines(points, 'claimed call')
 
 
 def _announce_desk(network: networks.Network) -> None:
-    """Let one plain service announce itself."""
+    """Announce one plain service."""
     announcement = presence.BackendAnnouncement(
         backend_id='desk-1',
         incarnation=1,
@@ -359,7 +364,7 @@
         slots=1000,
         checks_fence=False,
     )
-    network.tell(
+    network.handle_event(
         network.ids[0],
         presence.Announced(
             now=network.now, announcement=announcement, ticket=''
--- a/tools/capacity_changes.py
+++ b/tools/capacity_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the document, and the whole configuration with its history."""
+"""Measures changes of the document and the size of the configuration."""
 
 import collections
 from collections import abc
@@ -15,7 +15,7 @@
 
 
 def by_changes(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """One change after the other, by the number of accounts."""
+    """Measure sequential changes, by the number of accounts."""
     points = collections.defaultdict(list)
     for accounts in sizes.accounts:
         tree = networks.make_document(models=6, accounts=accounts)
@@ -27,12 +27,12 @@
         changes = 3
         for number in range(changes):
             tree['accounts'][0]['max_in_flight'] -= 1
-            wanted = network.revision_everywhere() + 1
+            revision = network.revision_everywhere() + 1
             network.propose(tree, f'change-{number}')
             waits.append(
                 network.run_until(
-                    lambda wanted=wanted: (
-                        network.revision_everywhere() >= wanted
+                    lambda revision=revision: (
+                        network.revision_everywhere() >= revision
                     ),
                     30.0,
                 )
@@ -54,7 +54,7 @@
         points['seconds until in force everywhere', 's'].append(
             (accounts, max(waits))
         )
-    yield from common.lines(points, 'client account')
+    yield from common.fit_lines(points, 'client account')
 
 
 def _register_bytes(meters: list[networks.Meter]) -> float:
@@ -62,7 +62,7 @@
 
 
 def by_history(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """The whole configuration, as one gets it who is far behind."""
+    """Measure the full configuration, sent to instances far behind."""
     codec = wire.make_codec()
     points = []
     for count in sizes.records:
@@ -92,7 +92,7 @@
 
 
 def make_record(number: int) -> configuration.ChangeRecord:
-    """Return one change of the history."""
+    """Return a record of one change in the history."""
     return configuration.ChangeRecord(
         change_id=f'{number:032x}',
         revision=number,
--- a/tools/capacity_common.py
+++ b/tools/capacity_common.py
@@ -1,4 +1,4 @@
-"""What all runs of the capacity tool share: sizes, and how one is begun."""
+"""Sizes and helpers that all measurements of the capacity tool share."""
 
 from collections import abc
 import dataclasses
@@ -8,14 +8,14 @@
 from tools import capacity_fits as fits
 from tools import capacity_network as networks
 
-#: Voters, where something else varies.
+#: Number of voters where another size varies.
 VOTERS = 5
 MICRO = 1e6
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Sizes:
-    """How large and how long the runs are."""
+    """Sizes and durations of the measurements."""
 
     instances: tuple[int, ...] = (10, 24, 45)
     voters: tuple[int, ...] = (3, 5, 7)
@@ -51,41 +51,41 @@
 )
 
 
-def started(
+def start_network(
     instances: int, voters: int, models: int, accounts: int = 1
 ) -> networks.Network:
-    """Return a network that serves under a document, at rest."""
+    """Return an idle network in which a document is in force."""
     network = networks.Network(instances=instances, voters=voters)
     network.start(networks.make_document(models=models, accounts=accounts))
-    # Leases are taken and first looks are over.
+    # Let leases be acquired and the first lookups end.
     network.run(4.0)
     return network
 
 
-def measured(network: networks.Network, seconds: float) -> None:
-    """Measure from now on, for so many virtual seconds."""
+def measure(network: networks.Network, seconds: float) -> None:
+    """Reset all meters, then run for ``seconds`` of virtual time."""
     network.reset()
     gc.collect()
     network.run(seconds)
 
 
 def mean(values: abc.Iterable[float]) -> float:
-    """Return the mean, zero of nothing."""
+    """Return the mean; zero for no values."""
     return statistics.fmean(list(values) or [0.0])
 
 
-def owns(node: networks.Node) -> bool:
-    """Whether an instance owns a cell."""
+def owns_cell(node: networks.Node) -> bool:
+    """Return whether an instance owns a cell."""
     return bool(node.reducer.owner.cells_by_id)
 
 
 def is_voter(node: networks.Node) -> bool:
-    """Whether an instance is a voter."""
+    """Return whether an instance is a voter."""
     return node.reducer.register.disk_id is not None
 
 
 def owner_of(network: networks.Network, service: str) -> networks.Node:
-    """Return who owns a service's cell of the first region."""
+    """Return the owner of a service's cell in the first region."""
     return next(
         node
         for node in network.nodes_by_id.values()
@@ -94,7 +94,7 @@
     )
 
 
-def lines(
+def fit_lines(
     points_by_name: dict[tuple[str, str], list[tuple[float, float]]], per: str
 ) -> abc.Iterator[fits.Fit]:
     """Fit a line through the points of each name and unit."""
--- a/tools/capacity_fits.py
+++ b/tools/capacity_fits.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points, with what it leaves unexplained."""
+"""Linear fits through measured points, and their residuals."""
 
 import dataclasses
 import statistics
@@ -8,9 +8,9 @@
 class Fit:
     """``value = intercept + slope * size``.
 
-    :param name: what was measured, and for whom.
+    :param name: the measured quantity and the role that it belongs to.
     :param unit: of the value.
-    :param per: what the size counts.
+    :param per: what the size counts, for example "replica".
     :param points: size and value of each measurement.
     """
 
@@ -23,14 +23,14 @@
 
     @property
     def residual(self) -> float:
-        """Largest distance from the line, as a share of the largest value."""
+        """Largest deviation from the line, relative to the largest value."""
         largest = max(abs(value) for _, value in self.points) or 1.0
         return max(
             abs(value - self.at(size)) / largest for size, value in self.points
         )
 
     def at(self, size: float) -> float:
-        """Return the value that the line gives for a size."""
+        """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
     def as_line(self) -> dict[str, object]:
@@ -52,7 +52,7 @@
 def fit(
     name: str, *, unit: str, per: str, points: list[tuple[float, float]]
 ) -> Fit:
-    """Return the line of least squares through two points or more."""
+    """Return the least-squares line through at least two points."""
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
     slope, intercept = statistics.linear_regression(sizes, values)
--- a/tools/capacity_idle.py
+++ b/tools/capacity_idle.py
@@ -1,4 +1,4 @@
-"""An idle system: probes, asks for the configuration, leases."""
+"""Measures an idle system: probes, configuration queries, leases."""
 
 import collections
 from collections import abc
@@ -7,51 +7,55 @@
 from tools import capacity_fits as fits
 from tools import capacity_network as networks
 
-#: Instances to one voter where the number of voters varies.
-ASKERS = 4
+#: Instances per voter where the number of voters varies.
+INSTANCES_PER_VOTER = 4
 
 
 def by_instances(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """An idle system: probes, news, and asks for the configuration.
+    """Measure probes, gossip and configuration queries of an idle system.
 
-    Leases are left out here, see :func:`by_cells`. A voter's cost grows
-    with the instances that ask it, and with the voters that it asks.
+    Leases are excluded, see :func:`by_cells`. A voter's cost grows with the
+    number of instances that query it and with the number of voters that it
+    queries itself.
     """
     points = collections.defaultdict(list)
-    asked = collections.defaultdict(list)
+    points_by_querier = collections.defaultdict(list)
     for count in sizes.instances:
         by_role = _idle(count, common.VOTERS, sizes)
         for (quantity, unit), value in by_role['entry'].items():
             points[f'entry {quantity}', unit].append((count, value))
         for (quantity, unit), value in by_role['voter'].items():
-            asked[f'voter {quantity}, by askers', unit].append(
+            points_by_querier[f'voter {quantity}, by askers', unit].append(
                 (count / common.VOTERS, value)
             )
-    yield from common.lines(points, 'instance')
-    yield from common.lines(asked, 'instance that asks this voter')
+    yield from common.fit_lines(points, 'instance')
+    yield from common.fit_lines(
+        points_by_querier, 'instance that asks this voter'
+    )
     points.clear()
     for voters in sizes.voters:
-        by_role = _idle(voters * ASKERS, voters, sizes)
+        by_role = _idle(voters * INSTANCES_PER_VOTER, voters, sizes)
         for (quantity, unit), value in by_role['voter'].items():
             points[f'voter {quantity}, by voters', unit].append(
                 (voters, value)
             )
-    yield from common.lines(points, 'voter')
+    yield from common.fit_lines(points, 'voter')
 
 
 def _idle(
     instances: int, voters: int, sizes: common.Sizes
 ) -> dict[str, dict[tuple[str, str], float]]:
-    network = common.started(instances, voters, models=0)
-    # News of the start goes on for some rounds after all know all.
+    network = common.start_network(instances, voters, models=0)
+    # Gossip about the start continues for some rounds after all instances
+    # have each other in their member lists.
     network.run(sizes.settle_s)
     seconds = sizes.seconds
-    common.measured(network, seconds)
+    common.measure(network, seconds)
     return {
         role: {
             (quantity, unit): common.mean(read(each.meter) for each in nodes)
             / seconds
-            for quantity, unit, read in _IDLE
+            for quantity, unit, read in _QUANTITIES
         }
         for role, nodes in _by_role(network).items()
     }
@@ -69,7 +73,7 @@
     return (meter.cpu_s - meter.cpu_s_by_part['leases']) * common.MICRO
 
 
-_IDLE: tuple[tuple[str, str, abc.Callable], ...] = (
+_QUANTITIES: tuple[tuple[str, str, abc.Callable], ...] = (
     ('idle bytes', 'B/s', _idle_bytes),
     ('idle messages', '1/s', _idle_messages),
     ('idle processor time', 'us/s', _idle_cpu),
@@ -82,24 +86,26 @@
         'voter': [
             each
             for each in nodes
-            if common.is_voter(each) and not common.owns(each)
+            if common.is_voter(each) and not common.owns_cell(each)
         ],
         'entry': [
             each
             for each in nodes
-            if not common.is_voter(each) and not common.owns(each)
+            if not common.is_voter(each) and not common.owns_cell(each)
         ]
-        # In the smallest systems every instance is a voter or an owner.
+        # In the smallest systems, every instance is a voter or an owner.
         or nodes,
     }
 
 
 def by_cells(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """Leases: one for each cell, renewed at every voter."""
+    """Measure leases: one for each cell, renewed at every voter."""
     points = collections.defaultdict(list)
     for models in sizes.models:
-        network = common.started(sizes.instances[0], common.VOTERS, models)
-        common.measured(network, sizes.seconds)
+        network = common.start_network(
+            sizes.instances[0], common.VOTERS, models
+        )
+        common.measure(network, sizes.seconds)
         nodes = list(network.nodes_by_id.values())
         held = sum(len(each.reducer.owner.cells_by_id) for each in nodes)
         voters = [each.meter for each in nodes if common.is_voter(each)]
@@ -124,4 +130,4 @@
         points['lease processor time at a voter', 'us/s'].append(
             (held, cpu * common.MICRO / seconds)
         )
-    yield from common.lines(points, 'cell')
+    yield from common.fit_lines(points, 'cell')
--- a/tools/capacity_memory.py
+++ b/tools/capacity_memory.py
@@ -1,4 +1,4 @@
-"""What one more of each costs in memory, and on the disk."""
+"""Measures memory and disk use per claim, replica, account and so on."""
 
 from collections import abc
 import gc
@@ -21,7 +21,7 @@
 
 
 def by_memory(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """What one more of each costs in memory, by tracemalloc."""
+    """Measure memory by size, with tracemalloc, and the journal of claims."""
     for name, per, counts, make in (
         ('memory of claims', 'claimed call', sizes.slots, _claim_slots),
         ('memory of presence', 'replica', sizes.slots, _presences),
@@ -38,7 +38,7 @@
         'journal of claims',
         unit='B',
         per='claimed call',
-        # Two records: one when it is taken, one with the outcome.
+        # Two records a claim: one when granted, one with the outcome.
         points=[(1, 2 * len(body)), (2, 4 * len(body))],
     )
 
@@ -121,8 +121,8 @@
             slots=4,
         )
     )
-    wanted = min(count, backend_state.MOST_BLOCKS)
-    state.add_blocks([f'{block:016x}' for block in range(wanted)])
+    block_count = min(count, backend_state.MOST_BLOCKS)
+    state.add_blocks([f'{block:016x}' for block in range(block_count)])
     return state, 1
 
 
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -1,4 +1,4 @@
-"""The size of two years, worked out from measured slopes."""
+"""Calculates costs at the target scale from measured slopes."""
 
 from collections import abc
 import dataclasses
@@ -10,23 +10,25 @@
 
 KIB = 1024
 DAY_S = 86400.0
-#: Changes that the register remembers, to know a resend by.
+#: Changes that the register records to detect a resend.
 HISTORY = 10_000
-#: What a node may spend on control.
+#: Limits of what an instance may spend on control.
 BYTES_PER_S = 3 * KIB
 CPU_US_PER_S = 32_000.0
 MEMORY_BYTES = 256 * KIB**2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Aim:
-    """The sizes that the design aims at, and what is assumed besides.
-
-    :param voters: assumed; at most 12 instances may be set aside.
-    :param kv_bytes_per_token: assumed; with it the KV cache of 550 GB a
-        second means prompts of about 2,000 tokens.
-    :param claimed_share: assumed part of the calls that carry a claim.
-    :param cell_size: replicas to a cell; ``None`` while pools aren't split.
+class TargetScale:
+    """The target scale of the design, with further assumptions.
+
+    It is the scale expected after two years of growth.
+
+    :param voters: assumed; at most 12 instances may be reserved for it.
+    :param kv_bytes_per_token: assumed; with it, KV caches of 550 GB a
+        second correspond to prompts of about 2,000 tokens.
+    :param claimed_share: assumed fraction of the calls that have a claim.
+    :param cell_size: replicas of a cell; ``None`` if pools aren't split.
     """
 
     instances: int = 350
@@ -48,7 +50,7 @@
 
     @property
     def cells(self) -> int:
-        """Cells, and so leases."""
+        """Number of cells; each has a lease."""
         whole = self.models * self.regions
         if self.cell_size is None:
             return whole
@@ -56,13 +58,13 @@
 
     @property
     def prompt_tokens(self) -> float:
-        """Mean length of a prompt."""
+        """Mean number of tokens of a prompt."""
         per_request = self.kv_bytes_per_s / self.requests_per_s
         return per_request / self.kv_bytes_per_token
 
     @property
     def held_s(self) -> float:
-        """Mean time that a request holds its slot, the prefill left out."""
+        """Mean seconds that a request holds its slot, without the prefill."""
         tokens = self.tokens_per_s / self.requests_per_s
         return tokens * self.token_gap_s
 
@@ -77,11 +79,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cost:
-    """One line of a role's bill.
+    """One item of the costs of a role.
 
-    :param role: who pays.
-    :param what: for which work.
-    :param carried_by: the mechanism, by module.
+    :param role: the role of an instance that has the costs.
+    :param what: the work that causes them.
+    :param carried_by: the modules that do the work.
     """
 
     role: str
@@ -102,13 +104,15 @@
 
 
 class Model:
-    """Bills by role.
-
-    :param fits_by_name: every line that was measured.
-    :param process_us_per_s: of an idle process beside its messages.
-    :param message_us: of one message besides the reducer's part.
-    :param process_bytes: resident memory of a process that knows little.
-    :param renewal_us: of one backend server's renewal over HTTP.
+    """Calculates the costs of each role.
+
+    :param fits_by_name: all measured lines.
+    :param process_us_per_s: processor time of an idle process without its
+        messages.
+    :param message_us: processor time of a message outside the reducer.
+    :param process_bytes: resident memory of a process in a small system.
+    :param renewal_us: processor time of a backend server's renewal over
+        HTTP.
     """
 
     def __init__(
@@ -126,22 +130,23 @@
         self._process_bytes = process_bytes
         self._renewal_us = renewal_us
 
-    def bill(self, aim: Aim) -> list[Cost]:
-        """Return every line, role by role."""
+    def costs(self, scale: TargetScale) -> list[Cost]:
+        """Return all costs, sorted by role."""
         return [
-            *self._every_instance(aim),
-            *self._entry(aim),
-            *self._owner(aim),
-            *self._voter(aim),
+            *self._every_instance(scale),
+            *self._entry(scale),
+            *self._owner(scale),
+            *self._voter(scale),
         ]
 
     def _at(self, name: str, size: float) -> float:
         return self._fits_by_name[name].at(size)
 
-    def _no_less(self, name: str, size: float) -> float:
-        """Return what the line gives, but no less than was measured.
+    def _at_least_measured(self, name: str, size: float) -> float:
+        """Return the value of the line, but at least the largest measured one.
 
-        Where nothing grows, noise can tilt a line downwards.
+        Where a value doesn't grow with size, noise can give the line a
+        negative slope.
         """
         line = self._fits_by_name[name]
         return max(line.at(size), *(value for _, value in line.points))
@@ -149,8 +154,8 @@
     def _slope(self, name: str) -> float:
         return self._fits_by_name[name].slope
 
-    def _every_instance(self, aim: Aim) -> list[Cost]:
-        document = self._at('memory of the document', aim.accounts)
+    def _every_instance(self, scale: TargetScale) -> list[Cost]:
+        document = self._at('memory of the document', scale.accounts)
         history = self._at('memory of the history', HISTORY)
         return [
             Cost(
@@ -164,32 +169,36 @@
                 role='every instance',
                 what='probes, news, asks for the configuration',
                 carried_by='membership, register',
-                bytes_per_s=self._no_less('entry idle bytes', aim.instances),
-                messages_per_s=self._no_less(
-                    'entry idle messages', aim.instances
+                bytes_per_s=self._at_least_measured(
+                    'entry idle bytes', scale.instances
                 ),
-                cpu_us_per_s=self._no_less(
-                    'entry idle processor time', aim.instances
+                messages_per_s=self._at_least_measured(
+                    'entry idle messages', scale.instances
                 ),
-                memory_bytes=self._at('memory of a reducer', aim.instances),
+                cpu_us_per_s=self._at_least_measured(
+                    'entry idle processor time', scale.instances
+                ),
+                memory_bytes=self._at('memory of a reducer', scale.instances),
             ),
             Cost(
                 role='every instance',
                 what='changes of the document',
                 carried_by='register',
-                bytes_per_s=aim.changes_per_s
-                * self._at('change bytes at an entry', aim.accounts),
-                cpu_us_per_s=aim.changes_per_s
-                * self._at('change processor time at an entry', aim.accounts),
+                bytes_per_s=scale.changes_per_s
+                * self._at('change bytes at an entry', scale.accounts),
+                cpu_us_per_s=scale.changes_per_s
+                * self._at(
+                    'change processor time at an entry', scale.accounts
+                ),
                 memory_bytes=document + history,
             ),
         ]
 
-    def _entry(self, aim: Aim) -> list[Cost]:
-        rate = aim.requests_per_s / aim.instances
-        replicas = aim.replicas / aim.instances
+    def _entry(self, scale: TargetScale) -> list[Cost]:
+        rate = scale.requests_per_s / scale.instances
+        replicas = scale.replicas / scale.instances
         sent = self._slope('renewal bytes of all together') / 2
-        claims = aim.claims_per_s / aim.instances
+        claims = scale.claims_per_s / scale.instances
         return [
             Cost(
                 role='entry',
@@ -199,21 +208,25 @@
                 messages_per_s=replicas * 2,
                 cpu_us_per_s=replicas * self._renewal_us,
             ),
-            self._requests('entry', 'the entries', rate, aim),
-            self._bookings('entry', 'the entries', rate, aim),
+            self._requests('entry', 'the entries', rate, scale),
+            self._bookings('entry', 'the entries', rate, scale),
             Cost(
                 role='entry',
                 what='claims of non-idempotent calls',
                 carried_by='claims',
                 bytes_per_s=claims
                 * self._slope('claim bytes at the entries')
-                * aim.voters
+                * scale.voters
                 / 5,
             ),
         ]
 
-    def _requests(self, role: str, whose: str, rate: float, aim: Aim) -> Cost:
-        prompt = self._slope('request bytes at its entry') * aim.prompt_tokens
+    def _requests(
+        self, role: str, whose: str, rate: float, scale: TargetScale
+    ) -> Cost:
+        prompt = (
+            self._slope('request bytes at its entry') * scale.prompt_tokens
+        )
         return Cost(
             role=role,
             what='requests: book, start, release',
@@ -225,13 +238,15 @@
             * self._slope(f'request processor time at {whose}'),
         )
 
-    def _bookings(self, role: str, whose: str, rate: float, aim: Aim) -> Cost:
-        held = rate * aim.held_s
-        # One message a second from each entry to each cell that it uses.
+    def _bookings(
+        self, role: str, whose: str, rate: float, scale: TargetScale
+    ) -> Cost:
+        held = rate * scale.held_s
+        # Each entry sends one message a second to each cell that it uses.
         messages = (
-            min(held, aim.cells / aim.regions)
+            min(held, scale.cells / scale.regions)
             if role == 'entry'
-            else min(held, aim.instances / aim.regions)
+            else min(held, scale.instances / scale.regions)
         )
         return Cost(
             role=role,
@@ -244,9 +259,9 @@
             memory_bytes=held * 3 * KIB,
         )
 
-    def _owner(self, aim: Aim) -> list[Cost]:
-        replicas = aim.replicas / aim.cells
-        rate = aim.requests_per_s / aim.cells
+    def _owner(self, scale: TargetScale) -> list[Cost]:
+        replicas = scale.replicas / scale.cells
+        rate = scale.requests_per_s / scale.cells
         role = 'owner of a cell'
         leases = self._slope('lease bytes of all together') / 2
         return [
@@ -268,75 +283,82 @@
                     )
                 ),
             ),
-            self._requests(role, 'the owner', rate, aim),
-            self._bookings(role, 'the owner', rate, aim),
+            self._requests(role, 'the owner', rate, scale),
+            self._bookings(role, 'the owner', rate, scale),
             Cost(
                 role=role,
                 what='its lease',
                 carried_by='leases',
-                bytes_per_s=leases * aim.voters / 5,
-                messages_per_s=4 * aim.voters,
+                bytes_per_s=leases * scale.voters / 5,
+                messages_per_s=4 * scale.voters,
                 cpu_us_per_s=self._slope('lease processor time at a voter')
-                * aim.voters,
+                * scale.voters,
             ),
         ]
 
-    def _voter(self, aim: Aim) -> list[Cost]:
-        askers = aim.instances / aim.voters
+    def _voter(self, scale: TargetScale) -> list[Cost]:
+        askers = scale.instances / scale.voters
         role = 'voter and claim holder'
         copies = askers + 2
-        kept = aim.claims_per_s * aim.retention_s
+        kept = scale.claims_per_s * scale.retention_s
         return [
             Cost(
                 role=role,
                 what='asks for the configuration, checks among voters',
                 carried_by='register',
-                bytes_per_s=self._idle_voter('bytes', askers, aim),
-                messages_per_s=self._idle_voter('messages', askers, aim),
-                cpu_us_per_s=self._idle_voter('processor time', askers, aim),
+                bytes_per_s=self._idle_voter('bytes', askers, scale),
+                messages_per_s=self._idle_voter('messages', askers, scale),
+                cpu_us_per_s=self._idle_voter('processor time', askers, scale),
             ),
             Cost(
                 role=role,
                 what='changes, given on to those who ask',
                 carried_by='register',
-                bytes_per_s=aim.changes_per_s
+                bytes_per_s=scale.changes_per_s
                 * copies
-                * self._at('change bytes at an entry', aim.accounts),
+                * self._at('change bytes at an entry', scale.accounts),
             ),
             Cost(
                 role=role,
                 what='leases that it grants',
                 carried_by='leases',
-                bytes_per_s=self._at('lease bytes at a voter', aim.cells),
+                bytes_per_s=self._at('lease bytes at a voter', scale.cells),
                 messages_per_s=self._at(
-                    'lease messages at a voter', aim.cells
+                    'lease messages at a voter', scale.cells
                 ),
                 cpu_us_per_s=self._at(
-                    'lease processor time at a voter', aim.cells
+                    'lease processor time at a voter', scale.cells
                 ),
             ),
             Cost(
                 role=role,
                 what='claims that it keeps',
                 carried_by='claims, journal',
-                bytes_per_s=aim.claims_per_s
+                bytes_per_s=scale.claims_per_s
                 * self._slope('claim bytes at a voter'),
-                messages_per_s=aim.claims_per_s * 4,
-                cpu_us_per_s=aim.claims_per_s
+                messages_per_s=scale.claims_per_s * 4,
+                cpu_us_per_s=scale.claims_per_s
                 * self._slope('claim processor time at a voter'),
                 memory_bytes=kept * self._slope('memory of claims'),
             ),
         ]
 
-    def _idle_voter(self, quantity: str, askers: float, aim: Aim) -> float:
-        """Return a voter's own part, beside that of every instance."""
+    def _idle_voter(
+        self, quantity: str, askers: float, scale: TargetScale
+    ) -> float:
+        """Return the costs of a voter in excess of those of any instance."""
         by_voters = self._fits_by_name[f'voter idle {quantity}, by voters']
         by_askers = self._fits_by_name[f'voter idle {quantity}, by askers']
         sizes = [size for size, _ in by_voters.points]
-        own = self._no_less(f'entry idle {quantity}', sizes[-1] * idle.ASKERS)
-        more = by_askers.slope * (askers - idle.ASKERS)
-        return max(0.0, by_voters.at(aim.voters) + more - own)
+        own = self._at_least_measured(
+            f'entry idle {quantity}', sizes[-1] * idle.INSTANCES_PER_VOTER
+        )
+        more = by_askers.slope * (askers - idle.INSTANCES_PER_VOTER)
+        return max(0.0, by_voters.at(scale.voters) + more - own)
 
     def cpu_of_messages(self, cost: Cost) -> float:
-        """Return what the messages of a line cost outside the reducer."""
+        """Return the processor time of a cost's messages outside the reducer.
+
+        :returns: microseconds a second.
+        """
         return cost.messages_per_s * self._message_us
--- a/tools/capacity_network.py
+++ b/tools/capacity_network.py
@@ -1,8 +1,8 @@
 """Instances in one process: real reducers, a virtual clock, a fake network.
 
-Every message is encoded, sealed and decoded as between processes, and its
-bytes are counted. What no socket carries has no cost here: the figures of
-``tools/capacity_processes.py`` tell what a real process spends besides.
+Every message is encoded, sealed, opened and decoded as between processes, and
+its bytes are counted. Sockets and the rest of a process aren't simulated;
+``tools/capacity_processes.py`` measures what real processes spend.
 """
 
 import collections
@@ -35,7 +35,8 @@
 from dandeliongw import verdict
 from dandeliongw import wire
 
-#: Of one message besides its envelope: gRPC 5, HTTP/2 9, TCP and IP 52.
+#: Overhead of a message beyond its envelope: gRPC 5, HTTP/2 9, TCP and IP
+#: 52.
 FRAME_BYTES = 66
 SYNC_S = 0.002
 NEAR_S = 0.0005
@@ -65,11 +66,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Meter:
-    """What one instance has spent.
+    """The resources that one instance has used.
 
-    :param messages_by_kind: the same, by the names of their types.
-    :param bytes_by_part: sent and received, with frames.
-    :param cpu_s_by_part: inside the reducer, codec and envelopes.
+    :param messages_by_part: messages sent and received.
+    :param messages_by_kind: the same, by the name of the message type.
+    :param bytes_by_part: bytes sent and received, with ``FRAME_BYTES``.
+    :param cpu_s_by_part: processor time in the reducer, the codec and the
+        sealing of envelopes.
     """
 
     sent_bytes: int = 0
@@ -89,17 +92,17 @@
 
     @property
     def bytes(self) -> int:
-        """Both ways."""
+        """Bytes sent and received."""
         return self.sent_bytes + self.received_bytes
 
     @property
     def messages(self) -> int:
-        """Both ways."""
+        """Messages sent and received."""
         return sum(self.messages_by_part.values())
 
     @property
     def cpu_s(self) -> float:
-        """All parts together."""
+        """Processor time of all parts."""
         return sum(self.cpu_s_by_part.values())
 
 
@@ -117,9 +120,9 @@
 
 
 class Network:
-    """Instances that only this process knows of.
+    """Simulated instances, connected by a fake network.
 
-    :param instances: how many.
+    :param instances: number of instances.
     :param voters: how many of them are voters.
     """
 
@@ -138,54 +141,60 @@
             peer['instance_id']: _make_node(peer, peers) for peer in peers
         }
         self.ids = tuple(self.nodes_by_id)
-        for place, node in enumerate(self.nodes_by_id.values()):
-            # Ticks are spread out, or all messages would meet at one time.
-            self.at(place / instances * runtime.TICK_S, self._ticking(node))
+        for index, node in enumerate(self.nodes_by_id.values()):
+            # Stagger the ticks; otherwise all messages would be sent at once.
+            self.at(index / instances * runtime.TICK_S, self._make_tick(node))
 
     # Time
 
-    def at(self, after_s: float, do: abc.Callable[[], None]) -> None:
-        """Do something, so many seconds from now."""
-        heapq.heappush(self._heap, (self.now + after_s, next(self._order), do))
+    def at(self, after_s: float, action: abc.Callable[[], None]) -> None:
+        """Schedule a call ``after_s`` seconds from now."""
+        heapq.heappush(
+            self._heap, (self.now + after_s, next(self._order), action)
+        )
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual time."""
         until = self.now + seconds
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, do = heapq.heappop(self._heap)
-            do()
+            self.now, _, action = heapq.heappop(self._heap)
+            action()
         self.now = until
 
     def run_until(
         self, check: abc.Callable[[], bool], limit_s: float
     ) -> float:
-        """Let time pass until a check holds; return the seconds it took.
+        """Advance the time until a check is true.
 
-        :raises TimeoutError: when it does not hold in ``limit_s``.
+        :returns: the virtual seconds that it took.
+        :raises TimeoutError: when it isn't true within ``limit_s``.
         """
         started = self.now
         while not check():
             if self.now - started > limit_s:
-                raise TimeoutError(f'{check} does not hold')
+                raise TimeoutError(f'timed out waiting for {check}')
             self.run(0.05)
         return self.now - started
 
     def reset(self) -> None:
-        """Begin to measure."""
+        """Reset all meters."""
         for node in self.nodes_by_id.values():
             node.meter = Meter()
 
     # Events and effects
 
-    def tell(
+    def handle_event(
         self, instance_id: str, event: typing.Any, part: str = ''
     ) -> None:
-        """Let an instance handle an event; perform what it wants done."""
+        """Let an instance handle an event, and perform the effects.
+
+        :param part: counts the processor time; the event's type by default.
+        """
         node = self.nodes_by_id[instance_id]
         name = part or type(event).__name__
         began = time.thread_time()
-        wanted = node.reducer.handle(event)
-        sends = [each for each in wanted if isinstance(each, parts.Send)]
+        requested = node.reducer.handle(event)
+        sends = [each for each in requested if isinstance(each, parts.Send)]
         sealed = [
             (each, node.sealer.seal(each.to, *_CODEC.encode(each.message)))
             for each in sends
@@ -193,7 +202,7 @@
         node.meter.cpu_s_by_part[name] += time.thread_time() - began
         for each, envelope in sealed:
             self._send(node, each, envelope)
-        for each in wanted:
+        for each in requested:
             self._perform(node, each)
 
     def _send(
@@ -222,13 +231,13 @@
             received = type(envelope).FromString(body)
             problem = target.opener.check(received)
             message = _CODEC.decode(received.kind, received.body)
-            spent = time.thread_time() - began
-            target.meter.cpu_s_by_part[part] += spent
+            elapsed_s = time.thread_time() - began
+            target.meter.cpu_s_by_part[part] += elapsed_s
             if problem is None:
                 event = parts.Received(
                     now=self.now, sender=node.instance_id, message=message
                 )
-                self.tell(target.instance_id, event, part)
+                self.handle_event(target.instance_id, event, part)
 
         self.at(NEAR_S if near else FAR_S, deliver)
 
@@ -255,7 +264,7 @@
     def _persisted(self, node: Node, token: str) -> None:
         part = token.partition('/')[0]
         event = parts.Persisted(now=self.now, token=token)
-        self.tell(node.instance_id, event, part)
+        self.handle_event(node.instance_id, event, part)
 
     def _step(
         self, node: Node, effect: typing.Any, step: events.Step, after_s: float
@@ -271,16 +280,16 @@
                 tokens=100,
                 outcome=b'{"booked": true}',
             )
-            self.tell(node.instance_id, ended, 'requests')
+            self.handle_event(node.instance_id, ended, 'requests')
 
         self.at(after_s, end)
 
     def _close(self, node: Node, request_id: str) -> None:
         self._max_tokens_by_request.pop(request_id, None)
         closed = events.RequestClosed(now=self.now, request_id=request_id)
-        self.tell(node.instance_id, closed, 'requests')
+        self.handle_event(node.instance_id, closed, 'requests')
 
-    def _ticking(self, node: Node) -> abc.Callable[[], None]:
+    def _make_tick(self, node: Node) -> abc.Callable[[], None]:
         def tick() -> None:
             if node.is_down:
                 return
@@ -289,14 +298,14 @@
             event = parts.Ticked(
                 now=self.now, entropy=self._random.getrandbits(64)
             )
-            self.tell(node.instance_id, event, 'ticks')
+            self.handle_event(node.instance_id, event, 'ticks')
 
         return tick
 
-    # What callers, operators and backend servers do
+    # Callers, operators and backend servers
 
     def propose(self, tree: dict[str, typing.Any], change_id: str) -> None:
-        """Make a document the next revision, at the first instance."""
+        """Propose a document as the next revision, at the first instance."""
         first = self.nodes_by_id[self.ids[0]]
         body = document.document_bytes(
             document.parse_document(json.dumps(tree).encode())
@@ -310,10 +319,10 @@
             document=body,
             entropy=self._random.getrandbits(64),
         )
-        self.tell(first.instance_id, event)
+        self.handle_event(first.instance_id, event)
 
     def revision_everywhere(self) -> int:
-        """Return the lowest revision that is in force; -1 before the first."""
+        """Return the lowest revision of all instances; -1 before the first."""
         revisions = [
             node.reducer.register.revision
             for node in self.nodes_by_id.values()
@@ -321,13 +330,13 @@
         return min(-1 if each is None else each for each in revisions)
 
     def start(self, tree: dict[str, typing.Any]) -> None:
-        """Run until all serve under a document and know each other."""
+        """Run until all serve a document and see all members as alive."""
         self.run_until(lambda: self.revision_everywhere() >= 0, 60.0)
         self.propose(tree, 'first')
         self.run_until(lambda: self.revision_everywhere() >= 1, 60.0)
-        self.run_until(self._all_known, 120.0)
+        self.run_until(self._all_members_alive, 120.0)
 
-    def _all_known(self) -> bool:
+    def _all_members_alive(self) -> bool:
         return all(
             len(node.reducer.membership.alive_ids()) == len(self.ids)
             for node in self.nodes_by_id.values()
@@ -336,7 +345,7 @@
     def call(
         self, instance_id: str, request_id: str, call: events.Call
     ) -> None:
-        """Let a caller's request arrive."""
+        """Deliver a caller's request to an instance."""
         self._max_tokens_by_request[request_id] = call.max_tokens
         arrived = events.RequestArrived(
             now=self.now,
@@ -344,11 +353,11 @@
             call=call,
             entropy=self._random.getrandbits(64),
         )
-        self.tell(instance_id, arrived, 'requests')
+        self.handle_event(instance_id, arrived, 'requests')
 
 
 def _no_load(node: Node) -> None:
-    """Nothing comes in."""
+    """Generate no load; the default of :attr:`Network.load`."""
 
 
 def _peer(number: int, voter: bool) -> dict[str, typing.Any]:
@@ -396,7 +405,11 @@
 
 
 def make_document(*, models: int, accounts: int) -> dict[str, typing.Any]:
-    """Return a document with so many model services and accounts."""
+    """Return a document with model services, a plain one and accounts.
+
+    :param models: number of model services.
+    :param accounts: number of client accounts.
+    """
     names = [f'model-{number}' for number in range(models)]
     services: list[dict[str, typing.Any]] = [
         {
--- a/tools/capacity_page.py
+++ b/tools/capacity_page.py
@@ -1,4 +1,4 @@
-"""Makes the tables of docs/CAPACITY.md from the JSON lines of a run."""
+"""Generates the tables of docs/CAPACITY.md from the JSON lines of a run."""
 
 from collections import abc
 import itertools
@@ -10,8 +10,8 @@
 from tools import capacity_model as model
 
 PAGE = pathlib.Path('docs/CAPACITY.md')
-#: Smaller values are what rounding left of a zero.
-_NOTHING = 1e-9
+#: Smaller values are rounding errors of zero.
+_ZERO_TOLERANCE = 1e-9
 Line = abc.Mapping[str, typing.Any]
 
 
@@ -21,7 +21,7 @@
 
 
 def tables(lines: abc.Sequence[Line]) -> dict[str, str]:
-    """Return every table of the page by its name."""
+    """Return the tables of the page by name."""
     return {
         'machine': _machine(lines),
         'slopes': _slopes(lines),
@@ -34,7 +34,7 @@
 
 
 def fill(page: str, lines: abc.Sequence[Line]) -> str:
-    """Return the page with its tables made anew."""
+    """Return the page with its tables replaced."""
     for name, table in tables(lines).items():
         page = re.sub(
             rf'(<!-- table: {name} -->\n).*?(<!-- end -->)',
@@ -111,14 +111,14 @@
                     f'**{role}**' if place == 0 else '',
                     each['cost'],
                     each['carried_by'],
-                    _marked(each['bytes_per_s'], model.BYTES_PER_S),
+                    _bold_if_above(each['bytes_per_s'], model.BYTES_PER_S),
                     _number(each['messages_per_s']),
-                    _marked(
+                    _bold_if_above(
                         each['cpu_us_per_s'] / 1e4,
                         model.CPU_US_PER_S / 1e4,
                         '%',
                     ),
-                    _marked(
+                    _bold_if_above(
                         each['memory_bytes'] / 2**20,
                         model.MEMORY_BYTES / 2**20,
                     ),
@@ -128,7 +128,7 @@
     return _table(head, rows)
 
 
-#: Whose lines add up to the bill of one kind of instance.
+#: The roles whose costs add up for one kind of instance.
 _ROLES_BY_KIND = {
     'entry': ('every instance', 'entry'),
     'entry that owns a cell': ('every instance', 'entry', 'owner of a cell'),
@@ -152,28 +152,32 @@
                 (
                     kind,
                     cells,
-                    _against(total, model.BYTES_PER_S, 'B/s'),
-                    _against(cpu / 1e4, model.CPU_US_PER_S / 1e4, '%'),
-                    _against(memory / 2**20, model.MEMORY_BYTES / 2**20, 'MB'),
+                    _compare_to_limit(total, model.BYTES_PER_S, 'B/s'),
+                    _compare_to_limit(
+                        cpu / 1e4, model.CPU_US_PER_S / 1e4, '%'
+                    ),
+                    _compare_to_limit(
+                        memory / 2**20, model.MEMORY_BYTES / 2**20, 'MB'
+                    ),
                 )
             )
     return _table(('instance', 'cells', 'bytes', 'core', 'memory'), rows)
 
 
-def _against(value: float, limit: float, unit: str) -> str:
+def _compare_to_limit(value: float, limit: float, unit: str) -> str:
     shown = f'{_number(value)} {unit}'
     if value <= limit:
         return shown
     return f'**{shown}**, {value / limit:.1f} times the limit'
 
 
-def _marked(value: float, limit: float, unit: str = '') -> str:
+def _bold_if_above(value: float, limit: float, unit: str = '') -> str:
     shown = _number(value) + unit
     return f'**{shown}**' if value > limit else shown
 
 
 def _number(value: float) -> str:
-    if abs(value) < _NOTHING:
+    if abs(value) < _ZERO_TOLERANCE:
         return '0'
     if abs(value) >= 1000:
         return f'{float(f"{value:.3g}"):,.0f}'
--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -1,7 +1,7 @@
-"""What real instances spend: processor time, memory, bytes between them.
+"""Measures real instances: processor time, memory, bytes between them.
 
-Read from /proc and from ``ss`` for processes that are started here. Where
-``ss`` is missing, bytes are left out.
+The figures come from /proc and from ``ss``, for processes that this module
+starts. Without ``ss``, bytes aren't measured.
 """
 
 import collections
@@ -19,9 +19,9 @@
 
 from tools import local
 
-#: Seconds after the start in which leases and addresses settle.
+#: Seconds after the start until leases and addresses are stable.
 SETTLE_S = 2.0
-#: Seconds from one change to the next: far more than 1,000 a day.
+#: Seconds from one change to the next; far more often than 1,000 a day.
 CHANGE_EVERY_S = 0.5
 #: Seconds from one renewal to the next.
 RENEW_EVERY_S = 0.02
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reading:
-    """What one process has spent so far."""
+    """The resources that one process has used since its start."""
 
     cpu_s: float
     rss_bytes: int
@@ -41,11 +41,12 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Spent:
-    """What an instance spends a second, the mean over all.
+class ProcessUsage:
+    """The mean use of resources of an instance.
 
-    :param cpu_us: a second, in microseconds.
-    :param peer_bytes: a second both ways, without TCP and IP headers.
+    :param cpu_us: processor time a second, in microseconds.
+    :param peer_bytes: bytes a second sent to and received from peers,
+        without TCP and IP headers; ``None`` without ``ss``.
     """
 
     instances: int
@@ -65,11 +66,12 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Renewed:
-    """What one renewal of a backend server costs the instance it calls.
+class RenewalCost:
+    """The cost of a backend server's renewal at the receiving instance.
 
-    :param cpu_us: HTTP included, what the instance spends anyway left out.
-    :param body_bytes: of the call, without the headers of HTTP.
+    :param cpu_us: processor time with HTTP, without that of the idle
+        instance, in microseconds.
+    :param body_bytes: size of the request without HTTP headers.
     """
 
     renewals: int
@@ -82,8 +84,10 @@
         return line | {'cpu_us': float(f'{self.cpu_us:.4g}')}
 
 
-def measure(instances: int, seconds: float) -> abc.Iterator[Spent | Renewed]:
-    """Start a local system; measure it idle, with changes, with renewals."""
+def measure(
+    instances: int, seconds: float
+) -> abc.Iterator[ProcessUsage | RenewalCost]:
+    """Measure a local system when idle, with renewals and with changes."""
     with (
         tempfile.TemporaryDirectory(prefix='dandeliongw-capacity-') as folder,
         local.running(
@@ -95,13 +99,15 @@
         document = local.example_document()
         system.wait_serving(system.apply('gw-1', document, 'first'))
         time.sleep(SETTLE_S)
-        idle = _spent(system, seconds, changes=0)
+        idle = _measure_usage(system, seconds, changes=0)
         yield idle
-        yield _renewed(system, seconds, idle.cpu_us)
-        yield _spent(system, seconds, int(seconds / CHANGE_EVERY_S))
+        yield _measure_renewals(system, seconds, idle.cpu_us)
+        yield _measure_usage(system, seconds, int(seconds / CHANGE_EVERY_S))
 
 
-def _spent(system: local.LocalSystem, seconds: float, changes: int) -> Spent:
+def _measure_usage(
+    system: local.LocalSystem, seconds: float, changes: int
+) -> ProcessUsage:
     processes = [each.process for each in system.instances_by_id.values()]
     ports = {each.peer_port for each in system.instances_by_id.values()}
     pids = [process.pid for process in processes]
@@ -113,51 +119,51 @@
         system.apply('gw-1', document, f'change-{number}')
         _sleep_until(began + (number + 1) * CHANGE_EVERY_S)
     _sleep_until(began + seconds)
-    passed = time.monotonic() - began
+    elapsed_s = time.monotonic() - began
     after = _read(pids, ports)
     counted = [
         after[pid].peer_bytes - before[pid].peer_bytes
         for pid in pids
         if after[pid].peer_bytes is not None
     ]
-    return Spent(
+    return ProcessUsage(
         instances=len(pids),
-        seconds=passed,
+        seconds=elapsed_s,
         changes=changes,
         cpu_us=statistics.fmean(
-            (after[pid].cpu_s - before[pid].cpu_s) * 1e6 / passed
+            (after[pid].cpu_s - before[pid].cpu_s) * 1e6 / elapsed_s
             for pid in pids
         ),
         rss_bytes=statistics.fmean(after[pid].rss_bytes for pid in pids),
-        peer_bytes=statistics.fmean(counted) / passed if counted else None,
+        peer_bytes=statistics.fmean(counted) / elapsed_s if counted else None,
     )
 
 
-def _renewed(
+def _measure_renewals(
     system: local.LocalSystem, seconds: float, idle_us: float
-) -> Renewed:
-    """Renew one backend server over and over, at one instance."""
+) -> RenewalCost:
+    """Measure repeated renewals of one backend server at one instance."""
     url = system.instances_by_id['gw-1'].control_url
-    told = {'backend_id': 'engine-1', 'incarnation': 1, 'sequence': 1}
-    offered = {
+    body = {'backend_id': 'engine-1', 'incarnation': 1, 'sequence': 1}
+    announcement = {
         'service': 'dieline-llm',
         'role': 'decode',
         'url': 'http://10.9.9.9:9000',
         'data_centre': system.data_centres[0],
     }
-    system.call('POST', f'{url}/v1/backends/announce', told | offered)
+    system.call('POST', f'{url}/v1/backends/announce', body | announcement)
     pid = system.instances_by_id['gw-1'].process.pid
     renewals = int(seconds / RENEW_EVERY_S)
     began, cpu_s = time.monotonic(), _cpu_s(pid)
     for number in range(renewals):
-        told = _renewal(number)
-        status, answer = system.call('POST', f'{url}/v1/backends/renew', told)
+        body = _renewal(number)
+        status, answer = system.call('POST', f'{url}/v1/backends/renew', body)
         if status != 200:
             raise RuntimeError(f'a renewal was refused: {answer}')
         _sleep_until(began + (number + 1) * RENEW_EVERY_S)
-    passed = time.monotonic() - began
-    spent_us = (_cpu_s(pid) - cpu_s) * 1e6 - idle_us * passed
-    return Renewed(
+    elapsed_s = time.monotonic() - began
+    spent_us = (_cpu_s(pid) - cpu_s) * 1e6 - idle_us * elapsed_s
+    return RenewalCost(
         renewals=renewals,
         cpu_us=spent_us / renewals,
         body_bytes=len(json.dumps(_renewal(0))),
@@ -186,8 +192,8 @@
     }
 
 
-def _sleep_until(moment: float) -> None:
-    time.sleep(max(0.0, moment - time.monotonic()))
+def _sleep_until(deadline: float) -> None:
+    time.sleep(max(0.0, deadline - time.monotonic()))
 
 
 def _read(pids: list[int], ports: set[int]) -> dict[int, Reading]:
@@ -204,8 +210,8 @@
 
 def _cpu_s(pid: int) -> float:
     stat = pathlib.Path(f'/proc/{pid}/stat').read_text()
-    # The name, in brackets, may hold spaces; utime and stime come 12th and
-    # 13th after it.
+    # The process name, in parentheses, may contain spaces. utime and stime
+    # are the 12th and 13th fields after it.
     fields = stat.rpartition(')')[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
@@ -216,7 +222,10 @@
 
 
 def _peer_bytes(ports: set[int]) -> collections.Counter[int] | None:
-    """Return bytes by process over connections to or from these ports."""
+    """Return the bytes of each process on connections with these ports.
+
+    :returns: ``None`` without ``ss``.
+    """
     if shutil.which('ss') is None:
         return None
     listed = subprocess.run(
@@ -224,8 +233,8 @@
     )
     found: collections.Counter[int] = collections.Counter()
     for line in listed.stdout.splitlines():
-        ends = line.split()[3:5]
-        if not any(_port(end) in ports for end in ends):
+        endpoints = line.split()[3:5]
+        if not any(_port(endpoint) in ports for endpoint in endpoints):
             continue
         total = sum(int(each) for each in _COUNTED.findall(line))
         for pid in _PID.findall(line):
@@ -233,6 +242,6 @@
     return found
 
 
-def _port(end: str) -> int:
-    number = end.rpartition(':')[2]
+def _port(endpoint: str) -> int:
+    number = endpoint.rpartition(':')[2]
     return int(number) if number.isdigit() else -1
--- a/tools/capacity_runs.py
+++ b/tools/capacity_runs.py
@@ -1,4 +1,4 @@
-"""All that is measured with reducers in one process."""
+"""The measurements that simulate instances in one process."""
 
 from collections import abc
 
@@ -24,6 +24,6 @@
 
 
 def all_fits(sizes: common.Sizes) -> abc.Iterator[fits.Fit]:
-    """Measure everything, one line after the other."""
+    """Run all measurements; yield their lines."""
     for run in _RUNS:
         yield from run(sizes)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -63,7 +63,7 @@
         return Result(what=what, problem='stream ended without [DONE]')
     if len(tokens) != MAX_TOKENS:
         return Result(
-            what=what, problem=f'{len(tokens)} of {MAX_TOKENS} tokens'
+            what=what, problem=f'wrong number of tokens: {len(tokens)}'
         )
     return Result(what=what, problem='')
 
