--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,8 +1,8 @@
-"""What a claim costs, and what group commit saves; prints JSON.
+"""Measures the cost of claims and the gain of group commit; prints JSON.
 
-Run it with ``PYTHONPATH=. python -m benchmarks.claims``. Reducer costs leave
-out the codec and the network; sync costs are of this machine's temporary
-folder, whose file system may sync faster than a disk.
+Run it with ``PYTHONPATH=. python -m benchmarks.claims``. Reducer costs don't
+include the codec and the network. Sync costs are those of the machine's
+temporary folder, whose file system may sync faster than a disk.
 """
 
 import collections
@@ -23,9 +23,9 @@
 CALLS = 3000
 ROUNDS = 5
 OUTCOME = b'x' * 512
-#: Calls that are under way at once, for group commit.
+#: Concurrent calls in the measurement of group commit.
 CONCURRENCY = 64
-#: About what a claimed slot takes in the journal.
+#: Approximate size of a claimed slot in the journal.
 RECORD_BYTES = 200
 SYNC_SECONDS = 1.0
 MEMORY_RECORDS = 100_000
@@ -67,7 +67,7 @@
         self.sent = self.syncs = self.records = 0
 
     def handle(self, instance_id: str, event: typing.Any) -> None:
-        """Hand one event to a part and queue what it wants done."""
+        """Let a part handle an event, and queue its effects."""
         for effect in self.parts_by_id[instance_id].handle(event):
             match effect:
                 case parts.Send(to=to, message=message):
@@ -82,7 +82,7 @@
                     self.results_by_ticket[ticket] = result
 
     def run(self) -> None:
-        """Deliver all; a sync ends when all that is on its way has come."""
+        """Deliver all messages; a sync ends once no messages are pending."""
         while self.events or self.persists:
             while self.events:
                 self.handle(*self.events.popleft())
@@ -94,7 +94,7 @@
                 self.handle(instance_id, done)
 
     def claim(self, names: abc.Sequence[str]) -> None:
-        """Take these claims and record their outcomes."""
+        """Claim these keys and record their outcomes."""
         for name in names:
             begin = messages.Begin(
                 now=0.0,
@@ -122,7 +122,7 @@
 
 
 def measure_calls(concurrency: int) -> dict[str, float]:
-    """Return the cost of a claimed call, all four reducers together."""
+    """Return the cost of a claimed call, as the sum of all four reducers."""
     samples = []
     for _ in range(ROUNDS):
         cluster = Cluster()
@@ -141,7 +141,7 @@
 
 
 def measure_syncs(records_a_sync: int) -> dict[str, float]:
-    """Return records a second when so many share a write and a sync."""
+    """Return records a second when each sync covers ``records_a_sync``."""
     record = b'r' * RECORD_BYTES
     count = 0
     with tempfile.TemporaryFile(buffering=0) as journal:
@@ -181,7 +181,7 @@
 
 
 def _slot(number: int) -> messages.ClaimSlot:
-    """Return a slot that shares no bytes with another one."""
+    """Return a slot that shares no objects with another one."""
     name = f'{number:064d}'
     return messages.ClaimSlot(
         key=name,
@@ -200,7 +200,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run all measurements and print the figures."""
     figures = {
         'unclaimed_call': {
             'reducer_us_per_call': 0,
--- a/benchmarks/jump_map.py
+++ b/benchmarks/jump_map.py
@@ -1,8 +1,9 @@
-"""A jump map for owners of cells, as a candidate against rendezvous hashing.
+"""A jump map that selects owners of cells, an alternative to rendezvous.
 
-After the public description of the jump placement map of DAOS: a tree of
-data centres and instances with fixed positions, walked by jump consistent
-hashing; on a collision the key is run through a CRC and hashed again.
+It follows the public description of the jump placement map of DAOS: a tree
+of data centres and instances with fixed positions, traversed with jump
+consistent hashing. On a collision the key is permuted by a CRC and hashed
+again.
 """
 
 from collections import abc
@@ -14,16 +15,16 @@
 
 from dandeliongw.coordination import placement
 
-#: Beyond this a walk is given up; no measured map came near.
-_MOST_TRIES = 10_000
+#: Limit of attempts to find owners; far above what real maps need.
+_MAX_ATTEMPTS = 10_000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class JumpMap:
-    """Instances at fixed positions; the dead keep theirs.
+    """Instances at fixed positions; dead instances keep theirs.
 
-    :param instances_by_data_centre: grows at the ends only.
-    :param dead: instances to which nothing may be given.
+    :param instances_by_data_centre: new entries are only appended.
+    :param dead: instances that must not own cells.
     """
 
     instances_by_data_centre: dict[str, list[str]]
@@ -31,7 +32,7 @@
 
     @classmethod
     def make(cls, members: abc.Iterable[placement.Member]) -> 'JumpMap':
-        """Return the map of these members, in their order."""
+        """Return a map of these members, in the given order."""
         instances: dict[str, list[str]] = {}
         for member in members:
             instances.setdefault(member.data_centre, []).append(
@@ -40,13 +41,13 @@
         return cls(instances_by_data_centre=instances)
 
     def ranked_owners(self, cell: str, count: int = 3) -> tuple[str, ...]:
-        """Return the owner of a cell and then its deputies."""
+        """Return the owner of a cell, followed by its deputies."""
         key = xxhash.xxh3_64_intdigest(cell.encode())
         data_centres = list(self.instances_by_data_centre)
         used: set[str] = set()
         used_data_centres: set[str] = set()
         owners: list[str] = []
-        for _ in range(_MOST_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             if len(owners) == count:
                 break
             if len(used_data_centres) == len(data_centres):
@@ -68,7 +69,7 @@
 
 
 def _permute(key: int) -> int:
-    """Spread similar keys apart; the CRC fills both halves."""
+    """Permute a key so that similar keys differ; a CRC fills each half."""
     data = (key % 2**64).to_bytes(8, 'big')
     high = zlib.crc32(data)
     return high << 32 | zlib.crc32(data, high)
--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -1,7 +1,7 @@
-"""What leases cost, and how long a name has no holder.
+"""Measures the cost of leases and the time without a holder at failover.
 
-JSON lines. Times of failover are virtual, over the tests' fake network with
-half a millisecond a hop; processor time is this machine's::
+Prints JSON lines. Times of failover are virtual, on the tests' fake network
+with half a millisecond a hop. Processor time is that of the machine::
 
     python -m benchmarks.lease
 """
@@ -21,10 +21,10 @@
 from tests import lease_network
 
 SEEDS = 300
-#: Renewals that are timed.
+#: Renewals of a timed run.
 ROUNDS = 2000
 RENEWALS_PER_S = 2.0
-#: Bytes of an envelope's keyed hash.
+#: Placeholder of an envelope's keyed hash.
 PROOF = bytes(32)
 GRANTORS = ('v1', 'v2', 'v3')
 
@@ -34,7 +34,7 @@
 
 
 def quantiles(values: abc.Sequence[float]) -> dict[str, float]:
-    """Return what a distribution looks like, in seconds."""
+    """Return quantiles of a distribution, in seconds."""
     ordered = sorted(values)
     last = len(ordered) - 1
     shares = {'min': 0.0, 'p50': 0.5, 'p95': 0.95, 'p99': 0.99, 'max': 1.0}
@@ -45,7 +45,10 @@
 
 
 def begin(seed: int, candidates: int) -> lease_network.Network:
-    """Return a network in which one instance holds and others wait."""
+    """Return a network in which one instance holds a lease others want.
+
+    :param candidates: number of instances, the holder included.
+    """
     names = tuple(f'gw-{number}' for number in range(candidates))
     network = lease_network.Network(seed=seed, others=names)
     network.want(names[0])
@@ -57,7 +60,7 @@
 
 
 def failover(seed: int, candidates: int) -> float:
-    """Return how long after the holder's death there is another one."""
+    """Return the seconds from the holder's crash to the next holder."""
     network = begin(seed, candidates)
     network.freeze('gw-0')
     rivals = set(network.nodes_by_id) - {'gw-0'}
@@ -65,7 +68,7 @@
 
 
 def failover_with_dead_grantor(seed: int) -> float:
-    """Return the same with one grantor dead as well."""
+    """Return the same if a grantor crashes as well."""
     network = begin(seed, 3)
     network.freeze('v3')
     network.freeze('gw-0')
@@ -74,7 +77,7 @@
 
 
 def handover(seed: int) -> float:
-    """Return how long a release to a named successor takes."""
+    """Return the seconds from a release to a named successor's lease."""
     network = begin(seed, 3)
     network.release('gw-0', 'gw-1')
     return network.run_until(lambda: network.epoch('gw-1'), 20.0)
@@ -95,7 +98,7 @@
 
 
 def waiting_bytes() -> dict[str, float]:
-    """Return bytes a second of a holder, a candidate and a grantor."""
+    """Return the bytes a second of each instance while others wait."""
     network = begin(1, 3)
     network.sent.clear()
     network.run(60.0)
@@ -112,7 +115,7 @@
 class Renewals:
     """One holder and its three grantors, without a network.
 
-    :param names: the leases that it holds.
+    :param names: the names of the leases that it holds.
     """
 
     def __init__(self, names: frozenset[str]) -> None:
@@ -132,7 +135,7 @@
             raise RuntimeError('the leases were not gained')
 
     def perform(self, name: str, event: typing.Any) -> None:
-        """Handle an event and, at once, all that follows from it."""
+        """Let a part handle an event, and perform all effects at once."""
         for effect in self.parts_by_id[name].handle(event):
             if isinstance(effect, parts.Persist):
                 synced = parts.Persisted(now=self.now, token=effect.token)
@@ -145,13 +148,13 @@
                 self.perform(effect.to, received)
 
     def round(self) -> None:
-        """Renew everything once."""
+        """Renew all leases once."""
         self.now += 1 / RENEWALS_PER_S
         self.perform('gw-0', parts.Ticked(now=self.now, entropy=1))
 
 
 def microseconds(call: abc.Callable[[], object], rounds: int) -> float:
-    """Return the processor time of one call, the best of five runs."""
+    """Return the processor time of one call in us, the best of five runs."""
     runs = []
     for _ in range(5):
         begun = time.process_time()
@@ -164,7 +167,8 @@
 def renewal_cost(lease_count: int, is_one_holder: bool) -> dict[str, object]:
     """Return bytes and processor time of renewals at one grantor.
 
-    :param is_one_holder: all leases in one message, or one message each.
+    :param is_one_holder: whether one holder renews all leases in one message;
+        otherwise each lease has its own holder and message.
     """
     names = frozenset(f'service/{n}' for n in range(lease_count))
     batch = names if is_one_holder else frozenset({min(names)})
@@ -208,7 +212,7 @@
 
 
 def main() -> None:
-    """Print every figure."""
+    """Run all measurements."""
     seeds = range(SEEDS)
     for candidates in (2, 3):
         times = [failover(seed, candidates) for seed in seeds]
--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -1,7 +1,7 @@
-"""What the log lines of a request cost in bytes and processor time.
+"""Measures bytes and processor time of the log lines of a request.
 
-JSON lines. "off" drops every line at the logger, as a level above them does;
-"on" writes them to a null device by the queue and the thread of a process::
+Prints JSON lines. With "off", the level of the logger drops all lines; with
+"on", the queue and the writer thread write them to the null device::
 
     python -m benchmarks.logs
 """
@@ -21,11 +21,11 @@
 from dandeliongw import decisions
 from dandeliongw import logs
 
-#: Requests a run, and runs whose median is told.
+#: Requests of a run; runs, of which the median is printed.
 REQUESTS = 3000
 RUNS = 5
-#: Lines are dropped beyond a budget a second; this benchmark has to write
-#: them all to tell what one costs.
+#: A budget a second that drops no lines: the benchmark must write all of
+#: them to measure the cost of one.
 NO_BUDGET = REQUESTS * 10
 
 PLACED = decisions.Placed(
@@ -51,7 +51,7 @@
 
 
 def write_good() -> None:
-    """Log what a stream that goes well leaves behind."""
+    """Write the log lines of a stream without errors."""
     _write(PLACED)
     logger.bind(request_id='0123456789abcdef', host='some.example').info(
         'call streamed',
@@ -64,27 +64,27 @@
 
 
 def write_retried() -> None:
-    """Log what a stream leaves behind that needed a second engine."""
+    """Write the log lines of a stream that was retried on another engine."""
     _write(PLACED)
     _write(FAILED)
     write_good()
 
 
 def _write(decision: decisions.Decision) -> None:
-    told = decision.log()
-    logger.bind(**dict(told.fields)).log(told.level, told.message)
+    line = decision.log()
+    logger.bind(**dict(line.fields)).log(line.level, line.message)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Cost:
-    """Processor time of all threads, and bytes written, for each request."""
+    """Processor time of all threads and bytes written, a request."""
 
     microseconds: float
     bytes_written: float
 
 
 def cost_of(write: abc.Callable[[], None], level: str) -> Cost:
-    """Return what the lines of one request cost."""
+    """Return the cost of the log lines of one request."""
     written = io.StringIO()
     with _writing_all(written) as lines:
         _configure(lines, level)
@@ -119,7 +119,7 @@
     _lines.MOST_A_SECOND = _lines.MOST_WAITING = NO_BUDGET
     for write in (write_good, write_retried):
         for name, level in (('off', 'CRITICAL'), ('on', 'INFO')):
-            found = [cost_of(write, level) for _ in range(RUNS)]
+            costs = [cost_of(write, level) for _ in range(RUNS)]
             print(
                 json.dumps(
                     {
@@ -127,11 +127,11 @@
                         'lines': name,
                         'microseconds': round(
                             statistics.median(
-                                each.microseconds for each in found
+                                each.microseconds for each in costs
                             ),
                             1,
                         ),
-                        'bytes': found[0].bytes_written,
+                        'bytes': costs[0].bytes_written,
                     }
                 )
             )
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,9 +1,9 @@
 """Measures membership and presence on a virtual clock; prints JSON lines.
 
-Run: ``python -m benchmarks.membership [section ...]``; all sections take some
-ten minutes. Only the reducers run, in
-one process: figures of bytes are of real sealed envelopes plus the headers
-below, and processor time is that of ``handle`` alone, without the transport.
+Run ``python -m benchmarks.membership [section ...]``; all sections together
+take about ten minutes. Only the reducers run, in one process. Bytes are those
+of sealed envelopes plus the headers below. Processor time is that of
+``handle`` only, without the transport.
 """
 
 import collections
@@ -27,9 +27,9 @@
 
 TICK_S = 0.1
 DELAY_S = 0.002
-#: gRPC prefix, HTTP/2 frame, TCP with timestamps and IP of one message.
+#: Headers of a message: gRPC prefix, HTTP/2 frame, TCP with timestamps, IP.
 HEADER_BYTES = 5 + 9 + 32 + 20
-#: The bare TCP acknowledgement that the receiver sends back.
+#: A TCP acknowledgement without data, sent by the receiver.
 TCP_ACK_BYTES = 52
 CODEC = codec.Codec(
     data_classes=membership.MESSAGES + presence.MESSAGES,
@@ -38,10 +38,10 @@
 
 
 class Network:
-    """Parts of one kind, by instance, between which messages travel.
+    """A simulated network between parts of one kind, one per instance.
 
-    :param part_by_id: the parts.
-    :param loss: share of messages that are lost.
+    :param part_by_id: the parts by instance id.
+    :param loss: fraction of messages that are lost.
     :param seed: of the entropy of the ticks and of the losses.
     """
 
@@ -55,7 +55,7 @@
         self.now = 0.0
         self.part_by_id = part_by_id
         self.stopped: set[str] = set()
-        #: Those that are cut off from all others, and reach each other.
+        #: One side of a partition; its instances reach only each other.
         self.cut_off: set[str] = set()
         self.handle_s = 0.0
         self.sent: collections.Counter[str] = collections.Counter()
@@ -75,7 +75,7 @@
         }
 
     def reset(self) -> None:
-        """Begin to count."""
+        """Reset all counters and the log."""
         self.handle_s = 0.0
         self.sent.clear()
         self.sent_bytes.clear()
@@ -114,7 +114,7 @@
                 self.log.append((now or self.now, instance_id, effect))
 
     def per_instance(self, seconds: float) -> dict[str, float]:
-        """Return the cost of one instance in one second, on average."""
+        """Return the mean costs of an instance in a second."""
         count = len(self.part_by_id) * seconds
         return {
             'messages_sent': round(self.sent.total() / count, 2),
@@ -142,13 +142,17 @@
         self.sent[sender] += 1
         self.sent_bytes[sender] += size
         self.received_bytes[effect.to] += size
-        # Each end pays for the acknowledgements that it sends.
+        # The receiver of a message sends the acknowledgement.
         self.sent_bytes[effect.to] += TCP_ACK_BYTES
         self.received_bytes[sender] += TCP_ACK_BYTES
 
 
 def measure_partition(count: int, share: float, seconds: float) -> dict:
-    """Cut a part of the instances off, then let them come back."""
+    """Partition the network, then heal the partition.
+
+    :param share: fraction of the instances that are cut off.
+    :param seconds: how long the partition lasts once it is detected.
+    """
     network = make_members(count)
     network.run(110)
     ids = sorted(network.part_by_id)
@@ -176,7 +180,10 @@
 def until_settled(
     network: Network, expected: typing.Callable[[str], set[str]]
 ) -> dict:
-    """Run until each instance holds the expected ones alive."""
+    """Run until each instance has only the expected ones as alive.
+
+    :param expected: returns the ids for an observer.
+    """
     seconds, peak, most = 0, 0.0, 0.0
     handle_s = 0.0
     while seconds < 300:
@@ -200,7 +207,7 @@
 
 
 def make_members(count: int, loss: float = 0.0, seed: int = 1) -> Network:
-    """Return instances that have found each other."""
+    """Return a network of instances that have joined."""
     infos = {
         f'gw-{number:03}': membership.InstanceInfo(
             host=f'10.0.{number // 250}.{number % 250}',
@@ -230,7 +237,7 @@
 
 
 def measure_quiet(count: int, seconds: float) -> dict:
-    """Return the cost when nothing happens, and that of the joining."""
+    """Return the costs of an idle network, and those of joining."""
     network = make_members(count)
     joining = network.per_instance(10)
     network.run(110)
@@ -248,7 +255,7 @@
 
 
 def measure_deaths(count: int, networks: int, deaths: int) -> dict:
-    """Stop instances one after another; return how long it shows."""
+    """Stop instances one after another; return the times of detection."""
     times_by_name: dict[str, list[float]] = collections.defaultdict(list)
     missed = 0
     for seed in range(networks):
@@ -271,7 +278,10 @@
     rng: random.Random,
     times_by_name: dict[str, list[float]],
 ) -> int:
-    """Return how many instances did not notice within 30 s."""
+    """Stop an instance and record the times of its detection.
+
+    :returns: how many instances didn't detect it within 30 s.
+    """
     living = sorted(network.part_by_id.keys() - network.stopped)
     victim = rng.choice(living)
     network.stopped.add(victim)
@@ -306,7 +316,7 @@
 
 
 def measure_loss(count: int, seconds: float, loss: float) -> dict:
-    """Lose messages at random; return the verdicts about the living."""
+    """Lose messages at random; count false suspicions and false deaths."""
     network = make_members(count, loss)
     network.run(20)
     network.reset()
@@ -338,7 +348,10 @@
 
 
 def measure_presence(instances: int, backends: int, cell: int) -> dict:
-    """Renew once a second; a cell of backend servers has one dispatcher."""
+    """Renew every backend server once a second.
+
+    :param cell: backend servers of a cell; each cell has one owner.
+    """
     ids = [f'gw-{number:03}' for number in range(instances)]
     network = Network(
         part_by_id={each: presence.Presence(instance_id=each) for each in ids}
@@ -426,7 +439,7 @@
     )
 
 
-#: What each section measures, in order.
+#: The measurements of each section, in order.
 SECTIONS_BY_NAME: dict[str, list[typing.Callable[[], dict]]] = {
     'quiet': [
         functools.partial(measure_quiet, count, 60) for count in (9, 100, 350)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing against a jump map: balance, moved share, time.
+"""Compares rendezvous hashing with a jump map: balance, moves, lookup time.
 
-One JSON line for each method, size and number of cells::
+Prints one JSON line for each method, size and number of cells::
 
     python -m benchmarks.placement
 """
@@ -14,29 +14,31 @@
 from benchmarks import jump_map
 from dandeliongw.coordination import placement
 
-#: Instances by data centre, as the users run it and in two years.
+#: Data centres by number of instances: the present scale, and the scale
+#: after two years of growth.
 SIZES = {9: 3, 350: 8}
 CELL_COUNTS = (60, 200)
-#: Sets of cell names over which the figures are averaged.
+#: Sets of cell names; the figures are averages over all sets.
 SETS = 10
 LOOKUPS = 2000
 
 Members = list[placement.Member]
-#: Returns the owner by cell, for members before and after a change.
+#: Takes the members before and after a change; returns a function from a
+#: cell to its owner.
 Method = abc.Callable[[Members, Members], abc.Callable[[str], str]]
 
 
 def rendezvous(before: Members, after: Members) -> abc.Callable[[str], str]:
-    """Own by the members that are there."""
+    """Use rendezvous hashing of the current members."""
     return lambda cell: placement.ranked_owners(cell, after)[0]
 
 
 def jump_kept(before: Members, after: Members) -> abc.Callable[[str], str]:
-    """Keep every position; the lost are dead, the new come at the ends."""
-    known = [*before, *(m for m in after if m not in before)]
-    left = {member.instance_id for member in after}
-    dead = {member.instance_id for member in known} - left
-    kept = jump_map.JumpMap.make(known)
+    """Keep all positions; mark lost members dead, append new ones."""
+    all_members = [*before, *(m for m in after if m not in before)]
+    remaining_ids = {member.instance_id for member in after}
+    dead = {member.instance_id for member in all_members} - remaining_ids
+    kept = jump_map.JumpMap.make(all_members)
     kept = jump_map.JumpMap(
         instances_by_data_centre=kept.instances_by_data_centre,
         dead=frozenset(dead),
@@ -45,7 +47,7 @@
 
 
 def jump_live(before: Members, after: Members) -> abc.Callable[[str], str]:
-    """Number the live members anew, as instances without a memory would."""
+    """Build the map from live members only, without keeping positions."""
     live = jump_map.JumpMap.make(sorted(after, key=lambda m: m.instance_id))
     return lambda cell: live.ranked_owners(cell)[0]
 
@@ -58,7 +60,7 @@
 
 
 def make_members(count: int, data_centres: int) -> Members:
-    """Return that many instances, spread evenly."""
+    """Return ``count`` instances, distributed evenly over data centres."""
     return [
         placement.Member(
             instance_id=f'gw-{number:03}',
@@ -69,7 +71,7 @@
 
 
 def changes_by_name(members: Members) -> dict[str, list[Members]]:
-    """Return the members after each change that is measured."""
+    """Return the members after each measured change."""
     data_centres = sorted({member.data_centre for member in members})
     losses = [members[:n] + members[n + 1 :] for n in range(len(members))]
     size = len(members) // len(data_centres)
@@ -92,7 +94,7 @@
 def moved_share(
     method: Method, members: Members, after: Members, cells: list[str]
 ) -> float:
-    """Return the share of cells that get another owner."""
+    """Return the fraction of cells whose owner changes."""
     old, new = method(members, members), method(members, after)
     return statistics.mean(old(cell) != new(cell) for cell in cells)
 
@@ -100,21 +102,23 @@
 def measure(
     name: str, instance_count: int, cell_count: int
 ) -> dict[str, float | int | str]:
-    """Measure one method at one size."""
+    """Return the figures of one method at one size."""
     method = METHODS[name]
     members = make_members(instance_count, SIZES[instance_count])
     sets = [
         [f'service-{n}/{number}' for number in range(cell_count)]
         for n in range(SETS)
     ]
-    most = [_most(method(members, members), cells) for cells in sets]
+    max_cells = [
+        _max_cells_of_one(method(members, members), cells) for cells in sets
+    ]
     figures: dict[str, float | int | str] = {
         'method': name,
         'instances': instance_count,
         'cells': cell_count,
-        'most_cells_of_one': round(statistics.mean(most), 2),
+        'most_cells_of_one': round(statistics.mean(max_cells), 2),
         'max_over_mean': round(
-            statistics.mean(most) * instance_count / cell_count, 2
+            statistics.mean(max_cells) * instance_count / cell_count, 2
         ),
     }
     for change, afters in changes_by_name(members).items():
@@ -128,7 +132,9 @@
     return figures
 
 
-def _most(owner: abc.Callable[[str], str], cells: list[str]) -> int:
+def _max_cells_of_one(
+    owner: abc.Callable[[str], str], cells: list[str]
+) -> int:
     counts = collections.Counter(owner(cell) for cell in cells)
     return max(counts.values())
 
@@ -142,7 +148,7 @@
 
 
 def main() -> None:
-    """Print every figure."""
+    """Print all figures."""
     for instance_count in SIZES:
         for cell_count in CELL_COUNTS:
             for name in METHODS:
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -1,11 +1,11 @@
-"""Figures of real processes on this machine, as JSON lines.
+"""Measures real processes on one machine; prints JSON lines.
 
-* ``call``: latency of a plain call without and with a claim, one caller.
-* ``change``: from sending a change to in force on all, by instances.
-* ``failover``: from killing a cell's owner to the next answered call.
-* ``idle``: processor share of one instance with nothing to do.
+* ``call``: latency of plain calls without and with a claim, one caller.
+* ``change``: time from sending a change until all instances confirmed it.
+* ``failover``: time from killing a cell's owner to the next answered call.
+* ``idle``: share of a core that an idle instance uses.
 
-Real time on a shared machine: a measurement, never a test.
+It measures real time on a shared machine, so it isn't suitable as a test.
 """
 
 from collections import abc
@@ -27,7 +27,7 @@
 
 
 def percentiles(seconds: list[float]) -> dict[str, float]:
-    """Return milliseconds at 50 and 95 in 100."""
+    """Return the 50th and 95th percentile in milliseconds."""
     ordered = sorted(seconds)
     return {
         'p50_ms': round(statistics.median(ordered) * 1000, 2),
@@ -44,7 +44,7 @@
 
 
 def measure_calls(system: local.LocalSystem) -> None:
-    """Compare a lookup, an unclaimed and a claimed booking."""
+    """Measure lookups, bookings without a claim and bookings with one."""
     for kind in ('lookup', 'unclaimed', 'claimed'):
         seconds = []
         for number in range(CALLS):
@@ -64,7 +64,7 @@
 
 
 def measure_changes(system: local.LocalSystem) -> None:
-    """Time changes until every instance has confirmed them."""
+    """Measure the time until every instance has confirmed a change."""
     seconds = []
     document = local.example_document()
     for number in range(CHANGES):
@@ -85,14 +85,16 @@
 
 def is_in_force(system: local.LocalSystem, revision: int) -> bool:
     _, answer = system.operator('gw-1', 'GET', '/v1/status')
-    told = answer['in_force']
-    return told['revision'] == revision and (
-        told['confirmed'] == told['instances'] == len(system.instances_by_id)
+    in_force = answer['in_force']
+    return in_force['revision'] == revision and (
+        in_force['confirmed']
+        == in_force['instances']
+        == len(system.instances_by_id)
     )
 
 
 def measure_failover(system: local.LocalSystem) -> None:
-    """Kill the owner of the portal's cell; time the next answer."""
+    """Kill the owner of the portal's cell; measure the time to an answer."""
     owner = next(
         instance_id
         for instance_id in system.instances_by_id
@@ -113,7 +115,7 @@
 
 
 def measure_idle(system: local.LocalSystem, seconds: float) -> None:
-    """Read each instance's processor time before and after a pause."""
+    """Measure the processor time of idle instances for ``seconds``."""
     processes = [each.process for each in system.instances_by_id.values()]
     before = [processor_s(process.pid) for process in processes]
     time.sleep(seconds)
@@ -149,7 +151,7 @@
     """Measure real systems.
 
     :param sizes: numbers of instances; 3, 5 and 9 by default.
-    :param idle_s: seconds over which idle processor time is measured.
+    :param idle_s: duration of the idle measurement, in seconds.
     """
     for size in sizes or [3, 5, 9]:
         with tempfile.TemporaryDirectory(prefix='dandeliongw-') as folder:
--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -1,4 +1,4 @@
-"""Embeds claims in a program of one's own, with a network in memory.
+"""Embeds claims in another program, with a network in memory.
 
 Run it from the repository: ``PYTHONPATH=. python examples/embedding.py``.
 Three holders and two entries live in this process. ``docs/EMBEDDING.md``
@@ -27,7 +27,7 @@
         self.part = self.make_part()
 
     def make_part(self) -> claims.Claims:
-        """Build the part and give it back what its journal holds."""
+        """Create the part and restore the records of its journal."""
         is_holder = self.instance_id in HOLDERS
         part = claims.Claims(
             instance_id=self.instance_id,
@@ -43,7 +43,7 @@
         return part
 
     def handle(self, event: typing.Any) -> None:
-        """Give the part an event; do at once what it wants done."""
+        """Let the part handle an event, and perform its effects at once."""
         for effect in self.part.handle(event):
             self.perform(effect)
 
@@ -64,7 +64,7 @@
 
 
 class Network:
-    """Delivers messages in order; a real one may lose or double them."""
+    """Delivers messages in order; a real one may lose or duplicate them."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -80,17 +80,17 @@
         self.later(self.hosts_by_id[to], event)
 
     def later(self, host: Host, event: typing.Any) -> None:
-        """Queue an event."""
+        """Queue an event of a host."""
         self.events.append((host, event))
 
     def run(self) -> None:
-        """Deliver until nothing is left."""
+        """Deliver events until the queue is empty."""
         while self.events:
             host, event = self.events.popleft()
             host.handle(event)
 
     def tell_holders(self) -> None:
-        """Tell everybody who holds claims; a register would say so."""
+        """Notify all hosts of the claim holders; usually a register does."""
         event = claims.HoldersChanged(
             now=self.now,
             disk_ids_by_holder={
@@ -135,13 +135,13 @@
         return host.results_by_ticket['finish']
 
     def restart(self, instance_id: str) -> None:
-        """Lose an instance's memory; its journal is all that is left."""
+        """Replace an instance's part by one restored from the journal."""
         host = self.hosts_by_id[instance_id]
         host.part = host.make_part()
 
 
 def main() -> None:
-    """Show a call, its resend, and a resend after a restart."""
+    """Print the results of a call, of resends, and of one after a restart."""
     network = Network()
     network.tell_holders()
     print('entry-1 begins:', network.begin('entry-1', 'attempt-1'))
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins and tools of the developers; not part of the product."""
+"""Stand-ins and developer tools; not part of the installed package."""
--- a/tools/binary_start.py
+++ b/tools/binary_start.py
@@ -1,6 +1,7 @@
-"""What runs first in the built file, before anything is unpacked.
+"""Start-up code of the built file, run before anything is unpacked.
 
-It stands alone: no library and nothing of the package can be imported yet.
+It imports only the standard library and modules at the top of the archive;
+the package and its libraries can't be imported yet.
 """
 
 import functools
@@ -8,13 +9,13 @@
 import sys
 
 FOLDER_VARIABLE = 'SHIV_ROOT'
-#: As for a data folder that can't be used, see docs/COMMANDS.md.
+#: The same as for an unusable data folder, see docs/COMMANDS.md.
 EXIT_CODE = 7
 USAGE_EXIT_CODE = 2
 
 
 def main():
-    """Check the interpreter, unpack if need be, run the command line."""
+    """Check the Python version, unpack if necessary, run the command line."""
     import _bootstrap
     import _built
 
@@ -25,20 +26,21 @@
             ),
             USAGE_EXIT_CODE,
         )
-    # It would compile with a process for each core; an instance starts none.
+    # With it, shiv would compile in one process per core; an instance must
+    # not start processes.
     os.environ.pop('SHIV_COMPILE_PYC', None)
-    _bootstrap.cache_path = _explained(_bootstrap.cache_path)
-    _bootstrap.extract_site_packages = _explained(
+    _bootstrap.cache_path = _with_clear_error(_bootstrap.cache_path)
+    _bootstrap.extract_site_packages = _with_clear_error(
         _bootstrap.extract_site_packages
     )
     _bootstrap.bootstrap()
 
 
-def _explained(step):
-    """Return a step of the unpacking that fails with a message.
+def _with_clear_error(step):
+    """Wrap a step of the unpacking so that it fails with a clear message.
 
-    A home that is read-only, full or missing would otherwise show as a
-    traceback of a library, from which nobody learns what to set.
+    If the home directory is read-only, full or missing, shiv would only show
+    a traceback, which doesn't say which variable to set.
     """
 
     @functools.wraps(step)
--- a/tools/build.py
+++ b/tools/build.py
@@ -1,8 +1,8 @@
-"""Builds ``dist/dandeliongw``: the package and its libraries in one file.
+"""Builds ``dist/dandeliongw``, one file with the package and its libraries.
 
-The file is a zip archive with an interpreter line, made with shiv. It
-unpacks itself at its first start, into a folder named after its contents,
-and then runs in the same process.
+The file is a zip archive with an interpreter line, made with shiv. At its
+first start it unpacks itself into a folder named after a hash of its
+contents, and then runs in the same process.
 """
 
 from collections import abc
@@ -28,30 +28,33 @@
 PYTHON = sys.version_info[:2]
 ENTRY_POINT = 'dandeliongw.command:main'
 START = pathlib.Path(__file__).with_name('binary_start.py')
-#: All times in the archive, so that equal sources make equal files.
+#: Time of all entries of the archive, for reproducible builds.
 BUILT_AT = datetime.datetime(2020, 1, 1)
 
 
 def build(target: pathlib.Path) -> None:
-    """Write the file, replacing one that is there in one step."""
+    """Build the file and replace an existing one atomically."""
     target.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(prefix='dandeliongw-build-') as folder:
         site = pathlib.Path(folder) / 'site'
         _install(site)
         new = target.with_name(f'.{target.name}.{os.getpid()}')
         pack(site, new)
-        # Replaced, never overwritten: a running instance may still read it.
+        # Replace instead of overwriting: a running instance may still read
+        # the old file.
         new.replace(target)
 
 
 def _install(site: pathlib.Path) -> None:
-    """Put the package and every library that it needs into a folder.
+    """Install the package and its dependencies into a folder.
 
-    The libraries are copied from the environment that runs this, which
-    holds the pinned ones: so the file has what the tests ran with.
+    The libraries are copied from the current environment, which has the
+    pinned versions. So the file contains the versions that were tested.
     """
     site.mkdir()
-    for name in _needed((ROOT / 'requirements.txt').read_text().split()):
+    for name in _resolve_dependencies(
+        (ROOT / 'requirements.txt').read_text().split()
+    ):
         _copy_library(metadata.distribution(name), site)
     with tempfile.TemporaryDirectory(prefix='dandeliongw-src-') as folder:
         source = pathlib.Path(folder)
@@ -72,22 +75,23 @@
             check=True,
         )
     for name in ('direct_url.json', 'RECORD'):
-        # They name the folder of this build.
+        # They contain the path of this build's folder, which differs between
+        # builds.
         for path in site.glob(f'dandeliongw-*.dist-info/{name}'):
             path.unlink()
     shutil.rmtree(site / 'bin', ignore_errors=True)
 
 
-def _needed(lines: abc.Iterable[str]) -> list[str]:
-    """Return the names of these requirements and of all that they need."""
+def _resolve_dependencies(lines: abc.Iterable[str]) -> list[str]:
+    """Return the names of requirements and their transitive dependencies."""
     found: dict[str, str] = {}
-    waiting = [requirements.Requirement(line) for line in lines]
-    while waiting:
-        requirement = waiting.pop()
+    pending = [requirements.Requirement(line) for line in lines]
+    while pending:
+        requirement = pending.pop()
         name = utils.canonicalize_name(requirement.name)
         if name not in found:
             found[name] = requirement.name
-            waiting += _requires(name, requirement.extras)
+            pending += _requires(name, requirement.extras)
     return sorted(found)
 
 
@@ -110,7 +114,8 @@
 
 def _copy_library(library: metadata.Distribution, site: pathlib.Path) -> None:
     for file in library.files or ():
-        # Scripts lie outside, and compiled code is made again where it runs.
+        # Leave out scripts, which lie outside of the folder, and bytecode,
+        # which is compiled again where the file runs.
         if '..' in file.parts or file.suffix == '.pyc':
             continue
         target = site / file
@@ -119,7 +124,7 @@
 
 
 def pack(site: pathlib.Path, target: pathlib.Path) -> None:
-    """Write a folder of installed packages as one file that runs itself."""
+    """Write a folder of installed packages as one executable file."""
     env = environment.Environment(
         built_at=BUILT_AT.strftime(constants.BUILD_AT_TIMESTAMP_FORMAT),
         shiv_version=shiv.__version__,
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -1,8 +1,8 @@
-"""Processor time of a cell's owner, for docs/CAPACITY.md.
+"""Measures the processor time of a cell's owner, for docs/CAPACITY.md.
 
 Run ``python -m tools.cost --help``. Prints one line of JSON: microseconds
-for each call that goes through the cell, with slots nearly full and work in
-the queue, and the share of a core at a rate of calls.
+for each call that the cell schedules, with nearly all slots in use and calls
+in the queue, and the share of a core at a given rate of calls.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 
 class Driver:
-    """Sends calls through a cell as fast as it takes them."""
+    """Sends calls to a cell and ends them, so that its slots stay in use."""
 
     def __init__(self, *, prefill: int, decode: int) -> None:
         self._cell = cells.Cell(
@@ -45,9 +45,9 @@
         )
         self._cell.handle(cells.BackendsChanged(now=0.0, backends=backends))
         self._running: list[str] = []
-        self._serial = 0
+        self._sequence = 0
 
-    def _take(self, now: float, message) -> None:
+    def _receive(self, now: float, message) -> None:
         event = parts.Received(now=now, sender='entry', message=message)
         for effect in self._cell.handle(event):
             answer = getattr(effect, 'message', None)
@@ -63,24 +63,24 @@
             tokens=2000,
             cached_tokens=0,
         )
-        self._take(now, done)
+        self._receive(now, done)
 
     def call(self, now: float) -> None:
-        """Book one call, and end the oldest one while slots are full."""
-        self._serial += 1
-        name = f'r{self._serial}'
+        """Book one call; if calls are queued, end the oldest running one."""
+        self._sequence += 1
+        name = f'r{self._sequence}'
         book = cells.Book(
             cell='cost/region/0',
             request_id=name,
             attempt_id='a1',
-            account=f'account-{self._serial % 1200}',
-            priority=('urgent', 'patient')[self._serial % 2],
+            account=f'account-{self._sequence % 1200}',
+            priority=('urgent', 'patient')[self._sequence % 2],
             prompt_tokens=2000,
             max_tokens=200,
             prefix=tuple(f'{name}/{n}' for n in range(31)),
             deadline_s=60.0,
         )
-        self._take(now, book)
+        self._receive(now, book)
         if self._cell.view.queue and self._running:
             release = cells.Release(
                 cell='cost/region/0',
@@ -88,7 +88,7 @@
                 attempt_id='a1',
                 outcome=cells.Outcome.DONE,
             )
-            self._take(now, release)
+            self._receive(now, release)
 
 
 def main(
--- a/tools/measure_register.py
+++ b/tools/measure_register.py
@@ -1,7 +1,7 @@
-"""Measures the register: rounds and bytes of a change, and the journal.
+"""Measures the register: rounds and bytes of a change, and journal syncs.
 
-``python -m tools.measure_register FOLDER`` writes its journal into FOLDER,
-which should be on the kind of disk that voters have.
+``python -m tools.measure_register FOLDER`` writes a journal below FOLDER,
+which should be on a disk like those of voters.
 """
 
 import collections
@@ -24,7 +24,7 @@
     data_classes=[*messages.MESSAGES, *messages.RECORDS],
     wire_modules=[register_pb2],
 )
-#: A keyed hash and what carries an envelope on a stream.
+#: A placeholder of the keyed hash, and the framing of an envelope.
 PROOF = bytes(32)
 FRAMING_BYTES = 5
 STEADY_S = 24.0
@@ -35,7 +35,7 @@
 
 
 def size_of(envelope: tuple) -> int:
-    """Return the bytes of one message with its envelope."""
+    """Return the size of a message with its envelope and framing."""
     sender, to, message = envelope
     kind, body = CODEC.encode(message)
     wire = envelope_pb2.Envelope(
@@ -50,7 +50,7 @@
 
 
 def make_cluster(voters: int, others: int, ttl_s: float):
-    """Return a formed cluster in which everyone is fresh."""
+    """Return a formed cluster with a confirmed configuration everywhere."""
     names = [f'gw-{n:03}' for n in range(voters + others)]
     cluster = test_register.Cluster(
         voters=tuple(names[:voters]),
@@ -62,7 +62,7 @@
 
 
 def measure_steady(voters: int, others: int, ttl_s: float) -> None:
-    """Print the bytes a second of a voter and of another instance."""
+    """Print the bytes a second of voters and of other instances, when idle."""
     cluster = make_cluster(voters, others, ttl_s)
     cluster.sent.clear()
     cluster.run(STEADY_S)
@@ -86,7 +86,7 @@
 
 
 def measure_change(voters: int, others: int, ttl_s: float) -> None:
-    """Print the rounds, the waits and the bytes of one change."""
+    """Print the rounds, the durations and the bytes of one change."""
     cluster = make_cluster(voters, others, ttl_s)
     proposer = list(cluster.by_id)[-1]
     cluster.sent.clear()
@@ -123,13 +123,13 @@
 
 
 def is_in_force(cluster, proposer: str) -> bool:
-    """Tell whether the proposer knows that everyone confirmed."""
+    """Return whether the proposer has confirmations of all instances."""
     states = cluster.part(proposer).in_force(1, cluster.now)
     return set(states.values()) == {'confirmed'}
 
 
 def measure_value() -> None:
-    """Print the size and the times of a value with all its records."""
+    """Print the size and the codec times of a value with a full history."""
     records = tuple(
         configurations.ChangeRecord(
             change_id=f'{n:036}',
@@ -164,7 +164,7 @@
 
 
 def measure_journal(folder: pathlib.Path, batch: int, rounds: int) -> None:
-    """Print how many batches of promises a second are synced."""
+    """Print how many batches of promises are synced a second."""
     record = messages.PromiseRecord(
         ballot=ballots.Ballot(number=1, proposer='gw-1', nonce=1),
         forming_by_id={},
--- a/tools/modelcheck.py
+++ b/tools/modelcheck.py
@@ -1,4 +1,7 @@
-"""Checks every specification under ``specs/`` and every mutant of it."""
+"""Model-checks the specifications under ``specs/`` and their mutants.
+
+A mutant is a specification without one of its safeguards.
+"""
 
 import argparse
 from collections import abc
@@ -26,16 +29,16 @@
 
 
 def check_model(model: specs.BoundedModel) -> tuple[int, list[str]]:
-    """Sweep one model in full.
+    """Explore all states of a model.
 
-    :returns: the number of states, and a sentence for every fault.
+    :returns: the number of states, and a description of every fault.
     """
     unreached = {
         f'reaches {name}': _negated(predicate)
         for name, predicate in model.reached.items()
     }
     invariants = model.protocol.invariants
-    result = _sweep(model, {**invariants, **unreached})
+    result = _explore(model, {**invariants, **unreached})
     properties = result['properties']
     faults = []
     if not result['exhaustive']:
@@ -55,14 +58,14 @@
 ) -> tuple[str, Trace] | None:
     """Return the first violated invariant and its shortest trace."""
     for model in models:
-        found = _first_violation(model)
-        if found is not None:
-            return found
+        violation = _first_violation(model)
+        if violation is not None:
+            return violation
     return None
 
 
 def format_trace(trace: Trace) -> str:
-    """Number the labels of a trace, one step a line."""
+    """Return the numbered steps of a trace, one a line."""
     labels = [step['label'] for step in trace[1:]]
     return '\n'.join(
         f'    {number}. {label}' for number, label in enumerate(labels, 1)
@@ -72,7 +75,7 @@
 def _first_violation(model: specs.BoundedModel) -> tuple[str, Trace] | None:
     violated: list[str] = []
 
-    def watched(name: str, predicate: abc.Callable) -> abc.Callable:
+    def record_violation(name: str, predicate: abc.Callable) -> abc.Callable:
         def check(state: dict[str, typing.Any]) -> bool:
             holds = predicate(state)
             if not holds:
@@ -82,23 +85,23 @@
         return check
 
     def transitions(state: tuple) -> abc.Iterable:
-        # A witness stands without the rest of the sweep, so go no further.
+        # A counterexample doesn't need the remaining states.
         if violated:
             return []
         return model.protocol.transitions(state)
 
     invariants = {
-        name: watched(name, predicate)
+        name: record_violation(name, predicate)
         for name, predicate in model.protocol.invariants.items()
     }
-    result = _sweep(model, invariants, transitions)
+    result = _explore(model, invariants, transitions)
     if not violated:
         return None
     name = violated[0]
     return name, result['properties'][name]['counterexample']
 
 
-def _sweep(
+def _explore(
     model: specs.BoundedModel,
     invariants: dict[str, abc.Callable],
     transitions: abc.Callable | None = None,
@@ -121,11 +124,12 @@
 def run_specifications(
     modules: abc.Iterable[types.ModuleType], *, deep: bool = False
 ) -> bool:
-    """Sweep all specifications; print bounds, states and the verdict.
+    """Check all specifications; print bounds, states and the verdict.
 
-    :param deep: sweep the models of ``build_deep`` in their place.
+    :param deep: check the models of ``build_deep`` instead.
+    :returns: whether all hold.
     """
-    good = True
+    is_ok = True
     for module in modules:
         build_deep = getattr(module, 'build_deep', tuple)
         for model in build_deep() if deep else module.build():
@@ -140,25 +144,29 @@
             )
             for fault in faults:
                 print(f'  {fault}')
-            good = good and not faults
-    return good
+            is_ok = is_ok and not faults
+    return is_ok
 
 
 def run_mutants(
     modules: abc.Iterable[types.ModuleType], *, verbose: bool
 ) -> bool:
-    """Check that each safeguard's removal is caught; print the count."""
+    """Check that removing any safeguard violates an invariant.
+
+    :param verbose: print the counterexamples.
+    :returns: whether a counterexample was found for every mutant.
+    """
     total = 0
     caught = 0
     for module in modules:
         for name, harm in module.SAFEGUARDS_BY_NAME.items():
             total += 1
-            found = find_counterexample(module.build(without=name))
-            if found is None:
+            violation = find_counterexample(module.build(without=name))
+            if violation is None:
                 print(f'{module.__name__} without {name}: NOT CAUGHT ({harm})')
                 continue
             caught += 1
-            invariant, trace = found
+            invariant, trace = violation
             print(
                 f'{module.__name__} without {name}: {invariant} violated '
                 f'in {len(trace) - 1} steps',
@@ -197,10 +205,10 @@
         print('no specification found', file=sys.stderr)
         return 1
     if options.mutants:
-        good = run_mutants(modules, verbose=options.verbose)
+        is_ok = run_mutants(modules, verbose=options.verbose)
     else:
-        good = run_specifications(modules, deep=options.deep)
-    return 0 if good else 1
+        is_ok = run_specifications(modules, deep=options.deep)
+    return 0 if is_ok else 1
 
 
 if __name__ == '__main__':
--- a/tools/outcomes.py
+++ b/tools/outcomes.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that keeps each test's outcome for the runner."""
+"""A nose2 plugin that records test outcomes for the runner."""
 
 import nose2.events
 
@@ -9,7 +9,7 @@
     configSection = 'outcomes'
     alwaysOn = True
 
-    #: Shared with the runner, which has no other way to reach the plugin.
+    #: Class attributes, because the runner has no reference to the plugin.
     failed: list[str] = []
     skipped: list[str] = []
     started: list[str] = []
@@ -19,7 +19,8 @@
 
     def testOutcome(self, event: nose2.events.TestOutcomeEvent) -> None:
         if event.outcome == 'subtest':
-            # Passing ones are told too; a test counts once in any case.
+            # Passed subtests are reported, too. The runner counts a test
+            # with several failed subtests once.
             if event.exc_info is not None:
                 self.failed.append(event.test.test_case.id())
         elif event.outcome == 'skipped':
--- a/tools/plots.py
+++ b/tools/plots.py
@@ -1,4 +1,4 @@
-"""Draws the plots of docs/POLICY.md from the lines of scripts/measure."""
+"""Draws the plots of docs/POLICY.md from the output of scripts/measure."""
 
 import collections
 from collections import abc
@@ -11,7 +11,7 @@
 import matplotlib
 
 matplotlib.use('svg')
-# The same figures give the same file.
+# A fixed salt makes the files reproducible.
 matplotlib.rcParams['svg.hashsalt'] = 'dandeliongw'
 
 from matplotlib import pyplot  # noqa: E402
@@ -20,7 +20,7 @@
 
 
 def family(policy: str) -> str:
-    """Return the name of a router without its limit of waiting prompts."""
+    """Return the name of a policy without its limit of waiting prompts."""
     head, _, tail = policy.rpartition('-')
     return head if tail.isdigit() else policy
 
@@ -29,10 +29,10 @@
     lines: abc.Iterable[Line],
     value: abc.Callable[[Line], float],
 ) -> dict[str, list[tuple[float, float]]]:
-    """Return (load, mean over seeds) by router.
+    """Return points (load, mean over seeds) by router.
 
-    Where a router was run with several limits, the one with the most
-    goodput at that load counts.
+    If a router was measured with several limits, the limit with the highest
+    goodput at each load counts.
     """
     runs = collections.defaultdict(list)
     for line in lines:
@@ -67,7 +67,7 @@
 
 
 def draw(lines: list[Line], file: pathlib.Path, name: str) -> None:
-    """Draw one measure over the load, a panel for each deployment."""
+    """Plot one measure against the load, in a panel for each deployment."""
     label, value = MEASURES_BY_FILE[name]
     deployments = sorted({line['deployment'] for line in lines})
     figure, axes = pyplot.subplots(
@@ -91,7 +91,7 @@
     """Draw every plot.
 
     :param lines: output of scripts/measure.
-    :param folder: where the plots go.
+    :param folder: where the plots are written.
     """
     parsed = [json.loads(text) for text in lines.read_text().splitlines()]
     measured = [line for line in parsed if 'policy' in line]
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,4 @@
-"""Runs the nose2 tests and prints their count as the last line."""
+"""Runs the tests with nose2 and prints the counts as the last line."""
 
 import pathlib
 import sys
@@ -11,9 +11,9 @@
 
 
 def known_red_names() -> dict[str, str]:
-    """Return cause by test name, as KNOWN-RED.txt lists them.
+    """Return the causes in KNOWN-RED.txt by test name.
 
-    Each line is ``test.name | cause | issue``; three lines at most.
+    Each line is ``test.name | cause | issue``; at most three are allowed.
     """
     if not KNOWN_RED.exists():
         return {}
@@ -25,7 +25,10 @@
 
 
 def main() -> int:
-    """Run the tests named on the command line, or all."""
+    """Run the tests named on the command line, or all.
+
+    :returns: the exit code; failures listed in KNOWN-RED.txt are allowed.
+    """
     names = sys.argv[1:] or ['-s', 'tests', '-t', '.']
     argv = ['nose2', '-c', 'nose2.cfg', *names]
     nose2.discover(argv=argv, exit=False, plugins=['tools.outcomes'])
