--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -66,7 +66,7 @@
         self._loss = loss
         self._random = random.Random(seed)
         self._order = itertools.count()
-        self._wire: list[tuple] = []
+        self._in_flight: list[tuple] = []
         self._sealers = {
             each: envelopes.Sealer(
                 sender=each, incarnation=1_790_000_000_000, secret=b'secret'
@@ -93,13 +93,15 @@
             for instance_id in self.part_by_id:
                 entropy = self._random.getrandbits(64)
                 event = parts.Ticked(now=self.now, entropy=entropy)
-                self.tell(instance_id, event)
-            while self._wire and self._wire[0][0] <= self.now + TICK_S:
-                at, _, sender, to, message = heapq.heappop(self._wire)
+                self.handle_event(instance_id, event)
+            while (
+                self._in_flight and self._in_flight[0][0] <= self.now + TICK_S
+            ):
+                at, _, sender, to, message = heapq.heappop(self._in_flight)
                 event = parts.Received(now=at, sender=sender, message=message)
-                self.tell(to, event, at)
+                self.handle_event(to, event, at)
 
-    def tell(
+    def handle_event(
         self, instance_id: str, event: typing.Any, now: float | None = None
     ) -> None:
         if instance_id in self.stopped:
@@ -133,7 +135,7 @@
             if (sender in self.cut_off) != (effect.to in self.cut_off):
                 return
         item = (now + DELAY_S, next(self._order), sender, effect.to)
-        heapq.heappush(self._wire, (*item, effect.message))
+        heapq.heappush(self._in_flight, (*item, effect.message))
 
     def _count(self, sender: str, effect: parts.Send) -> None:
         kind, body = CODEC.encode(effect.message)
@@ -401,13 +403,13 @@
         slots=20,
         checks_fence=True,
     )
-    network.tell(
+    network.handle_event(
         front,
         presence.Announced(
             now=network.now, announcement=announcement, ticket=''
         ),
     )
-    network.tell(
+    network.handle_event(
         front,
         presence.Forward(
             now=network.now, backend_id=announcement.backend_id, to=(owner,)
@@ -425,7 +427,7 @@
         slots_used=18,
         kv_bytes=40_000_000_000,
     )
-    network.tell(
+    network.handle_event(
         front,
         presence.Renewed(
             now=network.now,
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -75,7 +75,7 @@
         result = run(
             measure.CURRENT,
             duration_s=28.0,
-            disturb=faults.FAULTS_BY_NAME[name],
+            inject_fault=faults.FAULTS_BY_NAME[name],
             leaving=0.05,
         )
         wrong = {
--- a/tools/engine_model.py
+++ b/tools/engine_model.py
@@ -168,7 +168,7 @@
     seed: str
     max_tokens: int = 0
     #: Tokens decoded so far.
-    made: int = 0
+    tokens_made: int = 0
     decoding: bool = False
     finished: bool = False
 
@@ -537,15 +537,15 @@
         return job.tokens * self.speeds.kv_bytes_per_token
 
     def _finish_step(self, at: float) -> Stepped:
-        made = []
+        stepped_ids = []
         finished = []
         for stream_id in self._step_ids:
             stream = self.streams_by_id.get(stream_id)
             if stream is None or not stream.decoding:
                 continue
-            stream.made += 1
-            made.append(stream_id)
-            if stream.made >= stream.max_tokens:
+            stream.tokens_made += 1
+            stepped_ids.append(stream_id)
+            if stream.tokens_made >= stream.max_tokens:
                 # This frees the slot and the KV cache. The text is kept
                 # until it has been read, so that a client can resume
                 # after a broken connection.
@@ -554,7 +554,9 @@
                 finished.append(stream_id)
         self._step_ends_at = None
         self._start_step(at)
-        return Stepped(at=at, stream_ids=tuple(made), finished=tuple(finished))
+        return Stepped(
+            at=at, stream_ids=tuple(stepped_ids), finished=tuple(finished)
+        )
 
     def _evict(self, at: float) -> list[Evicted]:
         evicted = []
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -9,7 +9,7 @@
 BEGINS_AT = 25.0
 ENDS_AT = 35.0
 
-Disturb = abc.Callable[[load.Run], None]
+FaultInjection = abc.Callable[[load.Run], None]
 
 
 def kill_decode(run: load.Run) -> None:
@@ -88,7 +88,7 @@
     run.clock.at(BEGINS_AT, run.join_engine, 'decode-9', role)
 
 
-FAULTS_BY_NAME: dict[str, Disturb] = {
+FAULTS_BY_NAME: dict[str, FaultInjection] = {
     each.__name__: each
     for each in (
         kill_decode,
--- a/tools/load.py
+++ b/tools/load.py
@@ -130,7 +130,8 @@
     started_at: float | None = None
     first_token_at: float | None = None
     last_token_at: float | None = None
-    made: int = 0
+    #: Tokens received over all attempts.
+    tokens_made: int = 0
     streaming: bool = False
     #: Whether it waits between a failed attempt and the next one.
     pausing: bool = False
@@ -143,7 +144,7 @@
     @property
     def token_gap_s(self) -> float:
         """Mean gap between the tokens of a complete answer."""
-        gaps = max(1, self.made - 1)
+        gaps = max(1, self.tokens_made - 1)
         return (self.last_token_at - self.first_token_at) / gaps
 
 
@@ -423,8 +424,8 @@
                 account=request.account,
                 priority=request.priority,
                 # A broken stream resumes after the delivered tokens.
-                prompt_tokens=request.prompt_tokens + job.made,
-                max_tokens=request.max_tokens - job.made,
+                prompt_tokens=request.prompt_tokens + job.tokens_made,
+                max_tokens=request.max_tokens - job.tokens_made,
                 prefix=request.prefix,
                 deadline_s=left_s - self.clock.now,
                 exclude=job.exclude,
@@ -495,7 +496,7 @@
             self.clock.now,
             stream_id=job.name,
             attempt_id=job.attempt_id,
-            tokens=request.prompt_tokens + job.made,
+            tokens=request.prompt_tokens + job.tokens_made,
             prefix=request.prefix,
             rank=rank,
         )
@@ -609,7 +610,7 @@
         source.model.drop_kv(done.kv)
         job.streaming = True
         engine.wake()
-        left = job.request.answer_tokens - job.made
+        left = job.request.answer_tokens - job.tokens_made
         engine.model.start_decode(
             self.clock.now, stream_id=job.name, max_tokens=left
         )
@@ -634,7 +635,7 @@
             job = self._find_reader(engine, stream_id)
             if job is None:
                 continue
-            job.made += 1
+            job.tokens_made += 1
             job.last_token_at = seen_at
             if job.first_token_at is None:
                 job.first_token_at = seen_at
@@ -785,7 +786,7 @@
             priority=request.priority,
             stage=job.stage,
             prompt_tokens=request.prompt_tokens,
-            max_tokens=request.max_tokens - job.made,
+            max_tokens=request.max_tokens - job.tokens_made,
             deadline_s=self.deployment.terms.timeout_s,
             prefill_id=job.prefill_id,
             decode_id=job.booked.decode_id,
--- a/tools/local.py
+++ b/tools/local.py
@@ -25,7 +25,8 @@
 HOST = '127.0.0.1'
 OPERATOR_TOKEN = 'demo-operator-token'
 ACCOUNT_KEY = 'demo-account-key'
-#: Default timeout of any wait; generous, because machines may be slow.
+#: Default timeout of waits, in seconds. It is long enough for slow machines
+#: and isn't spent if the condition is met earlier.
 PATIENCE_S = 60.0
 POLL_S = 0.05
 #: Until a process that was sent SIGTERM is killed.
@@ -76,14 +77,14 @@
 
 
 def wait_until(
-    what: str, check: abc.Callable[[], typing.Any], patience_s: float = 0.0
+    what: str, check: abc.Callable[[], typing.Any], timeout_s: float = 0.0
 ) -> typing.Any:
     """Poll ``check`` until its result is true, and return the result.
 
-    :param patience_s: timeout; :data:`PATIENCE_S` if zero.
+    :param timeout_s: how long to poll; :data:`PATIENCE_S` if zero.
     :raises TimeoutError: naming ``what``.
     """
-    ends_at = time.monotonic() + (patience_s or PATIENCE_S)
+    ends_at = time.monotonic() + (timeout_s or PATIENCE_S)
     while True:
         result = check()
         if result:
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -117,12 +117,12 @@
     at_load: float,
     duration_s: float,
     seed: int = 1,
-    disturb: abc.Callable[[load.Run], None] | None = None,
+    inject_fault: abc.Callable[[load.Run], None] | None = None,
     **mix: typing.Any,
 ) -> tally.Tally:
     """Return the figures of one run.
 
-    :param disturb: schedules faults on the run's clock.
+    :param inject_fault: schedules faults on the run's clock.
     :param mix: further arguments of ``workloads.make_requests``.
     """
     requests = workloads.make_requests(
@@ -136,8 +136,8 @@
     )
     run.tally.since = WARM_UP_S
     run.tally.until = duration_s
-    if disturb is not None:
-        disturb(run)
+    if inject_fault is not None:
+        inject_fault(run)
     return run.run(duration_s + DRAIN_S)
 
 
@@ -174,15 +174,17 @@
             summary['wasted_prefill_ratio'] = max(
                 summary['wasted_prefill_ratio'], wasted
             )
-        disturbed = [
-            measure(deployment, current, at_load=0.7, disturb=each, **options)
+        faulty_runs = [
+            measure(
+                deployment, current, at_load=0.7, inject_fault=each, **options
+            )
             for each in (faults.kill_decode, faults.lose_owner)
         ]
-        recovery_s = disturbed[0].seconds_below(
+        recovery_s = faulty_runs[0].seconds_below(
             RECOVERED, faults.BEGINS_AT, faults.ENDS_AT
         )
         summary['recovery_s'] = max(summary['recovery_s'], recovery_s)
-        for result in (ours, *disturbed):
+        for result in (ours, *faulty_runs):
             summary['double_answers'] += result.counts['double']
             summary['lost_answers'] += result.counts['lost']
     return summary
@@ -231,7 +233,7 @@
                         at_load=at_load,
                         duration_s=duration_s,
                         seed=seed,
-                        disturb=faults.FAULTS_BY_NAME.get(fault),
+                        inject_fault=faults.FAULTS_BY_NAME.get(fault),
                         leaving=leaving,
                         flood=flood,
                         burst=burst,
--- a/tools/standin_engine.py
+++ b/tools/standin_engine.py
@@ -259,19 +259,19 @@
             with self._changed:
                 self._wait_for(
                     lambda: (
-                        stream.made > offset
+                        stream.tokens_made > offset
                         or stream.finished
                         or not self._is_reading(stream, reader)
                     )
                 )
                 if not self._is_reading(stream, reader):
                     return
-                made = stream.made
+                tokens_made = stream.tokens_made
                 is_last = stream.finished
                 # Faults affect only the first connection of a stream, so
                 # that a client can resume over a second one.
                 faults = self.model.faults if reader == 1 else None
-            while offset < made:
+            while offset < tokens_made:
                 if faults and self._apply_fault(faults, stream, offset):
                     return
                 yield self._piece(stream, offset)
@@ -283,7 +283,7 @@
                     {
                         'attempt_id': stream.attempt_id,
                         'end': True,
-                        'tokens': stream.made,
+                        'tokens': stream.tokens_made,
                     }
                 )
                 break
--- a/tools/tally.py
+++ b/tools/tally.py
@@ -96,7 +96,7 @@
 
     def finished(self, job: typing.Any) -> None:
         self._answer_once(job)
-        self.counts['short'] += job.made != job.request.answer_tokens
+        self.counts['short'] += job.tokens_made != job.request.answer_tokens
         if not self._is_counted(job):
             return
         self.counts['finished'] += 1
