--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -63,8 +63,8 @@
     """Return the seconds from the holder's crash to the next holder."""
     network = begin(seed, candidates)
     network.freeze('gw-0')
-    rivals = set(network.nodes_by_id) - {'gw-0'}
-    return network.run_until(lambda: rivals & set(network.holders()), 20.0)
+    other_ids = set(network.nodes_by_id) - {'gw-0'}
+    return network.run_until(lambda: other_ids & set(network.holders()), 20.0)
 
 
 def failover_with_dead_grantor(seed: int) -> float:
@@ -72,8 +72,8 @@
     network = begin(seed, 3)
     network.freeze('v3')
     network.freeze('gw-0')
-    rivals = set(network.nodes_by_id) - {'gw-0'}
-    return network.run_until(lambda: rivals & set(network.holders()), 20.0)
+    other_ids = set(network.nodes_by_id) - {'gw-0'}
+    return network.run_until(lambda: other_ids & set(network.holders()), 20.0)
 
 
 def handover(seed: int) -> float:
--- a/tools/load.py
+++ b/tools/load.py
@@ -183,9 +183,9 @@
         self._send_backends()
         for request in requests:
             self.clock.at(request.at, self._arrive, request, request.name, 0)
-        self.clock.at(0.0, self._report_all)
+        self.clock.at(0.0, self._send_reports)
         self.clock.at(0.0, self._tick)
-        self.clock.at(0.0, self._progress_all)
+        self.clock.at(0.0, self._send_progress)
 
     def _add_engines(self) -> None:
         counts = {
@@ -272,15 +272,15 @@
         self._handle_at_owner(parts.Ticked(now=self.clock.now, entropy=0))
         self.clock.at(self.clock.now + TICK_S, self._tick)
 
-    def _report_all(self) -> None:
+    def _send_reports(self) -> None:
         now = self.clock.now
         for engine in self.engines_by_id.values():
             if engine.alive:
                 engine.wake()
-                self._report(now, engine)
-        self.clock.at(now + REPORT_EVERY_S, self._report_all)
+                self._send_report(now, engine)
+        self.clock.at(now + REPORT_EVERY_S, self._send_reports)
 
-    def _report(self, now: float, engine: SimulatedEngine) -> None:
+    def _send_report(self, now: float, engine: SimulatedEngine) -> None:
         report = engine.reporter.report(now)
         backend_id = engine.backend.backend_id
         load = dataclasses.asdict(report.load)
@@ -390,7 +390,7 @@
 
     # Entries
 
-    def _progress_all(self) -> None:
+    def _send_progress(self) -> None:
         holdings_by_entry: dict[str, list[cells.Holding]] = {}
         for job in self.jobs_by_name.values():
             if job.pausing:
@@ -405,7 +405,7 @@
                 self.clock.now + HOP_S, self._receive, entry, message
             )
         next_at = self.clock.now + cells.PROGRESS_EVERY_S
-        self.clock.at(next_at, self._progress_all)
+        self.clock.at(next_at, self._send_progress)
 
     def _book(self, job: Job, stage: vocabulary.Stage) -> None:
         request = job.request
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -27,7 +27,7 @@
 #: Arrivals of a quick run, in virtual seconds.
 QUICK_S = 60.0
 #: Fraction of good calls from which a fault counts as overcome.
-RECOVERED = 0.9
+RECOVERED_SHARE = 0.9
 #: Prefixes of the names of the baselines that the summary uses.
 NAMED_BASELINES = ('round-robin', 'least-reported')
 #: Time for calls to end after the last arrival, in virtual seconds.
@@ -181,7 +181,7 @@
             for each in (faults.kill_decode, faults.lose_owner)
         ]
         recovery_s = faulty_runs[0].seconds_below(
-            RECOVERED, faults.BEGINS_AT, faults.ENDS_AT
+            RECOVERED_SHARE, faults.BEGINS_AT, faults.ENDS_AT
         )
         summary['recovery_s'] = max(summary['recovery_s'], recovery_s)
         for result in (ours, *faulty_runs):
--- a/tools/tally.py
+++ b/tools/tally.py
@@ -150,17 +150,17 @@
             1, self.prefill_tokens
         )
 
-    def seconds_below(self, part: float, since: float, until: float) -> int:
+    def seconds_below(self, share: float, since: float, until: float) -> int:
         """Return the seconds from ``since`` until goodput stays sufficient.
 
-        It is insufficient in a second if less than ``part`` of the calls
+        It is insufficient in a second if less than ``share`` of the calls
         that arrive in it are good.
         """
         below = [
             second
             for second in range(int(since), int(until))
             if self.good_by_second[second]
-            < part * self.arrived_by_second[second]
+            < share * self.arrived_by_second[second]
         ]
         return int(max(below, default=since - 1) + 1 - since)
 
--- a/tools/workloads.py
+++ b/tools/workloads.py
@@ -14,7 +14,7 @@
 class Kind:
     """One kind of request in a mix.
 
-    :param part: fraction of all requests, between zero and one.
+    :param share: fraction of all requests, between zero and one.
     :param prompt_tokens: least and most tokens of a prompt.
     :param shared_tokens: length of the prefix that an account's prompts
         share.
@@ -24,7 +24,7 @@
     """
 
     priority: str
-    part: float
+    share: float
     prompt_tokens: tuple[int, int]
     shared_tokens: int
     max_tokens: tuple[int, int]
@@ -108,14 +108,14 @@
     kinds=(
         Kind(
             priority='urgent',
-            part=0.6,
+            share=0.6,
             prompt_tokens=(200, 700),
             shared_tokens=128,
             max_tokens=(60, 160),
         ),
         Kind(
             priority='patient',
-            part=0.4,
+            share=0.4,
             prompt_tokens=(1500, 4000),
             shared_tokens=640,
             max_tokens=(150, 350),
@@ -136,14 +136,14 @@
     kinds=(
         Kind(
             priority='urgent',
-            part=0.3,
+            share=0.3,
             prompt_tokens=(800, 2000),
             shared_tokens=512,
             max_tokens=(80, 200),
         ),
         Kind(
             priority='patient',
-            part=0.7,
+            share=0.7,
             prompt_tokens=(3000, 7000),
             shared_tokens=1024,
             max_tokens=(150, 400),
@@ -213,11 +213,11 @@
         prompt = mean_of(kind.prompt_tokens)
         computed = prompt - kind.shared_tokens
         work_s = computed / speeds.prefill_tokens_per_s
-        prefill_s += kind.part * (work_s + speeds.prefill_overhead_s)
+        prefill_s += kind.share * (work_s + speeds.prefill_overhead_s)
         kv_bytes = prompt * speeds.kv_bytes_per_token
-        link_s += kind.part * kv_bytes / speeds.link_bytes_per_s
+        link_s += kind.share * kv_bytes / speeds.link_bytes_per_s
         answer = mean_of(kind.max_tokens) * (1 + kind.stop_early) / 2
-        slot_s += kind.part * answer * step_s
+        slot_s += kind.share * answer * step_s
     return min(
         deployment.prefill_engines / prefill_s,
         deployment.prefill_engines / link_s,
@@ -264,7 +264,7 @@
     leaving: float,
     flood: float,
 ) -> Request:
-    weights = [kind.part for kind in deployment.kinds]
+    weights = [kind.share for kind in deployment.kinds]
     kind = rng.choices(deployment.kinds, weights)[0]
     # Skewed: a few accounts send most of the requests.
     account = int(deployment.accounts * rng.random() ** 2)
