--- a/dandeliongw/client.py
+++ b/dandeliongw/client.py
@@ -1,4 +1,4 @@
-"""Calls an instance over HTTP for the command line."""
+"""HTTP client of the command line for calls to an instance."""
 
 import json
 import typing
@@ -9,7 +9,7 @@
 from . import exceptions
 
 CONNECT_TIMEOUT_S = 5.0
-#: Longer than an instance waits for a majority.
+#: Longer than an instance waits for a majority of the voters.
 READ_TIMEOUT_S = 30.0
 
 _NEVER_CONNECTED = (
@@ -19,10 +19,10 @@
 
 
 class Client:
-    """Asks one instance, once; nothing is sent again behind one's back.
+    """Sends requests to one instance; never retries automatically.
 
     :param url: such as ``http://10.0.1.5:7001``.
-    :param token: the operator's, where the call needs one.
+    :param token: the operator's token, for calls that need one.
     """
 
     def __init__(self, *, url: str, token: str | None = None) -> None:
@@ -38,25 +38,26 @@
     def get(self, path: str) -> dict[str, typing.Any]:
         """Return the JSON object at a path.
 
-        :raises DandeliongwError: for every answer but a success.
+        :raises DandeliongwError: for every answer except a success.
         """
-        return self._success(*self._ask('GET', path, None))
+        return self._success(*self._request('GET', path, None))
 
     def put_document(
         self, document: typing.Any, expected_revision: int, change_id: str
     ) -> dict[str, typing.Any]:
-        """Propose a document.
+        """Submit a document as the next revision.
 
-        :raises ChangeConflict: if another change came first.
-        :raises InstanceUnreachable: if no answer came; the change may still
-            take effect.
+        :raises ChangeConflict: if another change was accepted first.
+        :raises ChangeIdReused: if the change id belongs to another change.
+        :raises InstanceUnreachable: if no answer arrived; the change may
+            still take effect.
         """
         body = {
             'document': document,
             'expected_revision': expected_revision,
             'change_id': change_id,
         }
-        status, answer = self._ask('PUT', '/v1/document', body)
+        status, answer = self._request('PUT', '/v1/document', body)
         reason = answer.get('reason')
         if reason == 'conflict':
             raise exceptions.ChangeConflict(
@@ -69,14 +70,18 @@
         return self._success(status, answer)
 
     def lift(self, call: str, reason: str) -> dict[str, typing.Any]:
-        """Let a call that is held back be sent again.
+        """Release a call from quarantine.
 
-        :raises DandeliongwError: for every answer but a success.
+        :param call: the call's fingerprint.
+        :param reason: why it may run again; recorded.
+        :raises DandeliongwError: for every answer except a success.
         """
         body = {'call': call, 'reason': reason}
-        return self._success(*self._ask('POST', '/v1/quarantine/lift', body))
+        return self._success(
+            *self._request('POST', '/v1/quarantine/lift', body)
+        )
 
-    def _ask(
+    def _request(
         self, method: str, path: str, body: typing.Any
     ) -> tuple[int, dict[str, typing.Any]]:
         url = self._url + path
@@ -126,6 +131,6 @@
         answer = None
     if not isinstance(answer, dict):
         raise exceptions.DandeliongwError(
-            message=f'{url} does not answer like an instance of dandeliongw'
+            message=f'{url} did not answer as a dandeliongw instance does'
         )
     return answer
--- a/dandeliongw/differences.py
+++ b/dandeliongw/differences.py
@@ -1,6 +1,6 @@
-"""What differs between two documents, item by item.
+"""Compares and merges two documents, item by item.
 
-Works on the plain JSON of documents, also of drafts that aren't valid yet.
+Works on the JSON trees of documents, so drafts need not be valid.
 """
 
 from collections import abc
@@ -9,7 +9,7 @@
 
 import msgspec
 
-#: The lists of a document, in the order that they are shown.
+#: The lists of a document, in display order.
 SECTIONS = ('services', 'pools', 'priorities', 'routes', 'accounts')
 
 Item = dict[str, typing.Any]
@@ -17,7 +17,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What happened to an item."""
+    """The kind of a difference."""
 
     ADDED = 'added'
     REMOVED = 'removed'
@@ -25,11 +25,11 @@
 
 
 class Difference(msgspec.Struct, frozen=True, kw_only=True):
-    """One item that isn't the same in both documents.
+    """One item that differs between the two documents.
 
-    :param key: the item's name, see :func:`key_of`.
-    :param fields: before and after by field; only those that differ, and
-        ``None`` where there is none.
+    :param key: the item's key, see :func:`key_of`.
+    :param fields: the old and the new value of each field that differs;
+        ``None`` where the field is absent.
     """
 
     section: str
@@ -41,8 +41,9 @@
 class CarriedOver(msgspec.Struct, frozen=True, kw_only=True):
     """The outcome of :func:`carry_over`.
 
-    :param tree: the document with the changes that could be carried.
-    :param left_out: changes to items that the other side changed too.
+    :param tree: the document with the changes that could be applied.
+    :param left_out: conflicting changes, not applied: the other side changed
+        the same items in another way.
     """
 
     tree: Tree
@@ -50,7 +51,10 @@
 
 
 def key_of(section: str, item: Item) -> str:
-    """Return what tells an item from others: routes have no name."""
+    """Return the key of an item: its name, or for a route its call.
+
+    Routes have no name; service, method and path identify them.
+    """
     if section == 'routes':
         parts = (item.get(field, '') for field in ('service', 'method'))
         return ' '.join([*map(str, parts), str(item.get('path', ''))])
@@ -58,12 +62,12 @@
 
 
 def items_by_key(tree: Tree, section: str) -> dict[str, Item]:
-    """Return a section's items by their keys, in order."""
+    """Return a section's items by key, in order."""
     return {key_of(section, item): item for item in tree.get(section, ())}
 
 
 def find(before: Tree, after: Tree) -> list[Difference]:
-    """Return every item that differs, by section and in order."""
+    """Return the items that differ, by section and in order."""
     found = []
     for section in SECTIONS:
         old = items_by_key(before, section)
@@ -77,12 +81,15 @@
 
 
 def carry_over(*, base: Tree, mine: Tree, theirs: Tree) -> CarriedOver:
-    """Make my changes again in the document that others have changed.
+    """Apply the operator's changes to a document changed meanwhile by others.
 
-    An item that both changed, and not alike, stays as theirs is and is
-    told: choosing for the operator could undo what was just accepted.
+    A three-way merge. An item that both sides changed in different ways keeps
+    the others' version and is reported in ``left_out``: overwriting it
+    could undo a change that was just accepted.
 
-    :param base: what both sides began from.
+    :param base: the document that both sides started from.
+    :param mine: the operator's draft.
+    :param theirs: the current document.
     """
     taken = {(each.section, each.key) for each in find(base, theirs)}
     tree = dict(theirs)
@@ -98,10 +105,11 @@
 
 
 def replace(tree: Tree, section: str, key: str, item: Item | None) -> Tree:
-    """Return a copy with one item put, added at the end, or removed.
+    """Return a copy with one item replaced, appended or removed.
 
-    :param key: of the item as it was; an unknown one adds ``item``.
-    :param item: ``None`` removes.
+    :param key: the item's key before the change; if no item has it, ``item``
+        is appended.
+    :param item: the new item, or ``None`` to remove it.
     """
     items = items_by_key(tree, section)
     if item is not None and key not in items:
--- a/dandeliongw/document.py
+++ b/dandeliongw/document.py
@@ -1,7 +1,8 @@
-"""The one document that says what the system does for its callers.
+"""The shared configuration document: services, pools, routes and accounts.
 
-The console, the command line and the HTTP API all produce it, and it is the
-only way to change anything. Units are part of the fields' names.
+The console, the command line and the HTTP API all submit a document, and a
+new document is the only way to change the configuration. Units are part of
+the field names.
 """
 
 from collections import abc
@@ -23,13 +24,13 @@
 Method = typing.Literal[
     'GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'
 ]
-#: A trailing ``*`` matches whatever follows.
+#: A trailing ``*`` matches any suffix.
 RoutePath = typing.Annotated[
     str, pydantic.StringConstraints(pattern=r'^/[!-)+->@-~]*\*?$')
 ]
 NotNegative = typing.Annotated[float, pydantic.Field(ge=0)]
 
-#: The fields that a pool of each role can't be planned without.
+#: Fields that a pool must have, by its role; capacity is planned from them.
 _POOL_NEEDS_BY_ROLE = {
     'prefill': (
         'link_bytes_per_s',
@@ -54,92 +55,95 @@
 
 
 class Weights(models.Model):
-    """What a loss of each measure counts when the policy must choose."""
+    """Relative costs that the scheduling policy weighs against each other."""
 
     goodput: NotNegative = 1.0
-    """Against a request that misses a latency target."""
+    """Cost of a request that misses a latency target."""
     wasted_prefill: NotNegative = 1.0
-    """Against a prefill that is thrown away or done again."""
+    """Cost of a prefill that is discarded or repeated."""
 
 
 class Service(models.Model):
-    """Something that callers ask for by name."""
+    """A service that clients request by name."""
 
     name: models.Name
-    """What callers put into the URL."""
+    """The name in the URL."""
     kind: ServiceKind
-    """``model``: prefill and decode pools; ``plain``: neither."""
+    """``model``: has prefill and decode pools; ``plain``: has plain pools."""
     first_token_s: models.Positive | None = None
     """Target for the time to the first token; model services only."""
     token_gap_s: models.Positive | None = None
     """Target for the time between tokens; model services only."""
     timeout_s: models.Positive
-    """The longest that a request may take in all."""
+    """The longest total duration of a request."""
     weights: Weights = Weights()
-    """How the policy weighs the two measures."""
+    """Relative costs of a missed target and of wasted prefill."""
     kv_life_s: models.Positive | None = None
-    """How long an engine keeps a prefill's result that nobody takes."""
+    """How long an engine keeps a prefill's result that no decode fetches."""
 
 
 class Pool(models.Model):
-    """Backend servers of one role for one service, by their nominal rates."""
+    """Backend servers of one role for one service, with nominal rates."""
 
     name: models.Name
     """Its label in metrics."""
     service: models.Name
-    """The service that it serves."""
+    """The service that the pool belongs to."""
     role: PoolRole
-    """What its backend servers announce themselves as."""
+    """The role that its backend servers announce."""
     slots: models.PositiveInt
-    """Requests that one backend server works on at a time."""
+    """Concurrent requests per backend server."""
     link_bytes_per_s: models.Positive | None = None
-    """Of one backend server's link to the other pool; not for plain pools."""
+    """Bandwidth of one backend server's link to the other pool; not for plain
+    pools."""
     kv_bytes_per_token: models.Positive | None = None
     """Size of the KV cache of one prompt token; prefill pools need it."""
     prefill_tokens_per_s: models.Positive | None = None
-    """Of one backend server, all slots together; prefill pools need it."""
+    """Rate of one backend server, all slots together; prefill pools need
+    it."""
     decode_tokens_per_s: models.Positive | None = None
-    """Of one backend server, all slots together; decode pools need it."""
+    """Rate of one backend server, all slots together; decode pools need
+    it."""
     model: models.Name | None = None
-    """What its engines are ordered to load; model pools only."""
+    """The model that its engines are ordered to load; model pools only."""
     version: models.Name | None = None
     adapter: models.Name | None = None
     tokens_per_piece: models.PositiveInt = 1
-    """Tokens that one piece of an answer brings; decode pools only."""
+    """Tokens in each streamed piece of an answer; decode pools only."""
     kv_tokens: models.PositiveInt | None = None
-    """Tokens that one backend server's KV cache holds; all that fit its
-    slots where none is given."""
+    """Capacity of one backend server's KV cache in tokens; if absent, only
+    the slots limit it."""
     cell_size: models.PositiveInt = 32
-    """Backend servers to one cell, and so to one owner of their slots."""
+    """Backend servers per cell; one owner leases all slots of a cell."""
 
 
 class Priority(models.Model):
-    """A class of work."""
+    """A priority class of requests."""
 
     name: models.Name
-    """What routes and accounts refer to."""
+    """The name that routes and accounts refer to."""
     rank: models.NotNegativeInt
     """0 is the most urgent."""
     max_wait_s: models.Positive
-    """Work that has waited so long goes ahead of more urgent work."""
+    """Requests that have waited this long go ahead of more urgent ones."""
 
 
 class Route(models.Model):
-    """Which calls a service takes, and whether one may be repeated."""
+    """Which calls a service accepts, and whether they may be retried."""
 
     service: models.Name
-    """The service that takes the call."""
+    """The service that handles the call."""
     method: Method
     """The HTTP method."""
     path: RoutePath
-    """A trailing ``*`` matches whatever follows."""
+    """A trailing ``*`` matches any suffix."""
     idempotent: bool
     """``false``: such a call runs at most once."""
     priority: models.Name | None = None
-    """Goes before the account's own."""
+    """Overrides the account's priority."""
 
     def matches(self, method: str, path: str) -> bool:
-        """Whether a call with this method and path is meant."""
+        """Return whether the route applies to this method and path."""
         if method != self.method:
             return False
         if self.path.endswith('*'):
@@ -148,69 +152,71 @@
 
 
 class Account(models.Model):
-    """A caller."""
+    """A client account."""
 
     name: models.Name
-    """The caller, as operators know it."""
+    """The name of the account, for operators."""
     key_sha256: models.Sha256
-    """SHA-256 of the caller's key; the key itself is kept nowhere."""
+    """SHA-256 of the account's key; the key itself is never stored."""
     services: tuple[models.Name, ...]
-    """What the caller may ask for."""
+    """The services that the account may use."""
     share: models.Positive = 1.0
-    """Weight against the other accounts where work has to wait."""
+    """Weight relative to other accounts when requests have to queue."""
     max_in_flight: models.PositiveInt
-    """Requests at one time through one entry; more are refused."""
+    """Concurrent requests through one entry; more are refused."""
     requests_per_s: models.Positive
-    """Lasting rate through one entry; what is more is refused."""
+    """Sustained request rate through one entry; more are refused."""
     priority: models.Name
-    """Of calls whose route names none."""
+    """Priority of calls whose route has none."""
 
 
 class Document(models.Model):
-    """The whole description; without any service it is the first state."""
+    """The whole configuration; a new system starts without any service."""
 
     version: typing.Literal[1]
-    """The form of this document."""
+    """The version of the document format."""
     services: tuple[Service, ...] = ()
-    """What callers ask for."""
+    """Services that clients request."""
     pools: tuple[Pool, ...] = ()
     """Backend servers by service and role."""
     priorities: tuple[Priority, ...] = ()
-    """Classes of work."""
+    """Priority classes."""
     routes: tuple[Route, ...] = ()
-    """Which calls there are, and which may be repeated."""
+    """Which calls are accepted, and which may be retried."""
     accounts: tuple[Account, ...] = ()
-    """The callers."""
+    """Client accounts."""
     host_routes: tuple[hosts.HostRoute, ...] = ()
-    """Calls that are passed on unchanged, for callers without an account."""
+    """Routes by host whose calls are forwarded unchanged, for clients
+    without an account."""
     border: hosts.BorderLimits = hosts.BorderLimits()
-    """What callers of host routes may send."""
+    """Limits for clients of host routes."""
     source: str | None = None
-    """The text that this was translated from, to be read back unchanged."""
+    """The text that this document was translated from, returned unchanged
+    when it is read."""
 
     @functools.cached_property
     def services_by_name(self) -> abc.Mapping[str, Service]:
-        """Every service by its name."""
+        """All services by name."""
         return {service.name: service for service in self.services}
 
     @functools.cached_property
     def pools_by_name(self) -> abc.Mapping[str, Pool]:
-        """Every pool by its name."""
+        """All pools by name."""
         return {pool.name: pool for pool in self.pools}
 
     @functools.cached_property
     def priorities_by_name(self) -> abc.Mapping[str, Priority]:
-        """Every priority by its name."""
+        """All priorities by name."""
         return {priority.name: priority for priority in self.priorities}
 
     @functools.cached_property
     def accounts_by_key_sha256(self) -> abc.Mapping[str, Account]:
-        """Every account by the digest of its key."""
+        """All accounts by the digest of their key."""
         return {account.key_sha256: account for account in self.accounts}
 
     @functools.cached_property
     def _routes_by_service(self) -> abc.Mapping[str, list[Route]]:
-        """Routes of each service, the one that decides first."""
+        """Routes of each service, in the order in which they are matched."""
         routes: dict[str, list[Route]] = {}
         for route in sorted(self.routes, key=_precedence):
             routes.setdefault(route.service, []).append(route)
@@ -218,7 +224,7 @@
 
     @functools.cached_property
     def route_table(self) -> hosts.RouteTable:
-        """Finds the route of a call by host and path."""
+        """The table that finds a call's route by host and path."""
         return hosts.RouteTable(routes=self.host_routes)
 
     def pools_of(self, service: str) -> tuple[Pool, ...]:
@@ -226,9 +232,10 @@
         return tuple(pool for pool in self.pools if pool.service == service)
 
     def route_for(self, service: str, method: str, path: str) -> Route | None:
-        """Return the route that decides a call, or ``None``.
+        """Return the route that applies to a call, or ``None``.
 
-        An exact path goes before one with ``*``, a longer before a shorter.
+        An exact path takes precedence over one with ``*``, a longer path over
+        a shorter one.
 
         :param path: without the query.
         """
@@ -346,10 +353,11 @@
 
 
 def parse_document(body: bytes, source: str = '') -> Document:
-    """Return the document that JSON describes.
+    """Return the document parsed from JSON.
 
-    :raises InvalidInput: with every problem; a document of another version
-        is told only that.
+    :param source: where the body came from, for error messages.
+    :raises InvalidInput: with every problem found; for a document of another
+        version the only problem reported is the version.
     """
     value = models.load_json(body, source)
     if isinstance(value, dict):
@@ -368,7 +376,7 @@
 
 def _check_version(value: dict[str, typing.Any], source: str) -> None:
     version = value.get('version')
-    # ``True`` equals 1, but is no version.
+    # ``True`` equals 1 in Python, but is not a version number.
     if version == VERSION and type(version) is int:
         return
     given = f'given {version!r}' if 'version' in value else 'not given'
--- a/dandeliongw/exceptions.py
+++ b/dandeliongw/exceptions.py
@@ -1,6 +1,6 @@
-"""Errors that end a command, and how each shows itself to a person.
+"""Errors that end a command, with their exit codes and messages.
 
-Refusals of requests are not errors of this kind: they are values, see
+Refused requests are not exceptions: they are returned as values of
 :class:`dandeliongw.verdict.Refusal`.
 """
 
@@ -13,7 +13,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the process tells its parent; listed in docs/COMMANDS.md."""
+    """Exit codes of the process; listed in docs/COMMANDS.md."""
 
     OK = 0
     INTERNAL = 1
@@ -27,12 +27,12 @@
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault in a settings file or a document.
+    """One validation problem of a settings file or a document.
 
-    :param path: where the field is, such as ``pools[2].service``; empty for
+    :param path: path of the field, such as ``pools[2].service``; empty for
         the whole input.
-    :param given: what stood there, shortened; never a secret.
-    :param allowed: what may stand there.
+    :param given: the value found there, shortened; never a secret.
+    :param allowed: which values are valid.
     """
 
     path: str
@@ -45,12 +45,12 @@
 
 
 class DandeliongwError(Exception):
-    """The base of all errors that a person is meant to read.
+    """Base class of the errors that are shown to the user.
 
-    :param message: one sentence that names the bad value and the choices.
+    :param message: one sentence with the bad value and the valid ones.
     """
 
-    #: What the command exits with.
+    #: The exit code of the command.
     exit_code = ExitCode.INTERNAL
 
     def __init__(self, *, message: str) -> None:
@@ -58,7 +58,7 @@
         self.message = message
 
     def format_message(self) -> str:
-        """Return the text for a person; a hook for subclasses."""
+        """Return the text to show; a hook for subclasses."""
         return self.message
 
     def show(self, file: typing.TextIO | None = None) -> None:
@@ -68,10 +68,10 @@
 
 
 class InvalidInput(DandeliongwError):
-    """Settings or a document with at least one problem.
+    """Invalid settings or an invalid document.
 
-    :param problems: every problem that was found, not just the first.
-    :param source: the file or body they were found in, for the message.
+    :param problems: every problem found, not just the first.
+    :param source: the file or body that has them, for the message.
     """
 
     exit_code = ExitCode.BAD_INPUT
@@ -93,16 +93,16 @@
 
 
 class UsageError(DandeliongwError):
-    """A command line that can't be carried out as it was given."""
+    """A wrong argument, or a request that an instance rejected as invalid."""
 
     exit_code = ExitCode.BAD_INPUT
 
 
 class PortInUse(DandeliongwError):
-    """Another process listens where this one should.
+    """Another process already listens on a configured port.
 
     :param address: ``host:port`` as in the settings.
-    :param field: the path of the settings' field.
+    :param field: the path of the field in the settings.
     """
 
     exit_code = ExitCode.PORT_IN_USE
@@ -113,7 +113,7 @@
         super().__init__(
             message=(
                 f'{field}: another process listens on {address}; '
-                'end it or name another port'
+                'stop it or configure another port'
             )
         )
 
@@ -122,7 +122,7 @@
     """The data folder can't be read, written or synced, or is in use.
 
     :param path: the folder.
-    :param reason: what went wrong, as the system told it.
+    :param reason: the error that the operating system reported.
     """
 
     exit_code = ExitCode.DATA_FOLDER
@@ -134,15 +134,15 @@
 
 
 class InstanceBroken(DandeliongwError):
-    """A running instance can't go on: its disk failed, or its id is taken."""
+    """A running instance must stop: its disk failed, or its id is in use."""
 
     exit_code = ExitCode.UNAVAILABLE
 
 
 class ShutdownCutOff(DandeliongwError):
-    """A graceful shutdown ran out of time.
+    """A graceful shutdown timed out.
 
-    :param requests: how many were broken off; the log names them.
+    :param requests: how many requests were aborted; they are logged.
     """
 
     exit_code = ExitCode.CUT_OFF
@@ -150,18 +150,18 @@
     def __init__(self, *, requests: int) -> None:
         self.requests = requests
         super().__init__(
-            message=f'the shutdown broke off {requests} requests that were '
-            'in flight after timeouts.shutdown_s'
+            message=f'the shutdown aborted {requests} requests that were '
+            'still in flight after timeouts.shutdown_s'
         )
 
 
 class InstanceUnreachable(DandeliongwError):
     """No answer from an instance.
 
-    :param url: what was asked.
-    :param reason: what the connection reported.
-    :param may_have_arrived: ``False`` only if no connection was made, so
-        that nothing can have been sent.
+    :param url: the URL of the request.
+    :param reason: the error of the connection.
+    :param may_have_arrived: ``False`` only if no connection was established,
+        so that nothing can have been sent.
     """
 
     exit_code = ExitCode.UNAVAILABLE
@@ -176,26 +176,26 @@
 
 
 class ServiceUnavailable(DandeliongwError):
-    """An instance answered that it can't tell or do this now.
+    """An instance answered that the request can't be served now.
 
-    A change that was asked for may still take effect.
+    A submitted change may still take effect.
     """
 
     exit_code = ExitCode.UNAVAILABLE
 
 
 class Unauthorized(DandeliongwError):
-    """The token isn't that of an operator."""
+    """The token doesn't belong to an operator."""
 
     exit_code = ExitCode.UNAUTHORIZED
 
 
 class ChangeConflict(DandeliongwError):
-    """Another change came first; nothing was applied.
+    """Another change was accepted first; nothing was applied.
 
-    :param expected_revision: the revision that the change was made from.
-    :param revision: the current one.
-    :param author: the operator who made the current one.
+    :param expected_revision: the revision that the change is based on.
+    :param revision: the current revision.
+    :param author: the operator who made the current revision.
     """
 
     exit_code = ExitCode.CONFLICT
@@ -216,7 +216,7 @@
 
 
 class ChangeIdReused(DandeliongwError):
-    """A change id that already names another change; nothing was applied."""
+    """The change id belongs to another change; nothing was applied."""
 
     exit_code = ExitCode.CONFLICT
 
--- a/dandeliongw/explain.py
+++ b/dandeliongw/explain.py
@@ -1,4 +1,4 @@
-"""Reads the logs of several instances and tells one request's story."""
+"""Reconstructs the history of one request from the instances' logs."""
 
 from collections import abc
 import json
@@ -7,9 +7,11 @@
 
 from . import exceptions
 
-#: What says how a request ended.
+#: Messages of log lines that record the end of a request.
 ENDS = ('call answered', 'call streamed', 'call refused', 'call broken off')
-#: What says what an instance believed, whatever request it served.
+#: Messages of log lines that record a change in an instance's view of
+#: members, backend servers, configuration and leases. They belong to no
+#: particular request.
 BELIEFS = (
     'member believed',
     'many members believed',
@@ -24,33 +26,40 @@
     'owns a cell no more',
     'an engine is moved to another pool',
 )
-#: What says of a call, by its fingerprint, why it is held back.
+#: Messages of log lines that record, by a call's fingerprint, why it is or
+#: was quarantined.
 EVIDENCE = (
     'backend server ended under a call',
     'call quarantined',
     'quarantined call is tried',
     'call released',
 )
-#: Seconds before a request's first line in which beliefs are shown.
-BEFORE_S = 5.0
+#: Seconds before a request's first line from which on beliefs are included.
+BELIEFS_BEFORE_S = 5.0
 
 Line = dict[str, typing.Any]
 
 
 def explain(request_id: str, paths: abc.Iterable[str]) -> Line:
-    """Return a request's lines in order, and what was believed meanwhile.
+    """Return a request's log lines in order, with related lines.
 
-    :param request_id: the caller's own, or ours, which begins with it.
-    :raises UsageError: for a file that can't be read, or a request that no
-        file knows.
+    ``beliefs`` are the view changes of the instances that handled the
+    request, from shortly before it until its end. ``evidence`` are the
+    quarantine lines of the same call, from all instances at any time.
+
+    :param request_id: the id that the client sent, or the full id, which is
+        that id followed by a dot and a suffix.
+    :raises UsageError: for a file that can't be read, or if no line of the
+        request is found.
     """
-    every = [line for path in paths for line in _read(path)]
-    own = [line for line in every if _is_of(line, request_id)]
+    all_lines = [line for path in paths for line in _read(path)]
+    own = [line for line in all_lines if _belongs_to(line, request_id)]
     if not own:
         raise exceptions.UsageError(
             message=(
-                f'no line of request {request_id!r} in {len(every)} lines; '
-                'give the logs of every instance, the rotated ones too'
+                f'no line of request {request_id!r} in {len(all_lines)} '
+                'lines; give the logs of all instances, including rotated '
+                'ones'
             )
         )
     own.sort(key=lambda line: line['time'])
@@ -59,13 +68,13 @@
         'request_id': request_id,
         'end': _end(own),
         'lines': own,
-        'evidence': _evidence(every, own),
-        'beliefs': _beliefs(every, instances, own[0], own[-1]),
+        'evidence': _evidence(all_lines, own),
+        'beliefs': _beliefs(all_lines, instances, own[0], own[-1]),
     }
 
 
 def _end(own: abc.Sequence[Line]) -> str | None:
-    """Return how it ended in one sentence; ``None`` if no line says so."""
+    """Return how the request ended; ``None`` if no line records it."""
     for line in reversed(own):
         if line['message'] in ENDS:
             reason = line.get('reason', line.get('status', ''))
@@ -74,29 +83,29 @@
 
 
 def _evidence(
-    every: abc.Iterable[Line], own: abc.Sequence[Line]
+    all_lines: abc.Iterable[Line], own: abc.Sequence[Line]
 ) -> list[Line]:
-    """Return what all instances said of the same call, whenever."""
+    """Return the quarantine lines of the call, of all instances and times."""
     calls = {line['call'] for line in own if 'call' in line}
     found = [
         line
-        for line in every
+        for line in all_lines
         if line['message'] in EVIDENCE and line.get('call') in calls
     ]
     return sorted(found, key=lambda line: line['time'])
 
 
 def _beliefs(
-    every: abc.Iterable[Line],
+    all_lines: abc.Iterable[Line],
     instances: abc.Container[str],
     first: Line,
     last: Line,
 ) -> list[Line]:
-    begin = _seconds(first) - BEFORE_S
+    begin = _seconds(first) - BELIEFS_BEFORE_S
     end = _seconds(last)
     found = [
         line
-        for line in every
+        for line in all_lines
         if line['message'] in BELIEFS
         and line['instance'] in instances
         and begin <= _seconds(line) <= end
@@ -105,19 +114,22 @@
 
 
 def _seconds(line: Line) -> float:
-    """Return the time of a line within its day; logs are read soon after."""
+    """Return the time of day of a line, in seconds.
+
+    The date is ignored: logs are expected to be read soon after the request.
+    """
     clock = line['time'][11:].partition('+')[0]
     hours, minutes, seconds = clock.split(':')
     return int(hours) * 3600 + int(minutes) * 60 + float(seconds)
 
 
-def _is_of(line: Line, request_id: str) -> bool:
-    known = str(line.get('request_id', ''))
-    return known == request_id or known.startswith(f'{request_id}.')
+def _belongs_to(line: Line, request_id: str) -> bool:
+    logged = str(line.get('request_id', ''))
+    return logged == request_id or logged.startswith(f'{request_id}.')
 
 
 def _read(path: str) -> abc.Iterator[Line]:
-    """Yield the lines that are ours; others may stand between them."""
+    """Yield the JSON log lines of instances; skip any other text."""
     try:
         text = pathlib.Path(path).read_text(errors='replace')
     except OSError as error:
--- a/dandeliongw/models.py
+++ b/dandeliongw/models.py
@@ -1,4 +1,4 @@
-"""The base of the validated models, and their errors in plain words."""
+"""Base class of the validated models, with readable validation errors."""
 
 import ast
 from collections import abc
@@ -15,7 +15,7 @@
 from . import _secrets
 from . import exceptions
 
-#: Names that operators choose; safe in URLs, labels and file names.
+#: Names chosen by operators; safe in URLs, labels and file names.
 Name = typing.Annotated[
     str,
     pydantic.StringConstraints(
@@ -26,7 +26,7 @@
     str, pydantic.StringConstraints(pattern=r'^[0-9a-f]{64}$')
 ]
 Positive = typing.Annotated[float, pydantic.Field(gt=0)]
-#: Messages between instances carry whole numbers in 64 bits with a sign.
+#: Messages between instances carry integers as signed 64 bits.
 END_OF_INTS = 1 << 63
 PositiveInt = typing.Annotated[int, pydantic.Field(gt=0, lt=END_OF_INTS)]
 NotNegativeInt = typing.Annotated[int, pydantic.Field(ge=0, lt=END_OF_INTS)]
@@ -37,7 +37,8 @@
     ),
     r'^[0-9a-f]{64}$': '64 hexadecimal digits in lower case (a SHA-256)',
 }
-#: Unit suffixes, so that ``first_token_ms`` is told of ``first_token_s``.
+#: Unit suffixes; ignored when looking for a field to suggest, so that
+#: ``first_token_ms`` gets the suggestion ``first_token_s``.
 _UNITS = frozenset(
     'ms us ns s sec seconds minutes hours bytes kib mib gib kb mb gb '
     'kbps mbps gbps bits per'.split()
@@ -48,10 +49,10 @@
 
 
 class Model(pydantic.BaseModel):
-    """A frozen model that takes no unknown field and guesses no type.
+    """A frozen model that rejects unknown fields and converts no types.
 
-    Its fields may be checked against each other in :meth:`find_problems`;
-    an object with problems is never made.
+    Subclasses check fields against each other in :meth:`find_problems`; if
+    it yields a problem, construction fails.
     """
 
     model_config = pydantic.ConfigDict(
@@ -62,7 +63,7 @@
     )
 
     def find_problems(self) -> abc.Iterator[exceptions.Problem]:
-        """Yield what is wrong between fields; a hook for subclasses."""
+        """Yield inconsistencies between fields; a hook for subclasses."""
         return iter(())
 
     @classmethod
@@ -71,7 +72,7 @@
         core_schema: typing.Any,
         handler: pydantic.GetJsonSchemaHandler,
     ) -> dict[str, typing.Any]:
-        """Put the fields' docstrings into a JSON Schema of the model."""
+        """Add the fields' docstrings to the model's JSON Schema."""
         schema = handler.resolve_ref_schema(handler(core_schema))
         for name, text in describe(cls).items():
             schema['properties'][name]['description'] = text
@@ -86,10 +87,10 @@
 
 
 def parse(model: type[M], body: bytes, source: str = '') -> M:
-    """Return ``model`` read from JSON.
+    """Return an object of class ``model`` parsed from JSON.
 
-    :param source: where the body came from, for the message.
-    :raises InvalidInput: with every problem that can be told.
+    :param source: where the body came from, for error messages.
+    :raises InvalidInput: with every problem found.
     """
     try:
         load_json(body, source)
@@ -103,12 +104,11 @@
 
 @functools.cache
 def describe(model: type[Model]) -> dict[str, str]:
-    """Return the docstring of each field of a model that has one.
+    """Return the docstrings of a model's fields, for fields that have one.
 
-    Read from the source when a page or a schema first wants them. When each
-    model read its own as it was made, imports took 0.62 s of processor time
-    instead of 0.39 s (medians of five), for text that only a console or a
-    generated page shows.
+    They are parsed from the source on first use, by the console or a
+    generated page. Parsing them when each class is created raised the
+    processor time of the imports from 0.39 s to 0.62 s.
     """
     texts: dict[str, str] = {}
     for base in reversed(model.__mro__):
@@ -132,19 +132,21 @@
 def invalid(
     model: type[Model], error: pydantic.ValidationError, source: str = ''
 ) -> exceptions.InvalidInput:
-    """Return the declared error for what a model refused."""
+    """Return a validation error of pydantic as an ``InvalidInput``."""
     return exceptions.InvalidInput(
         problems=_problems(model, error), source=source
     )
 
 
 def load_json(body: bytes, source: str = '') -> typing.Any:
-    """Return plain JSON values; refuse a name given twice in one object.
+    """Return the parsed JSON; reject duplicate names within one object.
 
-    The second would silently replace the first: a whole list of pools could
-    be lost without a word.
+    Otherwise the second value would silently replace the first, and a whole
+    list of pools could be lost.
 
-    :raises InvalidInput: for text that is no JSON in UTF-8.
+    :param source: where the body came from, for error messages.
+    :raises InvalidInput: for a duplicate name, or text that isn't JSON in
+        UTF-8.
     """
     try:
         return json.loads(body, object_pairs_hook=_unique_names)
@@ -161,7 +163,7 @@
 def duplicates(
     values: abc.Iterable[typing.Any], list_path: str, field: str
 ) -> abc.Iterator[exceptions.Problem]:
-    """Yield a problem for each value that stood earlier in the list."""
+    """Yield a problem for each value that occurs earlier in the list."""
     first_by_value: dict[typing.Any, int] = {}
     for index, value in enumerate(values):
         first = first_by_value.setdefault(value, index)
@@ -177,7 +179,7 @@
 def missing(
     value: str, known: abc.Collection[str], path: str
 ) -> abc.Iterator[exceptions.Problem]:
-    """Yield a problem if ``value`` names nothing that is known."""
+    """Yield a problem if ``value`` is not one of the known names."""
     if value not in known:
         yield exceptions.Problem(
             path=path,
@@ -287,7 +289,7 @@
 def _model_at(
     model: type[Model], location: abc.Iterable[int | str]
 ) -> type[Model]:
-    """Return the model that an error's location leads to."""
+    """Return the model at an error's location."""
     current = model
     for part in location:
         if isinstance(part, str):
@@ -297,7 +299,7 @@
 
 
 def find_model(annotation: typing.Any) -> type[Model] | None:
-    """Return the model inside an annotation such as a tuple of it."""
+    """Return the model within an annotation, such as a tuple of models."""
     if isinstance(annotation, type) and issubclass(annotation, Model):
         return annotation
     for argument in typing.get_args(annotation):
--- a/dandeliongw/settings.py
+++ b/dandeliongw/settings.py
@@ -1,8 +1,8 @@
-"""What one process reads from its own file before it does anything.
+"""The settings file of one instance, read when its process starts.
 
-Settings say who and where this instance is. What the system does for its
-callers is in the shared document (:mod:`dandeliongw.document`) instead.
-Every time is in seconds, every size in bytes.
+Settings hold the identity, addresses and limits of this instance. Services,
+pools, routes and client accounts are in the shared document instead
+(:mod:`dandeliongw.document`). Every time is in seconds, every size in bytes.
 """
 
 from collections import abc
@@ -18,13 +18,16 @@
 
 MIB = 1024 * 1024
 MAX_PORT = 65535
-#: More would cost every change more messages than they add in safety.
+#: More voters would cost more messages per change than their added fault
+#: tolerance is worth.
 MAX_VOTERS = 12
 
-#: ``serve``: go on with the last document that was confirmed.
+#: ``serve``: keep serving with the last confirmed document; ``refuse``:
+#: refuse calls until the document is confirmed again.
 Unconfirmed = typing.Literal['refuse', 'serve']
-#: ``place``: place its own work within its share of the backend servers,
-#: which have to refuse honestly what they have no room for.
+#: ``wait``: wait for the owner. ``place``: the entry assigns requests itself,
+#: within its share of the backend servers' slots; this requires backend
+#: servers that refuse requests beyond their capacity.
 SilentOwner = typing.Literal['wait', 'place']
 VoterCount = typing.Annotated[int, pydantic.Field(ge=1, le=MAX_VOTERS)]
 Port = typing.Annotated[int, pydantic.Field(ge=0, le=MAX_PORT)]
@@ -35,128 +38,130 @@
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        raise ValueError('must be an IP number, such as 10.0.1.5')
+        raise ValueError('must be an IP address, such as 10.0.1.5')
     return host
 
 
-#: Instances find each other by IP number; no name service is asked.
+#: Instances connect to each other by IP address; DNS is never queried.
 IpNumber = typing.Annotated[str, pydantic.AfterValidator(_check_ip)]
 
 
 class Address(models.Model):
-    """Where to listen; port 0 lets the system choose one."""
+    """Where to listen; with port 0 the operating system assigns a port."""
 
     host: IpNumber
-    """The IP number to listen on."""
+    """The IP address to listen on."""
     port: Port
-    """0: the system chooses."""
+    """0: the operating system assigns one."""
 
     def show(self) -> str:
-        """Return ``host:port``, with an IPv6 number in brackets."""
+        """Return ``host:port``, with an IPv6 address in brackets."""
         host = f'[{self.host}]' if ':' in self.host else self.host
         return f'{host}:{self.port}'
 
 
 class Listen(Address):
-    """An HTTP port with its threads."""
+    """An HTTP port and its thread pool."""
 
     threads: models.PositiveInt = 200
-    """Requests and streams that are served at one time."""
+    """Requests and streams that are served concurrently."""
     queue: models.PositiveInt = 64
-    """Connections that wait for a thread; more are refused."""
+    """Connections that may wait for a thread; more are refused."""
     advertised: IpNumber | None = None
-    """The number that others are told, where it isn't ``host``."""
+    """The IP address announced to others, if it differs from ``host``."""
 
 
 class ControlListen(Listen):
     """The port for backend servers and operators."""
 
     threads: models.PositiveInt = 16
-    """Calls that are served at one time."""
+    """Requests that are served concurrently."""
 
 
 class PeerSettings(models.Model):
-    """One instance as all the others find it."""
+    """One instance, as the other instances reach it."""
 
     instance_id: models.Name
     """The same as in its own settings."""
     host: IpNumber
-    """The IP number that others connect to."""
+    """The IP address that other instances connect to."""
     port: Port
     """Its ``peer`` port."""
     data_centre: models.Name
-    """Where it stands."""
+    """The data centre of the instance."""
     region: models.Name
     """The region of that data centre."""
     voter: bool = False
-    """Holds a copy of the register and of claims; needs a data folder."""
+    """Stores a replica of the register and of claims; needs a data folder."""
 
 
 class Operator(models.Model):
-    """Who may read and change the document."""
+    """A person who may read and change the document."""
 
     name: models.Name
-    """Goes into the history of changes."""
+    """Recorded as the author in the history of changes."""
     token_sha256: models.Sha256
-    """SHA-256 of the operator's token; the token itself is kept nowhere."""
+    """SHA-256 of the operator's token; the token itself is never stored."""
 
 
 class Limits(models.Model):
-    """What one instance takes on; what is more is refused at once."""
+    """Limits of one instance; requests beyond them are refused at once."""
 
     max_body_bytes: models.PositiveInt = 8 * MIB
     """The longest request body."""
     max_requests: models.PositiveInt = 192
-    """Requests in hand at one time; less than ``callers.threads``."""
+    """Concurrent requests; must be less than ``callers.threads``."""
     max_streams: models.PositiveInt = 160
-    """Streams from model engines at one time."""
+    """Concurrent streams from model engines."""
     reserved_lookups: models.NotNegativeInt = 32
-    """Threads that streams never take, so that lookups stay quick."""
+    """Threads that streams never use, so that lookups stay fast."""
     store_loads_per_s: models.Positive = 1.0
-    """This instance's share of the weight store's rate."""
+    """This instance's share of the weight store's load rate."""
     max_outcome_bytes: models.PositiveInt = 65536
     """The longest recorded answer of a non-idempotent call."""
     max_claims: models.PositiveInt = 200_000
-    """Keys of non-idempotent calls that a voter keeps; no more are taken."""
+    """Keys of non-idempotent calls that a voter stores; further ones are
+    refused."""
 
 
 class Retries(models.Model):
-    """Attempts after the first, of all instances together, for a service."""
+    """The retry budget of a service, over all instances together."""
 
     part: models.Positive = 0.2
-    """Gained with each request."""
+    """Retries that each request adds to the budget."""
     saved: models.Positive = 40.0
-    """Most that are saved up, for an engine that dies with its streams; each
-    entry has an equal share."""
+    """Maximum budget, so that the streams of an engine that fails can all be
+    retried; each entry has an equal share."""
 
 
 class Timeouts(models.Model):
-    """All in seconds."""
+    """Time-outs and intervals, all in seconds."""
 
     connect_s: models.Positive = 1.0
     """To open a connection."""
     first_byte_s: models.Positive = 10.0
-    """From the end of sending to the first byte back."""
+    """From the end of the request to the first byte of the answer."""
     stall_s: models.Positive = 3.0
-    """Silence on an open connection before a new one is tried."""
+    """Time without data on an open connection before a new one is opened."""
     confirm_ttl_s: models.Positive = 5.0
-    """How long a majority's word on the revision lets work in."""
+    """How long requests are admitted after a majority of the voters has
+    confirmed the revision."""
     entries_ttl_s: models.Positive = 10.0
-    """How long callers may keep the list of entries."""
+    """How long clients may cache the list of entries."""
     lease_s: models.Positive = 2.0
-    """How long an owner of slots holds them without renewal."""
+    """Duration of a lease on slots that is not renewed."""
     lease_margin_s: models.Positive = 0.25
-    """The holder stops this long before the lease's end."""
+    """The holder stops using a lease this long before it expires."""
     presence_s: models.Positive = 3.0
-    """A backend server that hasn't renewed for so long gets no work."""
+    """A backend server without a renewal for this long gets no requests."""
     renew_s: models.Positive = 1.0
-    """How often backend servers renew."""
+    """How often backend servers renew their announcement."""
     longest_order_s: models.Positive = 5.0
     """How long an engine may take to answer an order."""
     claim_retention_s: models.Positive = 86400.0
-    """How long a resend gets the recorded outcome."""
+    """How long the recorded outcome of a call is returned to a resend."""
     first_configuration_s: models.Positive = 2.0
-    """How long after the start calls wait for the first configuration."""
+    """How long after the start requests wait for the first configuration."""
     shutdown_s: models.Positive = 60.0
     """How long a graceful shutdown waits for requests in flight."""
 
@@ -178,34 +183,36 @@
     """The whole settings file of one instance."""
 
     instance_id: models.Name
-    """Unique over all instances, and never given to another one."""
+    """Unique among all instances; never reused for another one."""
     data_centre: models.Name
-    """Where this instance stands."""
+    """The data centre of this instance."""
     region: models.Name
     """The region of that data centre."""
     data_folder: str | None = None
-    """Where a voter keeps what must survive; nothing else is written."""
+    """Folder for a voter's durable state; nothing is written elsewhere."""
     callers: Listen
-    """The port for callers."""
+    """The port for clients."""
     control: ControlListen
     """The port for backend servers and operators."""
     peer: Address
-    """Where the other instances connect to."""
+    """The address that other instances connect to."""
     peers: tuple[PeerSettings, ...] = ()
-    """Every instance, this one included, where none are found by seeds."""
+    """Every instance, this one included; not used together with ``seeds``."""
     seeds: tuple[Address, ...] = ()
-    """Control addresses of instances that tell who the others are."""
+    """Control addresses of instances that the list of all instances is
+    fetched from."""
     bootstrap: bool = False
-    """The system starts for the first time: the seeds form its register."""
+    """Set when the system starts for the first time: the seeds form its
+    register."""
     regions_by_data_centre: dict[models.Name, models.Name] = {}
-    """Every data centre, where instances are found by seeds."""
+    """The region of every data centre; used together with ``seeds``."""
     takes_callers: bool = True
-    """Whether callers are told of this instance."""
+    """Whether this instance is listed as an entry for clients."""
     most_voters: VoterCount | None = None
-    """Instances with a data folder become voters by themselves, up to so
-    many; without it the voters stay as they were formed."""
+    """Instances with a data folder become voters automatically, up to this
+    number; without it the set of voters stays as it was formed."""
     moves_engines: bool = False
-    """Whether owners order engines from one pool into the other."""
+    """Whether owners may order engines to move to another pool."""
     silent_owner: SilentOwner = 'wait'
     """What an entry does while the owner of a cell doesn't answer."""
     unconfirmed: Unconfirmed = 'refuse'
@@ -213,33 +220,33 @@
     peer_secret: str | None = pydantic.Field(
         default=None, min_length=16, repr=False
     )
-    """What instances prove themselves to each other with."""
+    """Shared secret that authenticates messages between instances."""
     operators: tuple[Operator, ...] = ()
     """Who may read and change the document."""
     backend_key_sha256: models.Sha256 | None = None
-    """SHA-256 of the key that backend servers announce themselves with."""
+    """SHA-256 of the key that authenticates backend servers."""
     limits: Limits = Limits()
-    """What this instance takes on."""
+    """Limits of this instance."""
     retries: Retries = Retries()
-    """How often the whole system tries again."""
+    """The retry budget of the whole system."""
     timeouts: Timeouts = Timeouts()
-    """When waiting ends."""
+    """Time-outs and intervals."""
     log_level: LogLevel = 'INFO'
-    """The least severe level that is written."""
+    """The least severe level that is logged."""
 
     @functools.cached_property
     def peers_by_id(self) -> abc.Mapping[str, PeerSettings]:
-        """Every instance by its id, this one included."""
+        """All instances by id, this one included."""
         return {peer.instance_id: peer for peer in self.peers}
 
     @functools.cached_property
     def operators_by_token_sha256(self) -> abc.Mapping[str, Operator]:
-        """Every operator by the digest of the token."""
+        """All operators by the digest of their token."""
         return {entry.token_sha256: entry for entry in self.operators}
 
     @functools.cached_property
     def own_peer(self) -> Address:
-        """Where the other instances connect to this one."""
+        """The address that other instances use to connect to this one."""
         listed = self.peers_by_id.get(self.instance_id)
         if listed is None:
             return self.peer
@@ -247,7 +254,7 @@
 
     @functools.cached_property
     def all_regions_by_data_centre(self) -> abc.Mapping[str, str]:
-        """The region of every data centre that is known."""
+        """The region of every data centre named in these settings."""
         listed = {peer.data_centre: peer.region for peer in self.peers}
         own = {self.data_centre: self.region}
         return {**self.regions_by_data_centre, **listed, **own}
@@ -260,7 +267,7 @@
             yield exceptions.Problem(
                 path='peers',
                 given='not given, nor seeds',
-                allowed='give either, or the others are never found',
+                allowed='give one of them, or no other instance is found',
             )
         else:
             yield from self._check_own_entry()
@@ -271,7 +278,7 @@
     def _find_duplicates(self) -> abc.Iterator[exceptions.Problem]:
         ids = [peer.instance_id for peer in self.peers]
         yield from models.duplicates(ids, 'peers', 'instance_id')
-        # Port 0 is no address yet, so each of them counts as its own.
+        # Port 0 is assigned later, so peers with port 0 never collide.
         addresses = [
             Address(host=peer.host, port=peer.port).show()
             if peer.port
@@ -289,7 +296,7 @@
             yield exceptions.Problem(
                 path='peers',
                 given='given together with seeds',
-                allowed='give either: instances that are found need no list',
+                allowed='give one of them: with seeds, peers are discovered',
             )
         region = self.regions_by_data_centre.get(self.data_centre)
         if region != self.region:
@@ -318,7 +325,7 @@
             yield exceptions.Problem(
                 path='data_folder',
                 given='not given',
-                allowed='a voter needs one: its promises must survive',
+                allowed='a voter needs one: its state must survive restarts',
             )
 
     def _check_voters(self) -> abc.Iterator[exceptions.Problem]:
@@ -348,7 +355,7 @@
             yield exceptions.Problem(
                 path='callers.advertised',
                 given='not given',
-                allowed=f'callers cannot connect to {host}: give a number',
+                allowed=f'clients cannot connect to {host}: give an address',
             )
 
     def _check_limits(self) -> abc.Iterator[exceptions.Problem]:
@@ -358,33 +365,37 @@
             yield exceptions.Problem(
                 path='limits.max_streams',
                 given=f'{wanted} together with limits.reserved_lookups',
-                allowed=f'must fit in callers.threads, which is {threads}',
+                allowed=(
+                    f'must not exceed callers.threads, which is {threads}'
+                ),
             )
-        # With every thread busy, nobody is left to refuse and to count:
-        # the HTTP server holds further connections without a word.
+        # One thread must stay free to refuse and count excess requests. With
+        # every thread busy, the HTTP server queues connections silently.
         if self.limits.max_requests >= threads:
             yield exceptions.Problem(
                 path='limits.max_requests',
                 given=f'given {self.limits.max_requests}',
                 allowed=(
                     f'must be less than callers.threads, which is {threads}: '
-                    'a thread has to be left that refuses what is too much'
+                    'one thread must stay free to refuse excess requests'
                 ),
             )
 
 
 def parse_settings(body: bytes, source: str = '') -> Settings:
-    """Return the settings that JSON describes.
+    """Return the settings parsed from JSON.
 
-    :raises InvalidInput: with every problem.
+    :param source: where the body came from, for error messages.
+    :raises InvalidInput: with every problem found.
     """
     return models.parse(Settings, body, source)
 
 
 def load_settings(path: str | pathlib.Path) -> Settings:
-    """Return the settings in the file at ``path``.
+    """Return the settings parsed from the file at ``path``.
 
-    :raises InvalidInput: with every problem, or that it can't be read.
+    :raises InvalidInput: with every problem found, or if the file can't be
+        read.
     """
     try:
         body = pathlib.Path(path).read_bytes()
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -26,7 +26,7 @@
 
 
 def read_and_hang_up(listener: socket.socket) -> None:
-    """Be an instance that dies after it has read a request."""
+    """Act as an instance that dies after it has read a request."""
     connection, _ = listener.accept()
     with connection:
         connection.recv(65536)
@@ -75,17 +75,17 @@
         (['apply', 'x'], '--expected-revision'),
         (['entries', '--url', 'gw-1:7000'], "'gw-1:7000'"),
     )
-    def test_wrong_usage_names_the_bad_value(self, arguments, told):
+    def test_wrong_usage_names_the_bad_value(self, arguments, shown):
         outcome = Outcome(*arguments)
         self.assertEqual(exceptions.ExitCode.BAD_INPUT, outcome.code)
-        self.assertIn(told, outcome.errors)
+        self.assertIn(shown, outcome.errors)
         self.assertEqual('', outcome.output)
 
     @params(
         (json.dumps(test_settings.VALID), 'settings'),
         ('{"version": 1}', 'document'),
     )
-    def test_check_tells_which_of_the_two(self, text, kind):
+    def test_check_shows_the_kind_of_file(self, text, kind):
         outcome = Outcome('check', self.write('file', text))
         self.assertEqual(0, outcome.code)
         self.assertEqual(kind, json.loads(outcome.output)['kind'])
@@ -96,10 +96,10 @@
         ('{', 'not JSON'),
         ('[]', 'neither'),
     )
-    def test_check_refuses(self, text, told):
+    def test_check_refuses(self, text, shown):
         outcome = Outcome('check', self.write('file', text))
         self.assertEqual(exceptions.ExitCode.BAD_INPUT, outcome.code)
-        self.assertIn(told, outcome.errors)
+        self.assertIn(shown, outcome.errors)
 
     @params('SETTINGS', 'DOCUMENT')
     def test_the_examples_of_the_docs_run(self, page):
@@ -108,7 +108,7 @@
         ((arguments, output),) = re.findall(shown, text, re.MULTILINE)
         self.assertEqual(output, Outcome(*shlex.split(arguments)).output)
 
-    def test_serve_hands_the_settings_to_the_server(self):
+    def test_serve_passes_the_settings_to_the_server(self):
         served = []
         server = types.ModuleType('dandeliongw.server')
         server.serve = served.append
@@ -149,10 +149,10 @@
         self.assertIn("'ana' has since made revision 1", outcome.errors)
 
     def test_a_lost_answer_names_the_change_id_to_send_again(self):
-        """Symptom: an operator makes a change twice, or gives it up.
+        """A change may be accepted although its answer is lost.
 
-        Sequence: the change is accepted, its answer is lost, the command
-        fails. Cause: nothing tells how to learn what became of it.
+        The command fails then. Without the change id, the operator can't find
+        out whether the change took effect, and makes it twice or drops it.
         """
         with operators_fake.border() as border:
             border.control.answers_lost = True
@@ -173,10 +173,10 @@
         self.assertIn('Nothing was sent', self.apply(gone).errors)
 
     def test_a_connection_that_ends_without_an_answer(self):
-        """Symptom: a change is told as not sent, yet takes effect.
+        """A broken connection is not reported as one never established.
 
-        Sequence: the instance takes the request and dies before its answer.
-        Cause: a connection that broke is taken for one never made.
+        An instance may read the request and die before it answers; the change
+        may still take effect.
         """
         with socket.create_server(('127.0.0.1', 0)) as listener:
             dying = threading.Thread(target=read_and_hang_up, args=[listener])
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -1,4 +1,4 @@
-"""The document: what is refused, what a call's route is, its one form."""
+"""The document: validation, route matching and canonical bytes."""
 
 import copy
 import json
@@ -127,9 +127,9 @@
         ('accounts', 0, 'services', ['x'], 'accounts[0].services[0]'),
     )
     def test_refused_with_its_path(self, *arguments):
-        *change, told = arguments
+        *change, problem_path = arguments
         paths = [problem.path for problem in problems_of(body_with(*change))]
-        self.assertIn(told, paths)
+        self.assertIn(problem_path, paths)
 
     @params(
         ('services', 'first_token_ms', "'first_token_s'"),
@@ -137,7 +137,7 @@
         ('pools', 'slot', "'slots'"),
         ('accounts', 'colour', 'max_in_flight'),
     )
-    def test_an_unknown_field_is_told_the_right_one(self, part, name, hint):
+    def test_an_unknown_field_gets_a_suggestion(self, part, name, hint):
         (problem,) = problems_of(body_with(part, 0, name, 1))
         self.assertEqual(f'{part}[0].{name}', problem.path)
         self.assertIn(hint, problem.allowed)
@@ -152,10 +152,10 @@
         self.assertEqual('given "0,5"', problem.given)
 
     def test_a_field_given_twice_is_refused(self):
-        """Symptom: pools vanish.
+        """JSON parsers keep the last of two equal names.
 
-        Sequence: a hand-written document has two lists of pools, and the
-        second replaces the first. Cause: JSON readers keep the last.
+        A hand-written document with two lists of pools would silently lose
+        the first one.
         """
         (problem,) = problems_of(b'{"version": 1, "pools": [], "pools": []}')
         self.assertEqual('pools', problem.path)
@@ -170,7 +170,7 @@
         ('GET', '/jobs', '/*'),
         ('POST', '/jobs/7', None),
     )
-    def test_the_closest_route_decides(self, method, path, expected):
+    def test_the_most_specific_route_applies(self, method, path, expected):
         route = self.valid.route_for('studio-portal', method, path)
         self.assertEqual(expected, route.path if route else None)
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, with nothing but logs."""
+"""``explain`` finds the cause of a request's end from the logs alone."""
 
 import contextlib
 import itertools
@@ -53,11 +53,11 @@
         self.assertEqual(messages, ['request declined', 'call refused'])
         self.assertEqual(found['end'], 'call refused: no_capacity')
 
-    def test_what_was_believed_by_those_who_decided(self):
+    def test_beliefs_are_those_of_instances_that_handled_the_request(self):
         found = explain.explain('c1', [self.write(*LINES)])
         self.assertEqual(found['beliefs'], [LINES[1]])
 
-    def test_why_its_call_is_held_back(self):
+    def test_evidence_shows_why_its_call_is_quarantined(self):
         held = line(10.0, 'call held back', request_id='c1.8f3a', call='f1')
         ended = 'backend server ended under a call'
         early = line(1.0, ended, instance='gw-3', request_id='c0', call='f1')
@@ -69,11 +69,12 @@
         self.assertEqual([early, tried], found['evidence'])
 
     def test_a_cancel_that_fails_late_is_not_the_end(self):
-        """A failed call's last line was taken for its refusal.
+        """The last line of a request need not be the line of its end.
 
-        The refusal frees what the call held at an engine that is dead; a
-        thread of its own finds that out. Of 653 failed calls while an engine
-        was killed, 10 had this line after the refusal, and no other one.
+        After a refusal, another thread cancels the call at its engine and
+        logs a failure if the engine is dead. Of 653 failed calls while an
+        engine was killed, 10 had this line after the refusal, and none had
+        any other line there.
         """
         warning = line(
             10.3, 'a cancel was not confirmed: no connection', request_id='c1'
@@ -82,7 +83,7 @@
         self.assertEqual(warning, found['lines'][-1])
         self.assertEqual(found['end'], 'call refused: no_capacity')
 
-    def test_a_request_that_nobody_knows(self):
+    def test_a_request_without_any_line(self):
         with self.assertRaises(exceptions.UsageError) as caught:
             explain.explain('c2', [self.write(*LINES)])
         self.assertIn("'c2'", caught.exception.message)
@@ -95,10 +96,10 @@
 
 @contextlib.contextmanager
 def shown_if_failed(found, files):
-    """Show a call's lines and the whole logs when a check of it fails.
+    """Print a call's lines and the whole logs when a check of it fails.
 
-    Which line was the wrong one can't be told from the failure alone, and
-    the logs are gone with the test's folder.
+    The failure alone doesn't show which line was wrong, and the logs are
+    deleted with the test's folder.
     """
     try:
         yield
@@ -110,7 +111,7 @@
 
 
 class RealLogsTest(unittest.TestCase):
-    """Real processes, whose backend servers fail in several ways."""
+    """Real processes whose backend servers fail in several ways."""
 
     BOOKINGS = '/services/studio-portal/bookings'
     LOOKUP = '/services/studio-portal/lookup'
@@ -132,7 +133,7 @@
         self.system.kill(self.system.stand_ins_by_id[backend_id].process)
 
     def call_all(self):
-        """Call through each instance in each way; return what failed."""
+        """Send each kind of call to each instance; return the errors."""
         prompt = {
             'model': 'dieline-llm',
             'prompt': 'Check carton 4711',
@@ -152,12 +153,12 @@
         ]
         return [body['error'] for status, body in answers if status >= 400]
 
-    def test_every_call_that_failed_has_a_line_that_says_why(self):
-        """Symptom: a call failed, and no log line leads to the reason.
+    def test_every_failed_call_has_a_log_line_with_the_reason(self):
+        """A refusal must be logged, not only returned to the client.
 
-        Sequence: calls while no backend server is there, while they have
-        been killed and are not known to be gone, and calls that are wrong.
-        Cause: a refusal that only its caller was told of.
+        Covers calls before any backend server has registered, calls after
+        backend servers were killed but not yet detected as gone, and invalid
+        calls.
         """
         failed = self.call_all()
         self.start('standin_service', 'portal-1', '--service', 'studio-portal')
@@ -181,17 +182,17 @@
                 self.check(error, found)
 
     def check(self, error, found):
-        """Compare what a caller was told with the lines on its call."""
+        """Compare the error that a client got with the lines of its call."""
         self.assertEqual(
             found['end'], f'call refused: {error["reason"]}', error
         )
-        told, *after = itertools.dropwhile(
+        end, *after = itertools.dropwhile(
             lambda line: line['message'] not in explain.ENDS,
             found['lines'],
         )
-        self.assertEqual(told['run'], error['verdict'])
-        self.assertTrue(told['why'])
-        # A dead engine is asked to drop what it held for the call; that
-        # this fails may be known only after the caller was told.
+        self.assertEqual(end['run'], error['verdict'])
+        self.assertTrue(end['why'])
+        # The cancel that is sent to a dead engine may fail only after the
+        # client has got its answer.
         for line in after:
             self.assertIn('a cancel was not confirmed', line['message'])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are refused with every problem, its place and what may stand."""
+"""Invalid settings are refused with every problem, its path and a hint."""
 
 import copy
 import json
@@ -92,15 +92,15 @@
         ('timeouts.renew_s', 0, 'timeouts.renew_s'),
         ('log_level', 'LOUD', 'log_level'),
     )
-    def test_refused_with_its_path(self, path, value, told):
+    def test_refused_with_its_path(self, path, value, problem_path):
         problems = problems_of(changed(path, value))
-        self.assertIn(told, [problem.path for problem in problems])
+        self.assertIn(problem_path, [problem.path for problem in problems])
 
-    def test_a_thread_is_left_to_refuse_what_is_too_much(self):
-        """Symptom: under load, callers wait and get 503s nobody counted.
+    def test_one_thread_stays_free_to_refuse_excess_requests(self):
+        """Accepted requests must not be able to occupy every thread.
 
-        Sequence: requests in hand take every thread, further ones arrive.
-        Cause: the refusal of an instance that is full needs a thread too.
+        Otherwise none is free to refuse further requests: clients wait, and
+        get 503s that no counter records.
         """
         (problem,) = problems_of(changed('limits.max_requests', 200))
         self.assertEqual('given 200', problem.given)
@@ -109,7 +109,7 @@
         found = settings.parse_settings(changed('limits.max_requests', 199))
         self.assertEqual(199, found.limits.max_requests)
 
-    def test_every_problem_is_told(self):
+    def test_every_problem_is_reported(self):
         tree = VALID | {'log_level': 'LOUD', 'region': 5, 'colour': 'red'}
         problems = problems_of(json.dumps(tree).encode())
         self.assertEqual(
@@ -117,7 +117,7 @@
             {problem.path for problem in problems},
         )
 
-    def test_another_unit_is_told_which_field_is_meant(self):
+    def test_a_field_with_another_unit_gets_a_suggestion(self):
         (problem,) = problems_of(changed('timeouts.lease_ms', 2000))
         self.assertEqual('timeouts.lease_ms', problem.path)
         self.assertEqual("did you mean 'lease_s'?", problem.allowed)
@@ -132,9 +132,9 @@
             'operators[0].token_sha256',
         ),
     )
-    def test_a_misplaced_secret_is_not_shown(self, path, value, told):
+    def test_a_misplaced_secret_is_not_shown(self, path, value, problem_path):
         (problem,) = problems_of(changed(path, value))
-        self.assertEqual(told, problem.path)
+        self.assertEqual(problem_path, problem.path)
         self.assertNotIn(SECRET, str(problem))
 
     def test_the_secret_is_not_in_the_representation(self):
