--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,12 +1,17 @@
 """``explain`` finds the cause of a request's end from the logs alone."""
 
+import ast
 import contextlib
 import itertools
 import json
 import pathlib
+import re
 import tempfile
 import unittest
 
+from nose2.tools import params
+
+import dandeliongw
 from dandeliongw import decisions
 from dandeliongw import exceptions
 from dandeliongw import explain
@@ -94,6 +99,67 @@
         self.assertIn('/nowhere/log', caught.exception.message)
 
 
+def strings_of(source):
+    """Return the string constants of a source, and its f-strings as patterns.
+
+    A pattern has one group for each value of the f-string.
+    """
+    nodes = list(ast.walk(ast.parse(source)))
+    templates = [node for node in nodes if isinstance(node, ast.JoinedStr)]
+    inner = {id(part) for each in templates for part in each.values}
+    texts = {
+        node.value
+        for node in nodes
+        if isinstance(node, ast.Constant) and id(node) not in inner
+    }
+    patterns = [
+        ''.join(
+            re.escape(part.value) if isinstance(part, ast.Constant) else '(.+)'
+            for part in template.values
+        )
+        for template in templates
+    ]
+    return texts, patterns
+
+
+def can_write(texts, patterns, message):
+    """Return whether a message is a constant or can come from an f-string.
+
+    The f-string's values have to be other constants of the same source.
+    """
+    matches = (re.fullmatch(pattern, message) for pattern in patterns)
+    return message in texts or any(
+        match is not None and texts.issuperset(match.groups())
+        for match in matches
+    )
+
+
+class MessagesTest(unittest.TestCase):
+    """``explain`` finds lines by message, so both sides must stay equal."""
+
+    @classmethod
+    def setUpClass(cls):
+        folder = pathlib.Path(dandeliongw.__file__).parent
+        own = pathlib.Path(explain.__file__)
+        cls.strings = [
+            strings_of(path.read_text())
+            for path in sorted(folder.rglob('*.py'))
+            if path != own
+        ]
+
+    @params(*explain.ENDS, *explain.BELIEFS, *explain.EVIDENCE)
+    def test_each_message_is_in_the_source(self, message):
+        self.assertTrue(
+            any(can_write(*strings, message) for strings in self.strings)
+        )
+
+    def test_a_message_with_another_text_is_not_found(self):
+        strings = strings_of("s = 'gone'\nlog(f'backend server is {s}')\n")
+        self.assertTrue(can_write(*strings, 'backend server is gone'))
+        self.assertFalse(can_write(*strings, 'backend server is present'))
+        self.assertFalse(can_write(*strings, 'a backend server is gone'))
+
+
 @contextlib.contextmanager
 def shown_if_failed(found, files):
     """Print a call's lines and the whole logs when a check of it fails.
