--- a/dandeliongw/_lines.py
+++ b/dandeliongw/_lines.py
@@ -1,8 +1,8 @@
-"""Writes log lines without ever holding up who logs.
+"""Writes log lines without ever blocking the thread that logs.
 
-Lines go through a bounded queue to a thread of their own. What doesn't fit,
-or is beyond the budget of its kind, is left out and counted; once a second
-one line tells how many of which kind.
+A bounded queue passes the lines to a writer thread. Lines that don't fit in
+the queue or exceed the rate limit of their kind are dropped and counted; at
+most once a second, one line reports the number dropped of each kind.
 """
 
 import collections
@@ -14,24 +14,25 @@
 import time
 import typing
 
-#: Lines that may wait for the stream. At some 300 bytes each that is 600 KB
-#: of the memory of the smallest machine.
+#: Lines that may be queued for the stream. At about 300 bytes each they take
+#: 600 KB, which the smallest machine can spare.
 MOST_WAITING = 2000
-#: Lines of one kind a second. A busy entry writes about five lines for each
-#: of its 20 requests a second.
+#: Rate limit for lines of one kind, per second. A busy entry writes about
+#: five lines for each of its 20 requests a second.
 MOST_A_SECOND = 200
-#: Seconds of a budget.
+#: Seconds after which the counts of the rate limit are reset.
 BUDGET_S = 1.0
-#: Seconds that the end of a process waits for its last lines.
-LAST_S = 1.0
+#: Seconds that ``stop`` waits for the queue to take its end mark, and again
+#: for the thread to write the queued lines.
+STOP_TIMEOUT_S = 1.0
 
 
 class LineWriter:
-    """The queue, the budgets and the thread.
+    """The queue, the rate limits and the writer thread.
 
-    :param stream: where lines go; it may block.
-    :param common: fields of the lines that this object writes itself.
-    :param clock: monotonic seconds.
+    :param stream: where lines are written; it may block.
+    :param common: fields of the lines that this object itself writes.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         self._left_out_by_kind: collections.Counter[str] = (
             collections.Counter()
         )
-        #: All lines that were left out, for the metrics.
+        #: Number of all lines dropped, for the metrics.
         self.left_out = 0
         self._thread = threading.Thread(
             target=self._run, name='log', daemon=True
@@ -61,25 +62,25 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Write what waits, as far as the stream takes it in time."""
+        """Write the queued lines that the stream accepts in time."""
         with contextlib.suppress(queue.Full):
-            self._queue.put(None, timeout=LAST_S)
-        self._thread.join(LAST_S)
+            self._queue.put(None, timeout=STOP_TIMEOUT_S)
+        self._thread.join(STOP_TIMEOUT_S)
 
     def put(self, kind: str, line: str) -> None:
-        """Take a line, or count it; never waits.
+        """Queue a line, or drop and count it; never blocks.
 
-        :param kind: lines of one kind share a budget.
+        :param kind: lines of one kind share a rate limit.
         """
         with self._lock:
-            told = self._end_second()
+            report = self._end_second()
             self._counts_by_kind[kind] += 1
             fits = self._counts_by_kind[kind] <= MOST_A_SECOND
             if not (fits and self._offer(line)):
                 self._left_out_by_kind[kind] += 1
                 self.left_out += 1
-            if told is not None:
-                self._offer(told)
+            if report is not None:
+                self._offer(report)
 
     def _offer(self, line: str) -> bool:
         try:
@@ -89,7 +90,7 @@
         return True
 
     def _end_second(self) -> str | None:
-        """Begin new budgets; return the line on what was left out."""
+        """Reset the counts if due; return a report of the lines dropped."""
         now = self._clock()
         if now < self._ends_at:
             return None
@@ -113,7 +114,7 @@
                 if self._queue.empty():
                     self._stream.flush()
             except (OSError, ValueError):
-                # Whoever read the lines is gone; there is nobody to tell.
+                # The stream is closed or broken; there is no other output.
                 with self._lock:
                     self.left_out += 1
 
@@ -122,7 +123,7 @@
 def writing(
     stream: typing.TextIO, common: abc.Mapping[str, str]
 ) -> abc.Iterator[LineWriter]:
-    """Write lines on a thread of their own while the context lasts."""
+    """Return a context in which a thread writes the lines put to it."""
     writer = LineWriter(stream=stream, common=common)
     writer.start()
     try:
--- a/dandeliongw/codec.py
+++ b/dandeliongw/codec.py
@@ -1,9 +1,10 @@
-"""Data classes to protobuf and back, by field name.
+"""Converts data classes to protobuf messages and back, by field name.
 
-The reducers know only data classes; the wire and the journal know only
-protobuf. Both sides have the same field names, so one walk over the fields
-maps any message, and a test proves that no field is missing on either side.
-Optional fields need ``optional`` in the ``.proto`` so that absence survives.
+The reducers use only data classes; the wire and the journal use only
+protobuf. Both sides have the same field names, so one generic conversion
+handles any message; a test checks that no field is missing on either side.
+Optional fields need ``optional`` in the ``.proto`` file, so that an absent
+value is not decoded as the default.
 """
 
 from collections import abc
@@ -17,22 +18,24 @@
 
 
 class CodecError(Exception):
-    """Bytes or a message that this version can't map; names the kind."""
+    """This version can't encode or decode a message; names its kind."""
 
 
 class Pairing(msgspec.Struct, frozen=True, kw_only=True):
-    """A data class and the generated class that carries it."""
+    """A data class and the protobuf class that it is converted to."""
 
     data_class: type
     wire_class: type[protobuf_message.Message]
 
 
 class Codec:
-    """Maps the data classes of some modules to generated protobuf modules.
+    """Converts a set of data classes to and from generated protobuf classes.
 
     :param data_classes: every top-level message or record type.
     :param wire_modules: generated ``*_pb2`` modules; classes are paired by
         name.
+    :raises CodecError: for two data classes of one name, or one without a
+        protobuf class.
     """
 
     def __init__(
@@ -61,7 +64,7 @@
         return kind, wire.SerializeToString()
 
     def decode(self, kind: str, body: bytes) -> typing.Any:
-        """Return the data class that ``encode`` was given.
+        """Return the value that ``encode`` was given.
 
         :raises CodecError: for an unknown kind or bytes that don't parse.
         """
@@ -73,7 +76,7 @@
         try:
             return _read(pairing.data_class, wire)
         except ValueError as error:
-            # A newer release may know more words than this one.
+            # A newer release may have more enum values than this one.
             raise CodecError(f'{kind} does not parse: {error}') from error
 
     def _pairing(self, kind: str) -> Pairing:
@@ -101,11 +104,11 @@
 
 @functools.cache
 def _plan(data_class: type) -> tuple['_Field', ...]:
-    """Return how each field of a data class is carried.
+    """Return how each field of a data class is converted.
 
-    Worked out once a class. Looked up again for every value, it was three
-    quarters of the time to encode or decode a message: 69 and 110 us for a
-    probe with six items of news, 17 and 25 us without.
+    Cached by class. Without the cache, the inspection of types takes three
+    quarters of the time to encode or decode a message: a probe with six
+    membership updates takes 69 and 110 us instead of 17 and 25 us.
     """
     hints = typing.get_type_hints(data_class)
     return tuple(
@@ -119,7 +122,7 @@
 
 
 class _Shape(enum.Enum):
-    """What a field holds, as far as the way to carry it differs."""
+    """The kind of a field; each kind is converted in a different way."""
 
     SCALAR = enum.auto()
     ENUM = enum.auto()
@@ -129,11 +132,12 @@
 
 
 class _Field(msgspec.Struct, frozen=True, kw_only=True):
-    """How one field is carried.
+    """How one field is converted.
 
-    :param hint: its type; for a repeated field and a map, of the items.
-    :param item_shape: of the items of a repeated field or a map.
-    :param collection: makes the value of a repeated field.
+    :param hint: the field's type; for a repeated field or a map, the type of
+        the items.
+    :param item_shape: shape of the items of a repeated field or a map.
+    :param collection: the type of a repeated field's value.
     """
 
     name: str
@@ -208,7 +212,7 @@
 def _fill_map(target: typing.Any, items: dict, shape: _Shape) -> None:
     for key, item in items.items():
         if shape is _Shape.MESSAGE:
-            # A message with no field set is still a present map value.
+            # Without this, a message with no field set would be absent.
             target[key].SetInParent()
             _fill(target[key], item)
         else:
--- a/dandeliongw/envelopes.py
+++ b/dandeliongw/envelopes.py
@@ -1,18 +1,19 @@
-"""Envelopes between instances: made by a sealer, checked by an opener.
+"""Authenticated envelopes for the messages between instances.
 
-The proof of an envelope is a counter of eight bytes and, with a shared
-secret, a keyed hash over every other field and that counter. It keeps out
+A :class:`Sealer` creates them, an :class:`Opener` verifies them. The proof of
+an envelope is a counter of eight bytes and, with a shared secret, a keyed
+hash (HMAC) over every other field and that counter. It rejects
 
-* envelopes of strangers and changed ones (the hash differs),
+* forged and modified envelopes (the hash differs),
 * envelopes of an earlier process of the same instance, which a network can
   deliver after a restart (the incarnation is lower),
-* envelopes that were recorded and played again, or that a given-up
-  connection delivers after its successor has spoken (the counter is not
-  higher than the last).
+* replayed envelopes, and those that an abandoned connection delivers after
+  the connection that replaced it (the counter is not higher than the last).
 
-An opener starts without memory: the first envelope of a sender after the
-*recipient's* restart is accepted at any counter. Parts must therefore still
-bear a doubled message, as :class:`~.coordination.parts.Send` says.
+An opener keeps no state over a restart: after the *recipient's* restart, the
+first envelope of each sender is accepted with any counter. Components must
+therefore still tolerate a duplicate message, as
+:class:`~.coordination.parts.Send` says.
 """
 
 import collections
@@ -24,14 +25,14 @@
 from .protocol import envelope_pb2
 
 COUNTER_BYTES = 8
-#: 128 bits of SHA-256; the full 32 bytes would cost a fifth of a heartbeat.
+#: 128 bits of SHA-256; the full 32 bytes would add a fifth to a heartbeat.
 HASH_BYTES = 16
 
 
 class DropReason(enum.StrEnum):
     """Why an envelope was not delivered (a counter label)."""
 
-    # On the way out.
+    # Dropped by the sender.
     QUEUE_FULL = 'queue_full'
     EXPIRED = 'expired'
     TOO_LARGE = 'too_large'
@@ -39,7 +40,7 @@
     NOT_ENCODED = 'not_encoded'
     CONNECTION_LOST = 'connection_lost'
     STOPPED = 'stopped'
-    # On the way in.
+    # Dropped by the recipient.
     WRONG_RECIPIENT = 'wrong_recipient'
     BAD_PROOF = 'bad_proof'
     OLD_INCARNATION = 'old_incarnation'
@@ -54,11 +55,11 @@
 
 
 class Sealer:
-    """Makes the envelopes of one process.
+    """Creates the envelopes of one process.
 
     :param sender: this instance's id.
     :param incarnation: higher than that of any earlier process with this id.
-    :param secret: shared by all instances, or ``None`` for no keyed hash.
+    :param secret: shared by all instances; ``None`` to omit the keyed hash.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
     def seal(
         self, recipient: str, kind: str, body: bytes
     ) -> envelope_pb2.Envelope:
-        """Return an envelope; call it in the order of sending."""
+        """Return an envelope; must be called in the order of sending."""
         self._counters_by_id[recipient] += 1
         counter = self._counters_by_id[recipient]
         envelope = envelope_pb2.Envelope(
@@ -88,7 +89,7 @@
 
 
 class Opener:
-    """Checks the envelopes that arrive at one process.
+    """Verifies the envelopes that one process receives.
 
     :param recipient: this instance's id.
     :param secret: as for :class:`Sealer`.
@@ -100,7 +101,7 @@
         self._seen_by_id: dict[str, _Seen] = {}
 
     def check(self, envelope: envelope_pb2.Envelope) -> DropReason | None:
-        """Return why the envelope must be dropped, or ``None``."""
+        """Return why the envelope must be dropped; ``None`` if it is valid."""
         if envelope.recipient != self._recipient:
             return DropReason.WRONG_RECIPIENT
         encoded = envelope.proof[:COUNTER_BYTES]
@@ -142,7 +143,7 @@
         envelope.body,
         counter,
     )
-    # Each field goes with its length: without it, two ways to cut the same
-    # bytes into fields would share one hash.
+    # Each field is prefixed with its length. Without it, two ways to split
+    # the same bytes into fields would have the same hash.
     text = b''.join(len(f).to_bytes(4, 'big') + f for f in fields)
     return hmac.digest(secret, text, 'sha256')[:HASH_BYTES]
--- a/dandeliongw/journal.py
+++ b/dandeliongw/journal.py
@@ -1,15 +1,15 @@
-"""Synced, checksummed records under the data folder.
-
-The file ``journal`` is a header and then frames. A record counts once the
-frame that holds it is synced. What can be damaged, and what is done:
-
-* The last write was cut short by a crash: the file ends inside a frame.
-  Nothing in that frame was ever synced, so nobody was told of it; the tail
-  is cut off and the cut is reported.
-* A frame is whole but its checksum is wrong, or the header can't be read:
-  synced records were lost. An instance that went on with the rest would
-  break promises that it made. So the file is set aside, and the folder gets
-  a new disk id: to the other instances it is a lost disk.
+"""A write-ahead journal: synced, checksummed records in the data folder.
+
+The file ``journal`` consists of a header and frames. A record is durable once
+its frame is synced. Two kinds of damage are handled:
+
+* The file ends inside a frame: a crash interrupted the last write. That frame
+  was never synced, so no other instance was notified of its record. The tail
+  is truncated, and the truncation is reported.
+* A frame is complete but its checksum is wrong, or the header can't be read:
+  synced records were lost. An instance that continued with the others would
+  break promises that it had made. So the file is renamed, and the folder gets
+  a new disk id: the other instances treat the old disk as lost.
 """
 
 from collections import abc
@@ -33,21 +33,21 @@
 MAGIC = b'dandeliongw journal 1\n'
 DISK_ID_BYTES = 16
 #: Length of the kind, length of the body, then the checksum of both lengths,
-#: so that a damaged length can't pass for a tail that was cut short.
+#: so that a damaged length isn't mistaken for a torn tail.
 FRAME = struct.Struct('>HIQ')
 CHECKSUM = struct.Struct('>Q')
 LENGTHS = struct.Struct('>HI')
-#: Longest body a frame may have; a longer one is a mistake of the caller.
+#: Longest body of a frame, in bytes; a longer one is a programming error.
 LONGEST_BODY = 256 * 1024 * 1024
-#: How the system says that there is no room.
+#: Error numbers that mean a full disk or an exhausted quota.
 NO_ROOM = frozenset((errno.ENOSPC, errno.EDQUOT))
 
 
 class JournalError(Exception):
     """The data folder can't be used.
 
-    :param folder: the folder, as the settings name it.
-    :param reason: one sentence for a person.
+    :param folder: the folder, as in the settings.
+    :param reason: one sentence for the operator.
     """
 
     def __init__(self, *, folder: pathlib.Path, reason: str) -> None:
@@ -57,11 +57,11 @@
 
 
 class FolderUnusable(JournalError):
-    """The folder can't be written or made."""
+    """The folder can't be created or written."""
 
 
 class DiskFull(JournalError):
-    """There was no room; nothing was added, and a later try may succeed."""
+    """The disk is full; nothing was added, and a later retry may succeed."""
 
 
 class FolderLocked(JournalError):
@@ -69,10 +69,10 @@
 
 
 class TornTail(msgspec.Struct, frozen=True, kw_only=True):
-    """The last write was cut short and has been removed.
+    """The last write was incomplete and has been truncated.
 
-    :param offset: where the file ends now.
-    :param length: how many bytes were cut off.
+    :param offset: length of the file after the truncation, in bytes.
+    :param length: how many bytes were removed.
     """
 
     offset: int
@@ -80,10 +80,10 @@
 
 
 class DiskReplaced(msgspec.Struct, frozen=True, kw_only=True):
-    """The journal can't be trusted; the disk goes on under a new id.
+    """The journal is corrupt; an empty one with a new disk id replaces it.
 
-    :param reason: what was wrong, and where.
-    :param kept_as: where the old file is kept.
+    :param reason: what is corrupt, and where.
+    :param kept_as: new path of the corrupt file.
     """
 
     reason: str
@@ -93,14 +93,14 @@
 Damage = TornTail | DiskReplaced
 
 
-class _Untrusted(Exception):
-    """Synced bytes are not what was written."""
+class _Corrupt(Exception):
+    """Synced bytes differ from those that were written."""
 
 
 class Storage:
-    """The file operations that a journal is made of.
+    """The file operations that a journal uses.
 
-    A subclass can stop at any of them, which is how the tests kill it.
+    Tests override them to simulate a crash at any operation.
     """
 
     def open(self, path: pathlib.Path, flags: int) -> int:
@@ -108,26 +108,26 @@
         return os.open(path, flags | os.O_CLOEXEC, 0o600)
 
     def write(self, descriptor: int, data: bytes) -> None:
-        """Write all of the data."""
+        """Write all of the data, in several writes if necessary."""
         view = memoryview(data)
         while view:
             written = os.write(descriptor, view)
             view = view[written:]
 
     def sync(self, descriptor: int) -> None:
-        """Make what was written last."""
+        """Make the written data durable."""
         os.fsync(descriptor)
 
     def truncate(self, descriptor: int, length: int) -> None:
-        """Cut the file."""
+        """Truncate the file to a length in bytes."""
         os.ftruncate(descriptor, length)
 
     def rename(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        """Rename, replacing what has the new name."""
+        """Rename a file, replacing any file that has the new name."""
         os.rename(old, new)
 
     def sync_folder(self, folder: pathlib.Path) -> None:
-        """Make renames and new names in the folder last."""
+        """Make new names and renames in the folder durable."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -136,15 +136,15 @@
 
 
 class Journal:
-    """An open journal; made by :func:`open_journal`.
+    """An open journal; created by :func:`open_journal`.
 
-    After any ``OSError`` but for a lack of room the journal refuses further
-    writes: it is unknown then which bytes the disk holds, and a second sync
-    may claim success for pages that the first one dropped.
+    After any ``OSError`` except a full disk, the journal refuses further
+    writes: it is unknown which bytes the disk holds, and a second sync may
+    report success for pages that the kernel dropped after the first one.
 
-    :param disk_id: the identity of this disk, made at its first start.
-    :param records: what was restored, oldest first.
-    :param damage: what was found damaged at the start, if anything.
+    :param disk_id: the identity of this disk, generated at its first start.
+    :param records: the restored records, oldest first.
+    :param damage: the damage found when it was opened, if any.
     """
 
     def __init__(
@@ -169,14 +169,14 @@
 
     @property
     def size(self) -> int:
-        """Return the bytes of the file, to judge when to compact."""
+        """Return the size of the file in bytes; decides when to compact."""
         return os.fstat(self._descriptor).st_size
 
     def append(self, records: abc.Iterable[typing.Any]) -> None:
         """Write a batch of records and sync them once.
 
-        :raises DiskFull: when nothing was written for lack of room.
-        :raises JournalError: when the disk failed, now or before.
+        :raises DiskFull: if the disk is full; no record was added.
+        :raises JournalError: if the disk failed, now or earlier.
         """
         data = b''.join(_frame(self._codec, record) for record in records)
         with self._guarded():
@@ -184,14 +184,15 @@
             try:
                 self._storage.write(self._descriptor, data)
             except OSError as error:
-                self._take_back(size, error)
+                self._undo_write(size, error)
             self._storage.sync(self._descriptor)
 
-    def _take_back(self, size: int, error: OSError) -> typing.NoReturn:
-        """Cut off what a write without room has left.
+    def _undo_write(self, size: int, error: OSError) -> typing.NoReturn:
+        """Truncate the partial write that a full disk left behind.
 
-        A voter that ended for it would start again and again until there is
-        room, and each start costs the others more than a silent voter.
+        A voter that exited instead would be restarted repeatedly until there
+        is room, and each start costs the other instances more than a voter
+        that doesn't answer.
         """
         if error.errno not in NO_ROOM:
             raise error
@@ -199,15 +200,15 @@
         raise DiskFull(folder=self._folder, reason=_describe(error))
 
     def compact(self, records: abc.Iterable[typing.Any]) -> None:
-        """Replace everything by these records.
+        """Replace all records with these.
 
-        The new file is whole and synced before it takes the old one's name,
-        so a kill at any step leaves one of the two. The folder is synced
-        last; until then a power loss brings back the old file, which is why
-        appends wait for it.
+        The new file is complete and synced before it is renamed over the old
+        one, so a crash at any step leaves one of the two. The folder is
+        synced last; until then a power loss would restore the old file, so
+        no record is appended before.
 
-        :raises DiskFull: when there is no room; the old file goes on.
-        :raises JournalError: when the disk failed, now or before.
+        :raises DiskFull: if the disk is full; the old file stays in use.
+        :raises JournalError: if the disk failed, now or earlier.
         """
         with self._guarded():
             try:
@@ -233,7 +234,8 @@
                 folder=self._folder,
                 reason='an earlier write failed; restart the instance',
             )
-        # Set before the write: whatever stops it leaves the file in doubt.
+        # Set before the write: if any exception interrupts it, the state of
+        # the file is unknown.
         self._has_failed = True
         try:
             yield
@@ -254,13 +256,15 @@
     codec: codecs.Codec,
     storage: Storage | None = None,
 ) -> abc.Iterator[Journal]:
-    """Open the journal of a data folder, and close it in the end.
-
-    :param folder: made if it does not exist.
-    :param codec: maps the records; records of unknown kinds are refused.
-    :param storage: the file operations; the default ones use the disk.
-    :raises FolderLocked: when another process has it open.
-    :raises FolderUnusable: when it can't be written.
+    """Open the journal of a data folder; close it on exit.
+
+    :param folder: created if it does not exist.
+    :param codec: encodes and decodes the records; a record of unknown kind
+        is an error.
+    :param storage: the file operations; those of the disk by default.
+    :raises FolderLocked: if another process has the journal open.
+    :raises FolderUnusable: if the folder can't be written, or another version
+        wrote records of an unknown kind.
     """
     path = pathlib.Path(folder)
     storage = storage or Storage()
@@ -281,8 +285,8 @@
 
 
 def _lock(folder: pathlib.Path, descriptor: int) -> None:
-    # Two processes that append to one file would each overwrite what the
-    # other has synced.
+    # Two processes that append to one file would each overwrite records that
+    # the other has synced.
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
@@ -297,8 +301,8 @@
     try:
         return _load_or_make(folder, codec, storage)
     except codecs.CodecError as error:
-        # The checksum holds, so another version wrote it: the records are
-        # good, and no reason to give up the disk.
+        # The checksum is correct, so another version wrote the records; they
+        # are intact, and the disk keeps its id.
         raise FolderUnusable(folder=folder, reason=str(error)) from error
     except OSError as error:
         raise FolderUnusable(folder=folder, reason=_describe(error)) from error
@@ -313,7 +317,7 @@
     data = file.read_bytes()
     try:
         disk_id, records, end = _parse(data, codec)
-    except _Untrusted as error:
+    except _Corrupt as error:
         kept_as = _set_aside(file, storage)
         damage = DiskReplaced(reason=str(error), kept_as=kept_as)
         return _make(folder, codec, storage, damage=damage)
@@ -322,8 +326,8 @@
     if end < len(data):
         torn = TornTail(offset=end, length=len(data) - end)
         storage.truncate(descriptor, end)
-    # What is restored may have been written but never synced before the
-    # kill. It is acted on from now on, so it has to last from now on.
+    # Restored records may have been written but not synced before the crash.
+    # The instance acts on them from now on, so they must be durable.
     storage.sync(descriptor)
     storage.sync_folder(folder)
     return Journal(
@@ -405,14 +409,14 @@
 def _parse(
     data: bytes, codec: codecs.Codec
 ) -> tuple[str, tuple[typing.Any, ...], int]:
-    """Return the disk id, the records and where the last whole frame ends."""
+    """Return the disk id, the records and the end of the last whole frame."""
     header_length = len(MAGIC) + DISK_ID_BYTES + CHECKSUM.size
     header = data[:header_length]
     disk_id = header[len(MAGIC) : len(MAGIC) + DISK_ID_BYTES].hex()
-    # The header is synced before the file gets its name, so it is never
-    # merely cut short.
+    # The header is synced before the file gets its name, so an incomplete
+    # header is corruption and not an interrupted write.
     if len(header) < header_length or header != _header(disk_id):
-        raise _Untrusted('the header is damaged')
+        raise _Corrupt('the header is damaged')
     records = []
     offset = header_length
     while (end := _frame_end(data, offset)) is not None:
@@ -424,16 +428,16 @@
 def _frame_end(data: bytes, offset: int) -> int | None:
     """Return where a frame ends; ``None`` if the file ends inside it.
 
-    A power loss can also leave a last frame of full length with bytes that
-    never reached the disk. Here that can't be told from damage to synced
-    records, so it costs the disk its identity, which is the safe side.
+    A power loss can also leave a last frame of full length whose bytes never
+    reached the disk. This can't be distinguished from damage to synced
+    records, so the disk loses its id then, which is the safe choice.
     """
     if offset + FRAME.size > len(data):
         return None
     name_length, body_length, checksum = FRAME.unpack_from(data, offset)
     lengths = data[offset : offset + LENGTHS.size]
     if xxhash.xxh3_64_intdigest(lengths) != checksum:
-        raise _Untrusted(f'the frame at byte {offset} has damaged lengths')
+        raise _Corrupt(f'the frame at byte {offset} has damaged lengths')
     end = offset + FRAME.size + name_length + body_length + CHECKSUM.size
     return end if end <= len(data) else None
 
@@ -446,7 +450,7 @@
     content = data[start : end - CHECKSUM.size]
     (checksum,) = CHECKSUM.unpack_from(data, end - CHECKSUM.size)
     if xxhash.xxh3_64_intdigest(content) != checksum:
-        raise _Untrusted(f'the frame at byte {offset} has a wrong checksum')
+        raise _Corrupt(f'the frame at byte {offset} has a wrong checksum')
     kind = content[:name_length].decode()
     return codec.decode(kind, content[name_length:])
 
--- a/dandeliongw/logs.py
+++ b/dandeliongw/logs.py
@@ -1,4 +1,4 @@
-"""JSON lines, one event a line, without secrets."""
+"""Structured logging: one JSON line per event, with secrets redacted."""
 
 from collections import abc
 import contextlib
@@ -16,7 +16,7 @@
 
 writing = _lines.writing
 
-#: A shorter one would blank out innocent text.
+#: Shorter secrets are not redacted, as they would match unrelated text.
 _SHORTEST_SECRET = 8
 
 
@@ -29,12 +29,16 @@
     stream: typing.TextIO | None = None,
     lines: _lines.LineWriter | None = None,
 ) -> None:
-    """Send all logs of this process to one place, as JSON lines.
-
-    :param secrets: texts that are blanked out wherever they turn up, such
-        as in the message of somebody else's exception.
-    :param stream: standard error by default; who logs waits for it.
-    :param lines: takes the lines in place of a stream, without a wait.
+    """Write all logs of this process as JSON lines to one output.
+
+    :param instance_id: added to every line.
+    :param data_centre: added to every line.
+    :param level: the least severe level that is written.
+    :param secrets: texts that are redacted wherever they occur, such as in
+        the message of a library's exception.
+    :param stream: standard error by default; the logging thread blocks while
+        it is written.
+    :param lines: a non-blocking writer, used instead of a stream.
     """
     output = sys.stderr if stream is None else stream
     writer = _Writer(
@@ -43,8 +47,8 @@
         put=lines.put if lines is not None else _direct(output),
     )
     logger.remove()
-    # Loguru's own tracebacks show the values of variables, which may be
-    # secrets; the writer formats exceptions without them.
+    # Loguru's tracebacks show the values of variables, which may be secrets;
+    # the writer formats exceptions without them.
     logger.add(writer.write, level=level, format='{message}', diagnose=False)
 
 
@@ -52,7 +56,7 @@
 def bound(
     *, request_id: str, attempt_id: str | None = None
 ) -> abc.Iterator[None]:
-    """Put these ids on every line logged in this thread or task."""
+    """Add these ids to every line logged in this thread or task."""
     ids = {'request_id': request_id}
     if attempt_id is not None:
         ids['attempt_id'] = attempt_id
@@ -61,7 +65,10 @@
 
 
 def redact(name: str, value: typing.Any) -> typing.Any:
-    """Return ``value``, or a mark where the field's name tells a secret."""
+    """Return ``value``, or ``HIDDEN`` if the field's name means a secret.
+
+    Values inside dicts and lists are redacted in the same way.
+    """
     if _secrets.is_secret(name):
         return HIDDEN
     if isinstance(value, dict):
@@ -80,7 +87,7 @@
 
 
 class _Writer:
-    """Turns loguru's records into lines."""
+    """Formats loguru's records as JSON lines."""
 
     def __init__(
         self,
@@ -90,7 +97,7 @@
         put: abc.Callable[[str, str], None],
     ) -> None:
         self._common = common
-        # As they look inside JSON: a quote in a secret would be escaped.
+        # Compared with encoded JSON, in which quotes are escaped.
         self._secrets = [
             json.dumps(secret, ensure_ascii=False)[1:-1]
             for secret in secrets
@@ -103,7 +110,7 @@
         line = json.dumps(fields, ensure_ascii=False, default=str)
         for secret in self._secrets:
             line = line.replace(secret, HIDDEN)
-        # Lines from one place are of one kind, whatever they name.
+        # The rate limit applies per source line, whatever the fields are.
         self._put(f'{fields["module"]}:{fields["line"]}', line)
 
     def _fields(self, record: typing.Any) -> dict[str, typing.Any]:
@@ -116,9 +123,10 @@
             'line': record['line'],
         }
         for name, value in record['extra'].items():
-            # A bound field must not pass itself off as another instance's.
-            free = name if name not in fields else f'extra_{name}'
-            fields[free] = redact(name, value)
+            # An extra field must not overwrite a common one, such as the
+            # instance.
+            unused = name if name not in fields else f'extra_{name}'
+            fields[unused] = redact(name, value)
         if record['exception'] is not None:
             fields['exception'] = ''.join(
                 traceback.format_exception(record['exception'].value)
--- a/dandeliongw/metrics.py
+++ b/dandeliongw/metrics.py
@@ -1,7 +1,7 @@
 """Counters, gauges and histograms of one instance.
 
-Every value of every reason exists at zero from the start, so that a rate
-over a counter that has never moved is zero and not missing.
+Every label value of every reason is exported as zero from the start, so that
+the rate of a counter that was never incremented is zero and not missing.
 """
 
 from collections import abc
@@ -20,26 +20,26 @@
 from .coordination import lease_messages
 from .entry import waste
 
-# The time at which each series began would be half of all lines. All of them
-# begin with the process.
+# The ``_created`` samples would be half of all lines, and carry no
+# information: all series are created when the process starts.
 prometheus_client.disable_created_metrics()
 
 NAMESPACE = 'dandeliongw'
-#: The key of a watched counter's only count when it has no label.
+#: The key of a watched counter's only value if it has no label.
 UNLABELLED = ''
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
 
-#: Seconds, close together around the target of 0.55 s.
+#: Seconds; finest around the target of 0.55 s.
 FIRST_TOKEN_BUCKETS = (
     *(0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.55, 0.6, 0.8),
     *(1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0),
 )
-#: Seconds, close together around the target of 34 ms.
+#: Seconds; finest around the target of 34 ms.
 TOKEN_GAP_BUCKETS = (
     *(0.005, 0.01, 0.02, 0.025, 0.03, 0.034, 0.04, 0.05),
     *(0.075, 0.1, 0.2, 0.5, 1.0, 3.0),
 )
-#: Seconds: a booking takes some milliseconds, an answer up to its time-out.
+#: Seconds; a booking takes a few milliseconds, an answer up to its time-out.
 PART_BUCKETS = (
     *(0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5),
     *(1.0, 2.0, 5.0, 10.0, 30.0),
@@ -47,16 +47,17 @@
 
 
 class Targets(enum.StrEnum):
-    """Whether an answer met both latency targets (goodput) or not."""
+    """Whether an answer met both latency targets (goodput)."""
 
     MET = 'met'
     MISSED = 'missed'
 
 
 class WatchedGauge(registry_module.Collector):
-    """A gauge over values that a part keeps, read when it is shown.
+    """A gauge whose values are read from a component at each scrape.
 
-    :param label: its only label, or ``None``; its values are the keys.
+    :param label: its only label, or ``None``; the label's values are the keys
+        of the mapping that is read.
     """
 
     def __init__(self, *, name: str, text: str, label: str | None) -> None:
@@ -66,14 +67,14 @@
         self._read: abc.Callable[[], abc.Mapping[str, float]] = dict
 
     def watch(self, read: abc.Callable[[], abc.Mapping[str, float]]) -> None:
-        """Show from now on what ``read`` returns by value of the label.
+        """Export the values that ``read`` returns, by label value.
 
-        It is called in any thread, so it returns a copy.
+        :param read: called at each scrape, in any thread; returns a copy.
         """
         self._read = read
 
     def collect(self) -> abc.Iterator[core.GaugeMetricFamily]:
-        """Yield the gauge; called for each page of metrics."""
+        """Yield the gauge; called by the registry at each scrape."""
         family = core.GaugeMetricFamily(
             self._name, self._text, labels=self._labels
         )
@@ -83,12 +84,12 @@
 
 
 class WatchedCounter(registry_module.Collector):
-    """A counter over counts that a part keeps, read when it is shown.
+    """A counter whose values are read from a component at each scrape.
 
-    The part stays free of metrics, and nothing can be counted twice or left
-    out between two readings. Reading one count needs no lock.
+    The component needs no dependency on metrics, and no event can be counted
+    twice or missed between two scrapes. Reading one count needs no lock.
 
-    :param name: without ``_total``, which is added.
+    :param name: without ``_total``, which is appended.
     :param label: its only label, or ``None``.
     :param values: every value of the label.
     """
@@ -108,14 +109,15 @@
         self._read: abc.Callable[[], abc.Mapping[str, int]] = dict
 
     def watch(self, read: abc.Callable[[], abc.Mapping[str, int]]) -> None:
-        """Show from now on what ``read`` returns by value of the label.
+        """Export the counts that ``read`` returns, by label value.
 
-        Values that it leaves out are 0; it may be called in any thread.
+        :param read: called at each scrape, in any thread; label values
+            absent from its result are exported as 0.
         """
         self._read = read
 
     def collect(self) -> abc.Iterator[core.CounterMetricFamily]:
-        """Yield the counter; called for each page of metrics."""
+        """Yield the counter; called by the registry at each scrape."""
         family = core.CounterMetricFamily(
             self._name, self._text, labels=self._labels
         )
@@ -129,19 +131,19 @@
 class Metrics:
     """All metrics of one instance, in a registry of their own.
 
-    Safe to call from any thread.
+    Thread-safe.
 
-    :param registry: where to register; a new one by default.
+    :param registry: where to register them; a new registry by default.
     """
 
     def __init__(
         self, *, registry: prometheus_client.CollectorRegistry | None = None
     ) -> None:
         self.registry = registry or prometheus_client.CollectorRegistry()
-        #: Names of the labels of every metric, for the reference page.
+        #: Label names of every metric, for the reference page.
         self.labels_by_name: dict[str, tuple[str, ...]] = {}
-        # The state comes first: whoever keeps the first kilobytes of each
-        # reading can still tell how old the configuration was.
+        # Gauges come first: a monitor that stores only the first kilobytes of
+        # each scrape still gets the age of the configuration.
         self._make_gauges()
         self._make_counters()
         self._make_watched()
@@ -149,19 +151,19 @@
 
     def _make_counters(self) -> None:
         self.answers = self._counter(
-            'answers', 'Answers to callers.', 'verdict'
+            'answers', 'Answers to clients.', 'verdict'
         )
         self.refusals = self._counter(
             'refusals',
-            'Requests that got an error instead of a result.',
+            'Requests that were answered with an error.',
             'reason',
         )
         self.retries = self._counter(
-            'retries', 'Attempts after the first.', 'reason'
+            'retries', 'Retries: attempts after the first.', 'reason'
         )
         self.wasted_prefill = self._counter(
             'wasted_prefill_tokens',
-            'Prompt tokens whose prefill was thrown away or done again.',
+            'Prompt tokens whose prefill was discarded or repeated.',
             'reason',
         )
         self.prefill = self._counter(
@@ -176,7 +178,7 @@
         )
         self.late_answers = self._counter(
             'late_answers',
-            'Replies for attempts that were over, dropped.',
+            'Replies that arrived after their attempt had ended; dropped.',
             'what',
         )
         _start_at_zero(self.late_answers, effects.Late)
@@ -194,55 +196,56 @@
         )
         self.peer_faults = self._watched(
             'peer_faults',
-            'Connections to other instances that ended badly.',
+            'Connections to other instances that failed.',
             'reason',
             list(peers.FaultReason),
         )
         self.lease_answers = self._watched(
             'lease_answers',
-            'Answers of this voter to claims of leases.',
+            'Answers of this voter to requests for leases.',
             'outcome',
             [each.name.lower() for each in lease_messages.LeaseOutcome],
         )
         self.orders_held_back = self._watched(
             'orders_held_back',
-            'Times that an order was due and not given; one may count often.',
+            'Times that a due order was held back; one order may count '
+            'repeatedly.',
             'reason',
             list(orders.HoldReason),
         )
         self.backend_ends = self._watched(
             'backend_ends',
-            'Ends of backend servers under calls, as seen by this entry.',
+            'Backend servers that ended during a call, seen by this entry.',
             None,
             [UNLABELLED],
         )
         self.order_repeats = self._watched(
             'order_repeats',
-            'Orders sent again, as the answer was lost or a failure.',
+            'Orders sent again after a lost or failed answer.',
             None,
             [UNLABELLED],
         )
 
         self.log_lines_left_out = self._watched(
             'log_lines_left_out',
-            'Log lines that were left out, as they were too many.',
+            'Log lines dropped by the rate limit or a full queue.',
             None,
             [UNLABELLED],
         )
 
     def _make_gauges(self) -> None:
         self.configuration_revision = self._gauge(
-            'configuration_revision', 'The revision that is in force here.'
+            'configuration_revision', 'Revision in force on this instance.'
         )
         self.configuration_age = self._gauge(
             'configuration_age_seconds',
-            'Time since a majority confirmed that revision.',
+            'Time since a majority of the voters confirmed that revision.',
         )
         self.members = self._gauge(
-            'members', 'Instances that are heard of, this one included.'
+            'members', 'Instances known to this one, itself included.'
         )
         self.voters = self._watched_gauge(
-            'voters', 'Voters of the set that is confirmed here.', None
+            'voters', 'Voters in the set confirmed on this instance.', None
         )
         self.lease_epoch = self._watched_gauge(
             'lease_epoch',
@@ -251,25 +254,25 @@
         )
         self.quarantined = self._watched_gauge(
             'quarantined_calls',
-            'Calls that are held back, as they end backend servers.',
+            'Calls in quarantine because they end backend servers.',
             None,
         )
         self.retry_budget = self._watched_gauge(
             'retry_budget',
-            'Attempts after the first that may still be made here.',
+            'Retries left in the budget of this instance.',
             'service',
         )
         self.backends = self._gauge(
-            'backends', 'Backend servers that may get work.', 'pool'
+            'backends', 'Backend servers that can be assigned work.', 'pool'
         )
         self.slots = self._gauge(
-            'slots', 'Slots of the cells that this instance owns.', 'pool'
+            'slots', 'Slots in the cells that this instance owns.', 'pool'
         )
         self.slots_used = self._gauge(
-            'slots_used', 'Of these, booked or busy.', 'pool'
+            'slots_used', 'Slots in these cells, booked or busy.', 'pool'
         )
         self.queue = self._gauge(
-            'queue', 'Requests that wait for a slot of these cells.', 'pool'
+            'queue', 'Requests queued for a slot in these cells.', 'pool'
         )
 
     def _make_histograms(self) -> None:
@@ -280,38 +283,38 @@
         )
         self.token_gap = self._histogram(
             'token_gap_seconds',
-            'Time between tokens sent to a caller.',
+            'Time between tokens sent to a client.',
             TOKEN_GAP_BUCKETS,
         )
         self.parts = self._histogram(
             'part_seconds',
-            "Parts of a request's way: booking, queue, prefill, transfer, "
-            'decode, call.',
+            'Duration of the stages of a request: booking, queue, prefill, '
+            'transfer, decode, call.',
             PART_BUCKETS,
             'part',
         )
 
     def count_answer(self, verdict: verdicts.Verdict) -> None:
-        """Count one answer of any kind to a caller."""
+        """Count one answer of any kind to a client."""
         self.answers.labels(verdict.value).inc()
 
     def count_refusal(self, refusal: verdicts.Refusal) -> None:
-        """Count one refusal, as an answer too."""
+        """Count one refusal; it counts as an answer, too."""
         self.refusals.labels(refusal.reason.value).inc()
         self.count_answer(refusal.verdict)
 
     def count_retry(self, reason: verdicts.RetryReason) -> None:
-        """Count one attempt after the first."""
+        """Count one retry."""
         self.retries.labels(reason.value).inc()
 
     def count_wasted_prefill(
         self, reason: waste.WasteReason, tokens: int
     ) -> None:
-        """Count prompt tokens whose prefill was of no use."""
+        """Count prompt tokens whose prefill was wasted."""
         self.wasted_prefill.labels(reason.value).inc(tokens)
 
     def count_stream(self, service: str, targets: Targets) -> None:
-        """Count one whole answer of a model service."""
+        """Count one complete answer of a model service."""
         self.streams.labels(service, targets.value).inc()
 
     def observe_first_token(self, service: str, seconds: float) -> None:
@@ -319,7 +322,7 @@
         self.first_token.labels(service).observe(seconds)
 
     def observe_part(self, took: effects.Took) -> None:
-        """Record how long a part of a request's way took."""
+        """Record the duration of one stage of a request."""
         self.parts.labels(took.service, took.part.value).observe(took.seconds)
 
     def observe_token_gap(self, service: str, seconds: float) -> None:
@@ -336,20 +339,20 @@
         self.queue.labels(pool).set(queue)
 
     def forget_pool(self, pool: str) -> None:
-        """Drop a pool's gauges once the document no longer has it.
+        """Remove the gauges of a pool that is no longer in the document.
 
-        They would stay at their last values, and look like spare slots.
+        Otherwise they would keep their last values and look like free slots.
         """
         gauges = (self.backends, self.slots, self.slots_used, self.queue)
         for gauge in gauges:
             gauge.remove(pool)
 
     def render(self) -> bytes:
-        """Return the text that Prometheus reads."""
+        """Return the metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def value(self, name: str, **labels: str) -> float:
-        """Return one sample by its full name; 0 where there is none."""
+        """Return a sample by its name without the namespace; 0 if absent."""
         found = self.registry.get_sample_value(f'{NAMESPACE}_{name}', labels)
         return found or 0.0
 
--- a/dandeliongw/wire.py
+++ b/dandeliongw/wire.py
@@ -1,4 +1,4 @@
-"""The codec of everything that instances send and journals keep."""
+"""The codec of all messages between instances and all journal records."""
 
 from .cell import cells
 from .codec import Codec
@@ -35,7 +35,8 @@
 def make_codec() -> Codec:
     """Return the codec for peers and for the journal."""
     return Codec(
-        # A type can be both, such as a claim's slot on its way to a copy.
+        # A type can be both a message and a record, such as a claim's slot
+        # that is sent to a replica.
         data_classes=dict.fromkeys((*MESSAGES, *RECORDS)),
         wire_modules=(
             register_pb2,
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec keeps every field, and says what it can't map."""
+"""The codec keeps every field, and reports messages it can't convert."""
 
 import typing
 import unittest
@@ -24,7 +24,7 @@
 
 
 class CodecTest(unittest.TestCase):
-    def test_a_message_comes_back_as_it_was(self):
+    def test_a_decoded_message_equals_the_encoded_one(self):
         message = Envelope(
             sender='gw-1',
             incarnation=2**60,
@@ -46,13 +46,13 @@
 
 
 class PlanTest(unittest.TestCase):
-    """Symptom: half of an idle instance's processor time is the codec's.
+    """The types of a data class's fields are inspected once per class.
 
-    Sequence: each of 200 members probes others and answers probes.
-    Cause: the type of each field is looked up again for every value.
+    Inspecting them for every value took half of the processor time of an idle
+    instance among 200, whose members probe each other.
     """
 
-    def test_a_type_is_looked_at_once(self):
+    def test_a_type_is_inspected_once(self):
         made = make_codec()
         message = Envelope(
             sender='gw-1',
@@ -64,9 +64,9 @@
         )
         made.decode(*made.encode(message))
         with (
-            mock.patch.object(msgspec.structs, 'fields') as looked_at,
-            mock.patch.object(typing, 'get_origin') as taken_apart,
+            mock.patch.object(msgspec.structs, 'fields') as fields,
+            mock.patch.object(typing, 'get_origin') as get_origin,
         ):
             made.decode(*made.encode(message))
-        looked_at.assert_not_called()
-        taken_apart.assert_not_called()
+        fields.assert_not_called()
+        get_origin.assert_not_called()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""What was synced stays, and what can't be trusted is said to be lost."""
+"""Synced records survive crashes, and corrupt ones are reported as lost."""
 
 import contextlib
 import errno
@@ -24,13 +24,14 @@
 
 
 class Killed(BaseException):
-    """Stands in for SIGKILL: no handler of the journal may mend it."""
+    """Stands in for SIGKILL: no handler of the journal may catch it."""
 
 
-class StoppingStorage(journals.Storage):
-    """Real files, a kill before or after one step, and power loss.
+class CrashingStorage(journals.Storage):
+    """Real files with a simulated kill before or after one operation.
 
-    ``lose_power`` leaves only synced contents under synced names.
+    ``lose_power`` simulates a power loss: it leaves only synced contents
+    under synced names.
     """
 
     def __init__(self) -> None:
@@ -110,10 +111,10 @@
             self.assertIsNone(journal.damage)
 
     def test_every_cut_of_the_last_frame_is_a_torn_tail(self):
-        """Symptom: an instance that lost power mid-write won't start.
+        """A power loss during an append leaves a partial frame.
 
-        Sequence: a frame is being appended, power goes, part of it is there.
-        Cause: a tail that was never synced is taken for damage.
+        It was never synced, so it is no damage: the instance must start, with
+        the disk id that it had.
         """
         disk_id = self.fill(1)
         whole = self.file.stat().st_size
@@ -127,12 +128,11 @@
                 self.assertEqual(whole, journal.damage.offset)
             self.assertEqual(whole, self.file.stat().st_size)
 
-    def test_any_flipped_byte_costs_the_disk_its_identity(self):
-        """Symptom: a voter breaks a promise that it had synced.
+    def test_any_flipped_byte_changes_the_disk_id(self):
+        """A damaged record or length must not be mistaken for a torn tail.
 
-        Sequence: a bit rots in the journal; the voter restarts with the
-        records before (or without) the damaged one.
-        Cause: a damaged record, or length, is taken for a torn tail.
+        A voter that restarted without the damaged record, or with only the
+        records before it, would break a promise that it had synced.
         """
         disk_id = self.fill(1, 2)
         data = self.file.read_bytes()
@@ -150,13 +150,12 @@
     def test_no_kill_loses_what_was_synced(
         self, stop, is_done_first, power_is_lost
     ):
-        """Symptom: a voter comes back without an acceptance it had told of.
+        """A kill or power loss at any operation keeps all synced records.
 
-        Sequence: it is killed, or loses power, at any step of appending and
-        compacting.
-        Cause: the old file goes before the new one and its name are synced.
+        If compaction removed the old file before the new one and its name
+        are synced, a voter could lose an acceptance that it had reported.
         """
-        storage = StoppingStorage()
+        storage = CrashingStorage()
         synced = []
         with contextlib.suppress(Killed), self.open(storage) as journal:
             disk_id = journal.disk_id
@@ -176,12 +175,11 @@
             self.assertEqual(synced, restored[: len(synced)])
             self.assertLessEqual(len(restored), len(synced) + 1)
 
-    def test_a_failed_write_ends_the_journal(self):
-        """Symptom: a voter tells of a record that is not on the disk.
+    def test_after_a_failed_sync_further_writes_are_refused(self):
+        """After a failed fsync, a later one may succeed without the data.
 
-        Sequence: fsync fails once, the next one succeeds.
-        Cause: the kernel drops the dirty pages of a failed sync, so a later
-        success says nothing about them.
+        The kernel drops the dirty pages of the failed one. A voter that went
+        on would report a record that is not on the disk.
         """
 
         class FailingStorage(journals.Storage):
@@ -201,11 +199,10 @@
                 journal.append([Received(count=1)])
 
     def test_a_full_disk_leaves_the_journal_as_it_was(self):
-        """Symptom: records are lost, or their voter ends, for lack of room.
+        """A write that a full disk interrupts is undone; later ones succeed.
 
-        Sequence: a write gets half of its bytes down before the disk is
-        full; later there is room again.
-        Cause: half a frame would stay before the next one.
+        Otherwise half a frame would remain before the next one, and records
+        would be lost or the voter would have to stop.
         """
 
         class FullStorage(journals.Storage):
@@ -229,7 +226,7 @@
             self.assertEqual([1, 3], numbers(journal))
             self.assertIsNone(journal.damage)
 
-    def test_a_second_process_is_kept_out(self):
+    def test_a_second_process_cannot_open_it(self):
         with self.open():
             with self.assertRaisesRegex(journals.FolderLocked, "data'"):
                 self.enterContext(self.open())
@@ -239,7 +236,7 @@
         with self.assertRaisesRegex(journals.FolderUnusable, "data'"):
             self.enterContext(self.open())
 
-    def test_records_of_a_newer_version_do_not_cost_the_disk(self):
+    def test_records_of_a_newer_version_keep_the_disk_id(self):
         disk_id = self.fill(1)
         other = codecs.Codec(data_classes=[], wire_modules=[])
         pattern = "unknown kind 'Received'"
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines that are too many, or that nobody takes: the work goes on."""
+"""Too many log lines, or a blocked stream, never block the program."""
 
 import io
 import json
@@ -7,18 +7,18 @@
 
 from dandeliongw import _lines
 
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
-class Stuck(io.StringIO):
-    """A stream whose reader does nothing, until it is let go."""
+class BlockedStream(io.StringIO):
+    """A stream whose writes block until ``freed`` is set."""
 
     def __init__(self):
         super().__init__()
         self.freed = threading.Event()
 
     def write(self, text):
-        self.freed.wait(PATIENCE_S)
+        self.freed.wait(TIMEOUT_S)
         return super().write(text)
 
 
@@ -32,10 +32,10 @@
         )
 
     def test_a_flood_of_one_kind_leaves_room_for_others(self):
-        """Symptom: the one line that tells the cause is missing.
+        """Each kind of line has its own rate limit.
 
-        Sequence: something fails a thousand times a second.
-        Cause: all lines would share one budget.
+        With a common limit, a failure logged a thousand times a second would
+        suppress the one line that shows its cause.
         """
         stream = io.StringIO()
         writer = self.make(stream)
@@ -53,9 +53,9 @@
         self.assertEqual(counts, {'flood': 1000 - _lines.MOST_A_SECOND})
         self.assertEqual(writer.left_out, 1000 - _lines.MOST_A_SECOND)
 
-    def test_a_stream_that_takes_nothing_holds_nobody_up(self):
-        """Symptom: an instance stands still because its log does."""
-        stream = Stuck()
+    def test_a_blocked_stream_does_not_block_logging(self):
+        """An instance must keep working while its log's reader is stuck."""
+        stream = BlockedStream()
         writer = self.make(stream)
         writer.start()
         for number in range(2 * _lines.MOST_WAITING):
@@ -66,7 +66,7 @@
         written = len(stream.getvalue().splitlines())
         self.assertEqual(written + writer.left_out, 2 * _lines.MOST_WAITING)
 
-    def test_a_stream_that_is_closed_ends_nothing(self):
+    def test_lines_for_a_closed_stream_are_counted(self):
         stream = io.StringIO()
         stream.close()
         writer = self.make(stream)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON, carry the bound ids, and hold no secret."""
+"""Log lines are JSON, carry the bound ids, and contain no secret."""
 
 import io
 import json
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Every reason has a counter from the start; registries are separate."""
+"""Metrics: initial zeros, watched values and separate registries."""
 
 import asyncio
 import collections
@@ -33,13 +33,13 @@
         ('peer_faults', 'reason', peers.FaultReason),
         ('orders_held_back', 'reason', orders.HoldReason),
     )
-    def test_every_value_is_there_at_zero(self, name, label, values):
+    def test_every_label_value_starts_at_zero(self, name, label, values):
         text = self.metrics.render().decode()
         for value in values:
             sample = f'dandeliongw_{name}_total{{{label}="{value}"}} 0.0'
             self.assertIn(sample, text.splitlines())
 
-    def test_a_refusal_is_an_answer_too(self):
+    def test_a_refusal_counts_as_an_answer_too(self):
         self.metrics.count_refusal(
             verdict.Refusal(
                 reason=verdict.RefusalReason.NO_CAPACITY,
@@ -51,7 +51,7 @@
         self.assertEqual(1, value('refusals_total', reason='no_capacity'))
         self.assertEqual(1, value('answers_total', verdict='not_run'))
 
-    def test_every_lease_answer_is_there_at_zero(self):
+    def test_every_lease_answer_starts_at_zero(self):
         text = self.metrics.render().decode().splitlines()
         for outcome in lease_messages.LeaseOutcome:
             label = f'outcome="{outcome.name.lower()}"'
@@ -59,7 +59,7 @@
             self.assertIn(sample, text)
         self.assertIn('dandeliongw_order_repeats_total 0.0', text)
 
-    def test_a_watched_count_is_shown_as_it_is_now(self):
+    def test_a_watched_counter_exports_the_current_count(self):
         counts = collections.Counter()
         self.metrics.peer_drops.watch(lambda: counts)
         counts[envelopes.DropReason.QUEUE_FULL] += 2
@@ -70,21 +70,21 @@
         self.assertEqual(0, value('peer_drops_total', reason='expired'))
         self.assertEqual(0, counts[envelopes.DropReason.EXPIRED])
 
-    def test_two_instances_in_one_process_count_apart(self):
+    def test_two_instances_in_one_process_count_separately(self):
         self.metrics.count_retry(verdict.RetryReason.KV_EVICTED)
         other = metrics.Metrics()
         name = 'retries_total'
         self.assertEqual(1, self.metrics.value(name, reason='kv_evicted'))
         self.assertEqual(0, other.value(name, reason='kv_evicted'))
 
-    def test_a_pool_that_went_leaves_no_slots_behind(self):
+    def test_a_removed_pool_has_no_gauges(self):
         self.metrics.set_pool('a', backends=2, slots=40, used=3, queue=1)
         self.assertEqual(40, self.metrics.value('slots', pool='a'))
         self.metrics.forget_pool('a')
         self.metrics.forget_pool('never-set')
         self.assertNotIn('pool="a"', self.metrics.render().decode())
 
-    def test_parts_of_the_way_are_told_apart(self):
+    def test_stages_of_a_request_are_labelled(self):
         took = effects.Took(
             part=effects.Part.QUEUE, service='dieline-llm', seconds=0.3
         )
@@ -94,14 +94,14 @@
         self.assertEqual(1, value('part_seconds_count', **labels))
         self.assertEqual(0.3, value('part_seconds_sum', **labels))
 
-    def test_a_watched_gauge_forgets_what_is_not_there(self):
+    def test_a_watched_gauge_drops_removed_values(self):
         epochs = {'a/x/0': 3}
         self.metrics.lease_epoch.watch(lambda: epochs)
         self.assertEqual(3, self.metrics.value('lease_epoch', cell='a/x/0'))
         del epochs['a/x/0']
         self.assertNotIn('a/x/0', self.metrics.render().decode())
 
-    def test_histograms_hold_the_targets_as_bounds(self):
+    def test_latency_targets_are_bucket_bounds(self):
         self.metrics.observe_first_token('dieline-llm', 0.55)
         self.metrics.observe_token_gap('dieline-llm', 0.035)
         text = self.metrics.render().decode()
@@ -109,11 +109,12 @@
         self.assertIn(f'{{le="0.55",{service}}} 1.0', text)
         self.assertIn(f'{{le="0.034",{service}}} 0.0', text)
 
-    def test_the_state_is_in_the_first_kilobyte(self):
-        """Symptom: no kept reading tells how old a configuration was.
+    def test_gauges_are_in_the_first_kilobyte(self):
+        """The age of the configuration survives a truncated scrape.
 
-        A monitor kept the first 4 KB of each; half of them were the times
-        at which series began, and the gauges came after all counters.
+        A monitor may store only the first 4 KB. If ``_created`` samples took
+        half of them and the gauges came after all counters, no stored scrape
+        would have the age.
         """
         page = self.metrics.render().decode()
         self.assertLess(page.index('configuration_age_seconds '), 1024)
@@ -121,12 +122,12 @@
 
 
 class WatchedPartsTest(unittest.TestCase):
-    """The parts' own counts reach the page of metrics."""
+    """The components' own counts are exported as metrics."""
 
     def setUp(self):
         self.metrics = metrics.Metrics()
 
-    def test_answers_to_claims_of_leases(self):
+    def test_answers_to_lease_requests(self):
         net = network.Network()
         server.watch_counts(self.metrics, net.reducers_by_id['gw-1'])
         net.apply_example()
@@ -166,9 +167,9 @@
             metrics=self.metrics,
         )
 
-        async def send_to_a_stranger():
+        async def send_to_an_unknown_peer():
             make_wire().send('gw-9', None)
 
-        asyncio.run(send_to_a_stranger())
+        asyncio.run(send_to_an_unknown_peer())
         name = 'peer_drops_total'
         self.assertEqual(1, self.metrics.value(name, reason='unknown_peer'))
