--- a/dandeliongw/__init__.py
+++ b/dandeliongw/__init__.py
@@ -1,7 +1,7 @@
 """A router for separate prefill and decode pools.
 
-The public surface is what this module re-exports; modules whose names begin
-with an underscore are private.
+The public API consists of the names that this module re-exports; modules
+whose names begin with an underscore are private.
 """
 
 from .verdict import Refusal
--- a/dandeliongw/__main__.py
+++ b/dandeliongw/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m dandeliongw`` run the command line."""
+"""Runs the command line for ``python -m dandeliongw``."""
 
 import sys
 
--- a/dandeliongw/_link.py
+++ b/dandeliongw/_link.py
@@ -1,4 +1,4 @@
-"""One peer: its queue, the connection towards it, and what bounds both."""
+"""The queue and the outgoing connection to one peer, with their limits."""
 
 import asyncio
 import collections
@@ -15,41 +15,42 @@
 from .envelopes import Sealer
 from .protocol import envelope_grpc
 
-#: Bytes of one serialized envelope; a configuration document fits.
+#: Longest body of an envelope, in bytes; a configuration document fits.
 MAX_ENVELOPE_BYTES = 1024 * 1024
-#: Messages that wait for one peer.
+#: Messages queued for one peer.
 MAX_QUEUED = 1_000
-#: Bytes that wait for one peer.
+#: Bytes queued for one peer.
 MAX_QUEUED_BYTES = 4 * 1024 * 1024
-#: Seconds after which a waiting message is of no use to its part.
+#: Seconds after which a queued message expires; it would be of no use to the
+#: component that it is for.
 MAX_AGE_S = 5.0
-#: Seconds without a message after which a connection is closed. Members meet
-#: each other only now and then; with ten minutes each of 200 instances held
-#: connections to all others in the end, at some 100 KB each (estimate, from
-#: the memory of processes among 27 and 200).
+#: Seconds without a message after which a connection is closed. Most pairs of
+#: members communicate rarely; with ten minutes, each of 200 instances would
+#: in the end hold connections to all others, at about 100 KB each.
 IDLE_S = 15.0
-#: Seconds between two pings of a connection, and seconds that it may stay
-#: silent after one. A connection that carries nothing any more is replaced
-#: within both together; a ping is a frame of 17 bytes and its answer.
+#: Seconds between keepalive pings of a connection, and seconds to wait for
+#: the answer. A connection that no longer transports data is replaced within
+#: the sum of both; a ping and its answer are frames of 17 bytes each.
 PING_S = 2.0
 PING_ANSWER_S = 1.5
-#: Seconds between two pings of a connection by the end that receives. It only
-#: finds connections whose other end is gone without a word, and frees them.
+#: Seconds between keepalive pings by the receiving end. They only find
+#: connections whose sender disappeared without closing them, and free them.
 RECEIVER_PING_S = 30.0
-#: Seconds that one write may take before the connection is broken.
+#: Seconds that one write may take before the connection is closed.
 PROGRESS_S = 5.0
-#: Seconds that a connect may take. A host without power does not refuse it;
-#: the try would outlast the host's return. Ten round trips between regions.
+#: Seconds that a connect may take: ten round trips between regions. A host
+#: without power does not refuse a connection; without this limit, the attempt
+#: would still be pending after the host's return.
 CONNECT_S = 2.0
-#: Seconds before the first and before every later new try.
+#: Bounds of the exponential backoff between attempts to connect, in seconds.
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
-#: Seconds that a stop waits for what is queued, such as a leave message.
+#: Seconds that a stop waits for queued messages, such as a leave message.
 FLUSH_S = 1.0
 
 
 class FaultReason(enum.StrEnum):
-    """Why a connection to a peer ended badly (a counter label)."""
+    """Why a connection to a peer failed (a counter label)."""
 
     CONNECT_FAILED = 'connect_failed'
     STREAM_BROKEN = 'stream_broken'
@@ -64,7 +65,7 @@
 
 
 class Counters:
-    """What was sent, received, dropped and broken, for the metrics."""
+    """Counts of messages, connects, drops and faults, for the metrics."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -81,7 +82,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of the connections; the defaults are the constants above."""
+    """Limits of queues and connections; defaults are the constants above."""
 
     max_envelope_bytes: int = MAX_ENVELOPE_BYTES
     max_queued: int = MAX_QUEUED
@@ -97,25 +98,28 @@
     flush_s: float = FLUSH_S
 
 
-def pinging(ping_s: float, answer_s: float) -> grpclib.config.Configuration:
-    """Return what lets a connection end that carries nothing any more.
+def keepalive(ping_s: float, answer_s: float) -> grpclib.config.Configuration:
+    """Return a configuration that ends a connection if pings go unanswered.
 
-    Something between two instances can lose track of a connection: it stays
-    open at both ends, and what is sent over it is gone. One would see
-    bookings that nobody answers while all members are well. The underscores
-    are the library's, which calls these options experimental.
+    A middlebox between two instances can lose the state of a connection: it
+    stays open at both ends, but all data is lost. Without pings, bookings
+    would go unanswered although all members are healthy. The underscores are
+    grpclib's, which considers these options experimental.
+
+    :param ping_s: seconds between pings.
+    :param answer_s: seconds to wait for the answer to a ping.
     """
     return grpclib.config.Configuration(
         _keepalive_time=ping_s,
         _keepalive_timeout=answer_s,
         _http2_max_pings_without_data=0,
-        # A bound, not the interval; less, for timers are never exact.
+        # A lower bound, not the interval. Half of it, as timers are inexact.
         _http2_min_sent_ping_interval_without_data=ping_s / 2,
     )
 
 
-class Owner(typing.Protocol):
-    """The link's view of the connections to all peers."""
+class LinkOwner(typing.Protocol):
+    """The interface of :class:`~.peers.Peers` that a link uses."""
 
     addresses_by_id: dict[str, tuple[str, int]]
     counters: Counters
@@ -124,17 +128,17 @@
 
     def drop(self, reason: DropReason) -> None: ...
 
-    def tell(self, peer: str, sentence: str) -> None: ...
+    def report_fault(self, peer: str, sentence: str) -> None: ...
 
 
 class Link:
-    """The queue and the connection towards one peer.
+    """The queue and the outgoing connection to one peer.
 
-    :param peers: whom this link belongs to.
-    :param to: the peer.
+    :param peers: the object that this link belongs to.
+    :param to: the peer's id.
     """
 
-    def __init__(self, *, peers: Owner, to: str) -> None:
+    def __init__(self, *, peers: LinkOwner, to: str) -> None:
         self._peers = peers
         self._to = to
         self._queue: collections.deque[_Queued] = collections.deque()
@@ -147,7 +151,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def put(self, kind: str, body: bytes) -> None:
-        """Queue a message or drop it."""
+        """Queue a message; drop it if the queue is full."""
         limits = self._peers.limits
         full = (
             len(self._queue) >= limits.max_queued
@@ -164,22 +168,22 @@
         self._wake.set()
 
     def reconnect(self) -> None:
-        """Break the connection or the wait before the next one."""
+        """Close the connection, or end the backoff before the next one."""
         self._reconnect.set()
 
-    def hurry(self) -> None:
-        """End the wait before the next try: the peer was heard.
+    def end_backoff(self) -> None:
+        """Retry at once; called when a message from the peer has arrived.
 
-        After an outage of all voters each entry would wait for up to five
-        seconds more, though they are back and answer others; one would see
-        an old configuration at single entries.
+        Otherwise, after an outage of all voters, each entry could wait for
+        up to five seconds more although the voters are back and answer
+        others; single entries would keep an old configuration meanwhile.
         """
         if self._is_backing_off:
             self._failures = 0
             self._reconnect.set()
 
     async def close(self) -> None:
-        """Send what is queued, within ``flush_s``, and close."""
+        """Send queued messages, within ``flush_s``, and close."""
         if self._queue:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._peers.limits.flush_s):
@@ -197,7 +201,9 @@
             if fault is None:
                 continue
             self._peers.counters.faults_by_reason[fault] += 1
-            self._peers.tell(self._to, f'connection ended: {fault.value}')
+            self._peers.report_fault(
+                self._to, f'connection ended: {fault.value}'
+            )
             if fault is not FaultReason.RECONNECT_ASKED:
                 await self._back_off()
 
@@ -223,7 +229,7 @@
             return FaultReason.CONNECT_FAILED
         limits = self._peers.limits
         channel = grpclib.client.Channel(
-            *address, config=pinging(limits.ping_s, limits.ping_answer_s)
+            *address, config=keepalive(limits.ping_s, limits.ping_answer_s)
         )
         connected = False
         try:
@@ -237,9 +243,9 @@
                 self._peers.counters.connects += 1
                 return await self._send_queued(stream)
         except Exception as error:
-            # Any, for a link that ended by an error nobody foresaw would be
-            # silent for good; one would see only messages that expire.
-            self._peers.tell(self._to, f'connection failed: {error!r}')
+            # Any exception: if an unexpected one ended this task, the link
+            # would never connect again and its messages would only expire.
+            self._peers.report_fault(self._to, f'connection failed: {error!r}')
             if not connected:
                 return FaultReason.CONNECT_FAILED
             if isinstance(error, TimeoutError):
@@ -251,8 +257,8 @@
     async def _send_queued(
         self, stream: grpclib.client.Stream
     ) -> FaultReason | None:
-        # Without this watch a broken stream would be noticed only by the
-        # next message, which would be lost with it.
+        # Without this pending read, only the next write would detect a broken
+        # stream, and its message would be lost.
         ended = asyncio.ensure_future(stream.recv_message())
         try:
             while True:
@@ -272,10 +278,10 @@
             await asyncio.gather(ended, return_exceptions=True)
 
     async def _wait_for_queued(self, ended: asyncio.Future) -> bool:
-        """Return whether there is a message and a stream to send it."""
+        """Return whether there is a message and the stream is usable."""
         if ended.done() or self._reconnect.is_set():
-            # What is sent after a reconnect was asked for must not go into
-            # the old connection, which may be silent.
+            # Messages sent after a request to reconnect must not use the old
+            # connection, which may be dead.
             return False
         if self._queue:
             return True
@@ -309,10 +315,10 @@
         self._peers.counters.sent_bytes += envelope.ByteSize()
 
     async def _back_off(self) -> None:
-        """Wait before the next try; a reconnect ends the wait.
+        """Wait before the next attempt; a reconnect ends the wait.
 
-        Without jitter, all instances would connect to a restarted one at
-        the same moments, again and again.
+        Without jitter, all instances would repeatedly connect to a restarted
+        one at the same moments.
         """
         limits = self._peers.limits
         longest = min(
--- a/dandeliongw/_secrets.py
+++ b/dandeliongw/_secrets.py
@@ -1,4 +1,4 @@
-"""Which fields hold secrets, judged by their names."""
+"""Decides by a field's name whether it holds a secret."""
 
 HIDDEN = '[hidden]'
 
@@ -10,10 +10,11 @@
 
 
 def is_secret(name: str) -> bool:
-    """Whether a field of this name holds a secret.
+    """Return whether a field of this name holds a secret.
 
-    Its last word decides: ``form_token`` does, ``first_token_s`` and
-    ``max_tokens`` are a time and a count, ``bytes_per_token`` a rate.
+    The last word of the name decides: ``form_token`` is a secret, but
+    ``first_token_s`` is a time and ``max_tokens`` a count. Names with
+    ``_per_`` are rates, such as ``bytes_per_token``.
     """
     lowered = name.lower().replace('-', '_')
     if '_per_' in lowered:
@@ -23,9 +24,9 @@
 
 
 def may_be_secret(name: str) -> bool:
-    """Whether a person may have put a secret there by mistake.
+    """Return whether a user may have put a secret there by mistake.
 
-    The secret itself is easily pasted where its digest belongs.
+    A secret is easily pasted where its digest belongs.
     """
     ending = name.lower().rpartition('_')[2]
     return is_secret(name) or ending == _DIGEST_ENDING
--- a/dandeliongw/clock.py
+++ b/dandeliongw/clock.py
@@ -1,14 +1,14 @@
-"""The clock of an instance: seconds that also pass while it is suspended."""
+"""The clock of an instance; it also runs while the machine is suspended."""
 
 import time
 
 
 def now() -> float:
-    """Return seconds since the machine started, its suspensions included.
+    """Return seconds since the machine booted, suspensions included.
 
-    The usual monotonic clock stands still while a machine is suspended. An
-    instance that wakes would take its leases and confirmations for as fresh
-    as before; one would see it act beside its successor, and serve an old
-    document, for as long as those last. This clock shows the gap at once.
+    ``CLOCK_MONOTONIC`` stops while a machine is suspended. After a resume, an
+    instance would treat its leases and confirmations as still valid: until
+    they expire, it would act as owner beside its successor and serve an old
+    document. This clock includes the suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/dandeliongw/datagrams.py
+++ b/dandeliongw/datagrams.py
@@ -1,9 +1,9 @@
-"""Small messages between instances without a connection.
+"""Small messages between instances over UDP, without a connection.
 
-Members probe each other, each of them all others in turn. Over streams, 200
-instances would hold 40,000 connections for two messages a second each; a
-datagram needs none. It may be lost, come late or be refused by what stands
-between: whoever sends one asks again over a stream when no answer comes.
+Each member probes all others in turn. Over streams, 200 instances would hold
+40,000 connections for two messages a second each; datagrams need none. A
+datagram may be lost, delayed or blocked by a firewall: its sender must retry
+over a stream if no answer arrives.
 """
 
 import asyncio
@@ -20,19 +20,20 @@
 from .envelopes import Sealer
 from .protocol import envelope_pb2
 
-#: Bytes of a datagram. Of more than some 1,400 a network makes several
-#: packets, and the loss of one of them loses all.
+#: Longest datagram, in bytes. Above about 1,400 bytes a network splits a
+#: datagram into several packets, and the loss of one loses all of it.
 MAX_BYTES = 1_200
-#: Bytes that wait for a link that is full; later datagrams are dropped. The
-#: event loop keeps what the system doesn't take, without a bound of its own.
+#: Bytes buffered while the network link is congested; further datagrams are
+#: dropped. The event loop buffers what the kernel doesn't accept, without a
+#: limit of its own.
 MAX_WAITING_BYTES = 64 * 1024
 
 
 def derive_secret(secret: bytes | None) -> bytes | None:
-    """Return the secret that proves datagrams.
+    """Return the secret that authenticates datagrams.
 
-    Their counters are not those of the streams. With one secret for both, a
-    datagram could be played again as a message of a stream.
+    Datagrams and streams have separate counters. With one secret for both, a
+    datagram could be replayed as a message of a stream.
     """
     if secret is None:
         return None
@@ -42,9 +43,11 @@
 class Datagrams(asyncio.DatagramProtocol):
     """The datagrams of one instance; belongs to one event loop.
 
-    :param sealer: with a secret that nothing else uses, as are its counters.
-    :param opener: checks what comes, with the same secret.
-    :param on_envelope: called with what was proved, and its bytes.
+    :param sealer: used for nothing else, with the secret of
+        :func:`derive_secret`.
+    :param opener: verifies received envelopes, with the same secret.
+    :param on_envelope: called with each verified envelope and the size of its
+        datagram in bytes.
     :param on_drop: called with the reason for each datagram that isn't
         delivered.
     """
@@ -64,9 +67,9 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen.
+        """Start to listen.
 
-        :raises OSError: when the address can't be had.
+        :raises OSError: if the address can't be used.
         """
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
@@ -75,7 +78,7 @@
         self._transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def stop(self) -> None:
-        """Close the socket; what is sent later goes another way."""
+        """Close the socket; ``send`` returns 0 from now on."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
@@ -85,9 +88,10 @@
     ) -> int:
         """Send a message at once.
 
-        :returns: its bytes, also if it is dropped as the link is full; 0 when
-            it has to go another way: it is too large, or the address is a
-            name, which would have to be looked up.
+        :returns: the size of the datagram in bytes, even if it was dropped
+            because the send buffer is full; 0 if the message has to be sent
+            over a stream: it is too large, the socket is closed, or the
+            address is a host name, which would need a DNS query.
         """
         if self._transport is None or not _is_literal(address[0]):
             return 0
@@ -103,7 +107,7 @@
         return len(sealed)
 
     def datagram_received(self, data: bytes, addr: typing.Any) -> None:
-        """Check a datagram and hand on what it carries."""
+        """Verify a datagram and pass on its envelope."""
         try:
             envelope = envelope_pb2.Envelope.FromString(data)
         except protobuf_message.DecodeError:
@@ -116,7 +120,7 @@
         self._on_envelope(envelope, len(data))
 
     def error_received(self, exc: Exception) -> None:
-        """Count a datagram that the system could not send."""
+        """Count a datagram that the operating system could not send."""
         self._on_drop(DropReason.CONNECTION_LOST)
 
 
--- a/dandeliongw/heap.py
+++ b/dandeliongw/heap.py
@@ -1,24 +1,24 @@
-"""The garbage collector while a process starts, and after that.
+"""Controls the garbage collector during and after the start of a process.
 
-Some 130,000 objects are made by imports and stay until the process ends. The
-collector goes through them again and again as they come, and at each full
-collection later: 35 to 60 ms in which nothing else runs, where a step of the
-reducer takes less than one.
+Imports create about 130,000 objects that live until the process ends. By
+default the collector scans them repeatedly during the start, and again at
+each full collection: 35 to 60 ms in which nothing else runs, while a step of
+the reducer takes less than one.
 """
 
 import gc
 
 
 def pause() -> None:
-    """Let a starting process collect nothing.
+    """Disable the garbage collector while the process starts.
 
-    Call it before the imports: they take 0.37 s of processor time then, and
-    0.41 s without it (medians of five).
+    Call it before the imports: they take 0.37 s of processor time with it,
+    and 0.41 s without.
     """
     gc.disable()
 
 
 def settle() -> None:
-    """Leave what there is out of collections, and collect again."""
+    """Exclude all current objects from collections, and enable them again."""
     gc.freeze()
     gc.enable()
--- a/dandeliongw/peers.py
+++ b/dandeliongw/peers.py
@@ -1,10 +1,12 @@
-"""Messages between instances: one grpclib stream a direction and peer.
+"""Transport for messages between instances: one grpclib stream per direction.
 
-What is small and bears a loss may go as a datagram, which needs no
-connection. :class:`Peers` belongs to one event loop. ``send`` never blocks
-and never raises: what can't be sent is dropped and counted by reason, because
-every coordination part already bears a lost message, and a sender that waited
-for one silent peer would starve all the others.
+Each instance opens a stream to every peer that it sends to. Small messages
+that may be lost can go as datagrams, which need no connection.
+
+:class:`Peers` belongs to one event loop. ``send`` never blocks and never
+raises: a message that can't be sent is dropped and counted by reason. Every
+coordination component tolerates lost messages, and a sender that waited for
+one unresponsive peer would starve all the others.
 """
 
 import asyncio
@@ -20,11 +22,11 @@
 from . import datagrams
 from ._link import Counters
 from ._link import FaultReason
+from ._link import keepalive
 from ._link import Limits
 from ._link import Link
 from ._link import MAX_ENVELOPE_BYTES
 from ._link import PING_ANSWER_S
-from ._link import pinging
 from ._link import RECEIVER_PING_S
 from .envelopes import DropReason
 from .envelopes import Opener
@@ -41,11 +43,11 @@
     'Peers',
 ]
 
-#: Ports that are tried until one is free for streams and for datagrams, when
-#: the system chooses.
+#: Ports that are tried, if the operating system assigns them, until one is
+#: free for both TCP (streams) and UDP (datagrams).
 _PORT_TRIES = 20
-#: What grpclib raises when the other end or the connection goes away; the
-#: assertion is its answer to a message that was cut off in the middle.
+#: Exceptions that grpclib raises if the peer or the connection fails; it
+#: raises the assertion error for a message that was truncated.
 _BROKEN = (
     grpclib.exceptions.StreamTerminatedError,
     grpclib.exceptions.ProtocolError,
@@ -54,7 +56,7 @@
 
 
 class AddressInUse(Exception):
-    """Another process listens where this instance should.
+    """Another process listens on the peer address of this instance.
 
     :param host: from the settings.
     :param port: from the settings.
@@ -72,16 +74,19 @@
 class Peers(envelope_grpc.PeerBase):
     """Sends and receives the messages of one instance.
 
-    :param instance_id: this instance.
+    :param instance_id: the id of this instance.
     :param incarnation: higher than that of any earlier process of it.
     :param host: address to listen on.
-    :param port: port to listen on; 0 lets the system choose, see ``port``.
-    :param addresses_by_id: where the peers listen; may grow while running,
+    :param port: port to listen on; with 0 the operating system assigns one,
+        which the attribute ``port`` holds after the start.
+    :param addresses_by_id: the peers' addresses; may change while running,
         through :meth:`set_address`.
-    :param codec: maps message data classes to bytes.
-    :param secret: shared by all instances, or ``None``.
+    :param codec: encodes and decodes the messages.
+    :param secret: shared by all instances; ``None`` to send messages without
+        a keyed hash.
     :param on_message: called with the sender's id and the message.
     :param on_fault: called with the peer's id and a sentence for the log.
+    :param limits: bounds of the queues and connections.
     """
 
     def __init__(
@@ -125,13 +130,13 @@
             on_drop=self.drop,
         )
         self._server: grpclib.server.Server | None = None
-        self._takings_by_exchange: dict[asyncio.Task, asyncio.Future] = {}
+        self._receiving_by_exchange: dict[asyncio.Task, asyncio.Future] = {}
         self._stopping = False
 
     async def start(self) -> None:
-        """Listen.
+        """Start to listen.
 
-        :raises AddressInUse: when another process holds the address.
+        :raises AddressInUse: if another process listens on the address.
         """
         tries = 1 if self.port else _PORT_TRIES
         for left in reversed(range(tries)):
@@ -147,9 +152,9 @@
                     ) from error
 
     async def _listen(self) -> None:
-        """Take one port for streams and for datagrams, or neither."""
+        """Listen on one port for streams and datagrams, or on none."""
         server = grpclib.server.Server(
-            [self], config=pinging(RECEIVER_PING_S, PING_ANSWER_S)
+            [self], config=keepalive(RECEIVER_PING_S, PING_ANSWER_S)
         )
         await server.start(self.host, self.port)
         port = server._server.sockets[0].getsockname()[1]
@@ -163,7 +168,7 @@
         self.port = port
 
     async def stop(self) -> None:
-        """Send what is queued, within ``flush_s``, and close everything."""
+        """Send queued messages, within ``flush_s``, and close everything."""
         self._stopping = True
         self._datagrams.stop()
         links = list(self._links_by_id.values())
@@ -174,11 +179,12 @@
 
     async def _stop_server(self, server: grpclib.server.Server) -> None:
         server._server.close()
-        for taking in self._takings_by_exchange.values():
-            taking.cancel()
-        if self._takings_by_exchange:
+        for receiving in self._receiving_by_exchange.values():
+            receiving.cancel()
+        if self._receiving_by_exchange:
             await asyncio.wait(
-                self._takings_by_exchange.keys(), timeout=self.limits.flush_s
+                self._receiving_by_exchange.keys(),
+                timeout=self.limits.flush_s,
             )
         server.close()
         await server.wait_closed()
@@ -186,10 +192,12 @@
     def send(
         self, to: str, message: typing.Any, *, by_datagram: bool = False
     ) -> None:
-        """Queue a message; it may be lost, and then it is counted.
+        """Queue a message; it may be lost, and a detected loss is counted.
 
-        :param by_datagram: send it at once and without a connection, if it
-            is small enough. Then a loss is not noticed.
+        :param to: the peer's id; a message to this instance itself is
+            delivered locally.
+        :param by_datagram: send the message at once and without a connection,
+            if it is small enough. A loss is not detected then.
         """
         if self._stopping:
             self.drop(DropReason.STOPPED)
@@ -205,7 +213,9 @@
             kind, body = self._codec.encode(message)
         except Exception as error:
             self.drop(DropReason.NOT_ENCODED)
-            self.tell(to, f'{type(message).__name__} not encoded: {error!r}')
+            self.report_fault(
+                to, f'{type(message).__name__} not encoded: {error!r}'
+            )
             return
         if self._too_large(to, kind, len(body)):
             return
@@ -220,18 +230,18 @@
         return bool(size)
 
     def reconnect(self, to: str) -> None:
-        """Throw the connection to a peer away and use a new one.
+        """Replace the connection to a peer by a new one.
 
-        Something between two instances can lose track of a connection: it
-        stays open at both ends and carries nothing for good. One would
-        notice only that heartbeats stop while new connections work.
+        A middlebox between two instances can lose the state of a connection:
+        it stays open at both ends, but all data is lost. Heartbeats over it
+        stop then, while new connections work.
         """
         link = self._links_by_id.get(to)
         if link is not None:
             link.reconnect()
 
     def set_address(self, to: str, address: tuple[str, int]) -> None:
-        """Learn where a peer listens; a changed address is connected anew."""
+        """Set the address of a peer; reconnect if it has changed."""
         if self.addresses_by_id.get(to) == address:
             return
         self.addresses_by_id[to] = address
@@ -245,28 +255,28 @@
             await link.close()
 
     async def Exchange(self, stream: grpclib.server.Stream) -> None:
-        """Take envelopes from one peer until it closes the stream."""
-        # The headers of the answer tell the sender that a process, and not
-        # only a listening socket, is at this end.
+        """Receive envelopes from one peer until it closes the stream."""
+        # The response headers show the sender that a process serves this
+        # connection, and not only the kernel's listening socket.
         await stream.send_initial_metadata()
-        taking = asyncio.ensure_future(self._take(stream))
+        receiving = asyncio.ensure_future(self._receive_all(stream))
         exchange = typing.cast(asyncio.Task, asyncio.current_task())
-        self._takings_by_exchange[exchange] = taking
+        self._receiving_by_exchange[exchange] = receiving
         try:
-            await asyncio.wait({taking})
-            # Also when a stop has ended the taking: grpclib leaves the
-            # connections open, and a sender would go on sending into them.
+            await asyncio.wait({receiving})
+            # Sent on a stop, too: grpclib leaves the connections open, and a
+            # sender would continue to send into them.
             count = self.counters.received
             await stream.send_message(envelope_pb2.Received(count=count))
         except _BROKEN:
-            # The connection went away; the sender counts that.
+            # The connection was lost; the sender counts that.
             return
         finally:
-            taking.cancel()
-            await asyncio.gather(taking, return_exceptions=True)
-            del self._takings_by_exchange[exchange]
+            receiving.cancel()
+            await asyncio.gather(receiving, return_exceptions=True)
+            del self._receiving_by_exchange[exchange]
 
-    async def _take(self, stream: grpclib.server.Stream) -> None:
+    async def _receive_all(self, stream: grpclib.server.Stream) -> None:
         async for envelope in stream:
             self._receive(envelope)
 
@@ -274,8 +284,8 @@
         """Count a message that is not delivered."""
         self.counters.drops_by_reason[reason] += 1
 
-    def tell(self, peer: str, sentence: str) -> None:
-        """Report a fault; a failing observer must not stop the messages."""
+    def report_fault(self, peer: str, sentence: str) -> None:
+        """Call ``on_fault``; its exceptions must not stop the messages."""
         with contextlib.suppress(Exception):
             self._on_fault(peer, sentence)
 
@@ -289,7 +299,7 @@
         if size <= limit:
             return False
         self.drop(DropReason.TOO_LARGE)
-        self.tell(
+        self.report_fault(
             peer,
             f'{kind} of {size} bytes is over the limit of {limit} bytes '
             '(max_envelope_bytes)',
@@ -311,18 +321,18 @@
         self._open(envelope)
 
     def _open(self, envelope: envelope_pb2.Envelope) -> None:
-        """Deliver what is in an envelope whose proof was checked."""
+        """Deliver the message in an envelope whose proof was verified."""
         sender, kind = envelope.sender, envelope.kind
         link = self._links_by_id.get(sender)
         if link is not None:
-            link.hurry()
+            link.end_backoff()
         if self._too_large(sender, kind, len(envelope.body)):
             return
         try:
             message = self._codec.decode(kind, envelope.body)
         except Exception as error:
             self.drop(DropReason.NOT_DECODED)
-            self.tell(sender, f'{kind} not decoded: {error}')
+            self.report_fault(sender, f'{kind} not decoded: {error}')
             return
         self.counters.received += 1
         self._deliver(sender, message)
@@ -331,7 +341,10 @@
         try:
             self._on_message(sender, message)
         except Exception as error:
-            # An exception here would end the stream and lose what follows.
+            # An exception here would end the stream and lose the messages
+            # that follow.
             self.drop(DropReason.HANDLER_FAILED)
             kind = type(message).__name__
-            self.tell(sender, f'{kind} failed in its handler: {error!r}')
+            self.report_fault(
+                sender, f'{kind} failed in its handler: {error!r}'
+            )
--- a/dandeliongw/probe.py
+++ b/dandeliongw/probe.py
@@ -1,19 +1,20 @@
-"""Asks an address whether any process listens there."""
+"""Checks whether any process listens on an address."""
 
 import errno
 import socket
 import urllib.parse
 
-#: Seconds for an answer. A machine refuses or takes a connection within a
-#: round trip; one that does neither proves nothing.
+#: Time-out in seconds. A running machine refuses or accepts a connection
+#: within a round trip; a time-out proves nothing.
 PROBE_S = 1.0
 
 
 def is_refused(url: str, timeout_s: float = PROBE_S) -> bool:
-    """Return whether the machine of ``url`` says that nothing listens there.
+    """Return whether the machine of ``url`` refuses the connection.
 
-    Only a refusal counts. A process that is frozen, a machine that has no
-    power and a network that is cut give no answer, or take the connection.
+    Only a refusal proves that no process listens. If the process is frozen,
+    the machine has no power or the network is partitioned, the connection
+    times out or is accepted.
     """
     parts = urllib.parse.urlsplit(url)
     address = (parts.hostname or '', parts.port or 80)
--- a/dandeliongw/verdict.py
+++ b/dandeliongw/verdict.py
@@ -1,8 +1,8 @@
-"""Whether a request may have run, and why one was refused or tried again.
+"""Whether a request may have run, and why it was refused or retried.
 
-Every answer that is not the caller's own result carries a :class:`Verdict`.
-The reasons are enums so that a metric label, a log field, a JSON error and a
-docs table can never disagree: all four are made from the same members.
+Every answer other than a result has a :class:`Verdict`. The reasons are enums
+so that metric labels, log fields, JSON errors and docs tables always agree:
+all four are generated from the same members.
 """
 
 import enum
@@ -11,19 +11,20 @@
 
 
 class Verdict(enum.StrEnum):
-    """What is known about a request's effect on a backend server."""
+    """Whether a backend server ran a request, as far as it is known."""
 
-    #: Proved: no byte was sent, or the backend server said it did not run.
-    #: The only verdict that allows a non-idempotent call another try.
+    #: Proved: no byte was sent, or the backend server reported that it did
+    #: not run it. The only verdict with which a non-idempotent call may be
+    #: retried.
     NOT_RUN = 'not_run'
-    #: Nothing proves either case; the caller must not assume one.
+    #: Neither case is proved; the client must not assume one.
     MAY_HAVE_RUN = 'may_have_run'
     #: A backend server ran it.
     RAN = 'ran'
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request got an error instead of a result (a counter label)."""
+    """Why a request was answered with an error (a counter label)."""
 
     BAD_REQUEST = 'bad_request'
     TOO_LARGE = 'too_large'
@@ -44,14 +45,14 @@
     IN_PROGRESS = 'in_progress'
     OUTCOME_UNKNOWN = 'outcome_unknown'
     CLAIMS_UNAVAILABLE = 'claims_unavailable'
-    #: It ended the backend servers that began to run it.
+    #: Backend servers that began to run it ended.
     QUARANTINED = 'quarantined'
     BACKEND_FAILED = 'backend_failed'
     RETRIES_SPENT = 'retries_spent'
 
 
 class RetryReason(enum.StrEnum):
-    """Why another attempt was made (a counter label)."""
+    """Why a request was retried (a counter label)."""
 
     CONNECT_REFUSED = 'connect_refused'
     BACKEND_BUSY = 'backend_busy'
@@ -66,13 +67,14 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, kw_only=True):
-    """A sentinel returned in place of a result.
+    """A value returned in place of a result.
 
-    :param reason: why, from the closed set that metrics and docs list.
+    :param reason: why the request was refused; metrics and docs list all
+        reasons.
     :param verdict: whether the request may have run.
-    :param message: one sentence for a person; names the bad value.
-    :param retry_after_s: seconds after which another try makes sense, or
-        ``None`` where a resend of the same request can't help.
+    :param message: one sentence for the client; names the invalid value.
+    :param retry_after_s: seconds after which a retry makes sense; ``None`` if
+        a retry of the same request can't succeed.
     """
 
     reason: RefusalReason
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The one file: one process, its version, where it unpacks itself."""
+"""The single-file build: its process, its version, where it unpacks."""
 
 import io
 import os
@@ -15,8 +15,8 @@
 from tools import build
 from tools import local
 
-#: Only the interpreter: with the tests' own environment in the path, a
-#: library that the file lacks would be found there.
+#: Only the interpreter. With the tests' environment on the path, a library
+#: missing from the file would be found there.
 PATH = f'{sys.base_prefix}/bin:/usr/bin:/bin'
 
 
@@ -38,7 +38,7 @@
         try:
             fields = stat.read_text().rpartition(')')[2].split()
         except OSError:
-            continue  # It has ended meanwhile.
+            continue  # The process has ended meanwhile.
         if int(fields[1]) == pid:
             found.append(int(stat.parent.name))
     return found
@@ -53,17 +53,17 @@
         cls.file = cls.folder / 'dandeliongw'
         build.build(cls.file)
 
-    def test_it_tells_the_version_of_the_package(self) -> None:
+    def test_it_shows_the_version_of_the_package(self) -> None:
         done = run_file(self.file, '--version', root=str(self.folder / 'u'))
         self.assertEqual(dandeliongw.__version__, done.stdout.strip())
 
     def test_a_running_instance_is_the_one_process_that_was_started(
         self,
     ) -> None:
-        """Symptom: ending the process leaves the instance running.
+        """The loader must not fork the program and wait for it.
 
-        Sequence: the built file is started; the supervisor signals its id.
-        Cause: a loader that forks the program and waits for it.
+        A supervisor that signals the started process would then leave the
+        instance running.
         """
         environment = {'PATH': PATH, 'SHIV_ROOT': str(self.folder / 'u')}
         with (
@@ -90,7 +90,7 @@
         self.folder = pathlib.Path(folder.name)
 
     def pack(self, word: str) -> pathlib.Path:
-        """Pack a stand-in for the package that prints a word."""
+        """Pack a fake of the package that prints a word."""
         site = self.folder / word / 'site'
         (site / 'dandeliongw').mkdir(parents=True)
         (site / 'dandeliongw' / '__init__.py').touch()
@@ -101,18 +101,18 @@
         build.pack(site, target)
         return target
 
-    def test_two_versions_of_one_name_keep_apart(self) -> None:
-        """Symptom: after an upgrade the old version runs on.
+    def test_two_versions_of_one_name_unpack_separately(self) -> None:
+        """Files of the same name but other contents use other folders.
 
-        Sequence: the old file runs, then the new one of the same name.
-        Cause: both unpack into one folder, and the first one stays.
+        If both unpacked into one folder, the first one would stay there, and
+        the old version would still run after an upgrade.
         """
         files = [self.pack('old'), self.pack('new')]
-        said = [
+        outputs = [
             run_file(each, root=str(self.folder / 'u')).stdout.strip()
             for each in (*files, files[0])
         ]
-        self.assertEqual(['old', 'new', 'old'], said)
+        self.assertEqual(['old', 'new', 'old'], outputs)
 
     def test_equal_sources_make_equal_files(self) -> None:
         file = self.pack('old')
@@ -121,10 +121,10 @@
         self.assertEqual(file.read_bytes(), again.read_bytes())
 
     def test_a_folder_that_cannot_be_written_is_named(self) -> None:
-        """Symptom: a traceback of a library at the start of an instance.
+        """The file unpacks itself below the home folder by default.
 
-        Sequence: an account without a home, or a read-only one, starts it.
-        Cause: the file unpacks itself below the home by default.
+        If a user without a home, or with a read-only one, starts an instance,
+        a message and not a library's traceback must appear.
         """
         file = self.pack('old')
         blocked = f'{file}/below-a-file'
@@ -135,10 +135,10 @@
         self.assertNotIn('Traceback', done.stderr)
 
     def test_another_python_than_that_of_the_build_is_refused(self) -> None:
-        """Symptom: an import error deep inside a library.
+        """Some libraries are compiled for one version of Python.
 
-        Sequence: the file is copied to an instance with a later Python.
-        Cause: some libraries are compiled for one version of Python.
+        On a machine with another version, the file must report it instead of
+        failing with an import error inside a library.
         """
         modules = {
             '_bootstrap': mock.Mock(),
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""What becomes of a datagram that can't be sent."""
+"""Datagrams that can't be sent are dropped and counted."""
 
 import collections
 import unittest
@@ -28,11 +28,11 @@
     def send(self, body=b'x'):
         return self.datagrams.send('gw-2', ADDRESS, 'Probe', body)
 
-    def test_a_full_link_fills_no_memory(self):
-        """Symptom: an instance grows until it is killed.
+    def test_a_congested_link_does_not_fill_memory(self):
+        """Datagrams are dropped while the send buffer is full.
 
-        Sequence: its link is full; it goes on to probe and to answer.
-        Cause: the event loop keeps all that the system doesn't take.
+        The event loop buffers everything that the kernel doesn't accept, so
+        an instance on a congested link would grow until it is killed.
         """
         waiting = datagrams.MAX_WAITING_BYTES + 1
         self.transport.get_write_buffer_size.return_value = waiting
@@ -42,21 +42,21 @@
             {envelopes.DropReason.QUEUE_FULL: 1}, dict(self.drops)
         )
 
-    def test_what_has_room_is_sent_at_once(self):
+    def test_a_datagram_is_sent_at_once(self):
         size = self.send()
         (sealed, address), _ = self.transport.sendto.call_args
         self.assertEqual((size, ADDRESS), (len(sealed), address))
 
-    def test_the_largest_is_measured_with_its_envelope(self):
+    def test_the_size_limit_includes_the_envelope(self):
         self.assertEqual(0, self.send(bytes(datagrams.MAX_BYTES - 1)))
         self.transport.sendto.assert_not_called()
 
-    def test_an_error_of_the_system_is_counted(self):
+    def test_an_error_of_the_operating_system_is_counted(self):
         self.datagrams.error_received(ConnectionRefusedError())
         self.assertEqual(
             {envelopes.DropReason.CONNECTION_LOST: 1}, dict(self.drops)
         )
 
-    def test_the_secret_is_not_that_of_the_streams(self):
+    def test_the_secret_differs_from_that_of_the_streams(self):
         self.assertNotEqual(b'secret', datagrams.derive_secret(b'secret'))
         self.assertIsNone(datagrams.derive_secret(None))
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -1,9 +1,9 @@
-"""What other writers say: refused by one declared error, and without effect.
+"""Malformed input is refused with the declared error and has no effect.
 
-Anything may arrive where backend servers, operators, callers and instances
-speak: fields that are missing or of another type, states that nobody named,
-numbers out of range, bytes that are no text. Each parser either returns or
-raises its declared error; what was known before stays.
+The interfaces for backend servers, operators, clients and instances may
+receive anything: fields that are missing or of another type, unknown states,
+numbers out of range, bytes that are not text. Each parser either returns or
+raises its declared error, and recorded state stays unchanged.
 """
 
 import json
@@ -37,7 +37,7 @@
 from adapter import wire
 
 DEEP = b'[' * 200_000
-#: Bytes that are no text, no JSON, or no JSON that anyone may take.
+#: Bytes that are not text, not JSON, or JSON that no parser may accept.
 BYTES = (
     b'',
     b'\xff\xfe\x00',
@@ -86,8 +86,8 @@
 
 
 @st.composite
-def spoilt(draw: st.DrawFn, message: dict[str, typing.Any]) -> bytes:
-    """Draw a message with one or two parts changed, left out or cut off."""
+def corrupted(draw: st.DrawFn, message: dict[str, typing.Any]) -> bytes:
+    """Draw a message with one or two parts changed, omitted or truncated."""
     made = message
     for _ in range(draw(st.integers(1, 2))):
         path = draw(st.sampled_from(paths_of(made) or [('more',)]))
@@ -100,7 +100,7 @@
 
 
 def bodies_of(message: dict[str, typing.Any]) -> st.SearchStrategy[bytes]:
-    return spoilt(message) | st.sampled_from(BYTES) | st.binary(max_size=40)
+    return corrupted(message) | st.sampled_from(BYTES) | st.binary(max_size=40)
 
 
 OWN_ANNOUNCEMENT = {
@@ -116,19 +116,19 @@
 
 
 def announce(body: bytes) -> None:
-    """Go all the way of a heartbeat, up to what other instances are sent."""
-    said = control.announcement('i-2', models.parse(wire.Beat, body))
-    pass_on(said)
+    """Process a heartbeat up to the message for the other instances."""
+    parsed = control.announcement('i-2', models.parse(wire.Beat, body))
+    pass_on(parsed)
 
 
 def announce_to_own_interface(body: bytes) -> None:
     pass_on(models.parse(backends.Announcement, body))
 
 
-def pass_on(said: backends.Announcement) -> None:
+def pass_on(parsed: backends.Announcement) -> None:
     fields = {
-        **said.model_dump(),
-        'role': presence.BackendRole(said.role),
+        **parsed.model_dump(),
+        'role': presence.BackendRole(parsed.role),
     }
     message = presence.Presented(
         announcement=presence.BackendAnnouncement(**fields), age_s=0.0
@@ -197,7 +197,7 @@
             except codec.CodecError:
                 continue
 
-    def test_what_callers_say_in_headers(self):
+    def test_headers_of_clients(self):
         @hypothesis.settings(
             max_examples=300, deadline=None, derandomize=True, database=None
         )
@@ -217,12 +217,12 @@
         check()
 
 
-class NothingForgottenTest(unittest.TestCase):
-    """Symptom: a working backend server gets no work any more.
+class RefusedHeartbeatTest(unittest.TestCase):
+    """A malformed heartbeat must not change the recorded announcement.
 
-    Sequence: another writer sends a heartbeat under its id, or under its
-    address, with a field missing or of another type.
-    Cause: what was refused only in part had already replaced what was known.
+    If another program sends one with the id or address of a working backend
+    server, and it replaced part of the record before it is refused, that
+    server would get no work any more.
     """
 
     @params(
@@ -244,7 +244,7 @@
         {'zone': None},
         {'state': None},
     )
-    def test_a_spoilt_heartbeat_is_refused_whole(self, change):
+    def test_a_malformed_heartbeat_is_refused_entirely(self, change):
         ((name, value),) = change.items()
         beat = {**on_platform.BEAT, 'sequence': 9}
         body = json.dumps({**beat, name: value}).encode()
@@ -263,10 +263,10 @@
 
 class WrongRoleTest(unittest.TestCase):
     def test_a_role_without_a_pool_is_refused(self):
-        """Symptom: an engine leaves its pool though it serves.
+        """A heartbeat without a stage must not remove an engine from its pool.
 
-        Sequence: a heartbeat under its id lacks the stage.
-        Cause: what has none would count as a plain backend server.
+        Without a check, it would register the serving engine as a plain
+        backend server.
         """
         described = configuration.translate(
             configuration.parse(
@@ -281,19 +281,19 @@
             reducer=types.SimpleNamespace(directory=directory), runtime=None
         )
         beat = on_platform.changed(on_platform.BEAT, ['stage'], None)
-        said = control.announcement(
+        parsed = control.announcement(
             'i-1', models.parse(wire.Beat, json.dumps(beat).encode())
         )
         with self.assertRaises(exceptions.InvalidInput) as caught:
-            desk.announce(said)
+            desk.announce(parsed)
         self.assertIn('decode, prefill', str(caught.exception.problems[0]))
 
 
 def presented(beat: dict[str, typing.Any]) -> presence.Presented:
-    said = control.announcement(
+    parsed = control.announcement(
         'i-1', models.parse(wire.Beat, json.dumps(beat).encode())
     )
-    fields = {**said.model_dump(), 'role': presence.BackendRole(said.role)}
+    fields = {**parsed.model_dump(), 'role': presence.BackendRole(parsed.role)}
     return presence.Presented(
         announcement=presence.BackendAnnouncement(**fields), age_s=0.0
     )
--- a/tests/test_heap.py
+++ b/tests/test_heap.py
@@ -1,4 +1,4 @@
-"""What a process holds from its start on is not collected again."""
+"""Objects created at the start of a process are not collected again."""
 
 import gc
 import unittest
@@ -11,15 +11,14 @@
         self.addCleanup(gc.enable)
         self.addCleanup(gc.unfreeze)
 
-    def test_a_start_is_not_held_up_by_collections(self):
+    def test_no_collections_during_the_start(self):
         heap.pause()
         self.assertFalse(gc.isenabled())
 
-    def test_a_process_that_serves_collects_only_what_is_new(self):
-        """Symptom: now and then an instance answers nothing for 50 ms.
+    def test_a_serving_process_collects_only_new_objects(self):
+        """A full collection skips the objects that imports have created.
 
-        Sequence: enough new objects live for a full collection to be due.
-        Cause: it goes through all that imports have left.
+        Scanning them too would block an instance for 50 ms now and then.
         """
         heap.pause()
         held = [[] for _ in range(1_000)]
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -1,4 +1,4 @@
-"""A local system tells at once that a process ended, and meets lost ports."""
+"""A local system reports ended processes at once and retries lost ports."""
 
 import pathlib
 import shutil
@@ -11,7 +11,7 @@
 
 from tools import local
 
-#: A program that ends with the code that is put in.
+#: A program that exits with the code that is formatted in.
 ENDING = 'import sys; print("no luck today"); sys.exit({})'
 
 
@@ -24,7 +24,7 @@
         self.addCleanup(shutil.rmtree, self.folder)
 
     def run_ending(self, code):
-        """Return the error of a system whose instances end by themselves."""
+        """Return the error of a system whose instances exit with a code."""
         command = (sys.executable, '-c', ENDING.format(code))
         running = local.running(
             folder=self.folder, instances=1, command=command
@@ -36,11 +36,11 @@
     def starts(self):
         return (self.folder / 'gw-1.log').read_text().count('no luck')
 
-    def test_an_instance_that_ended_is_told_with_its_log(self):
-        """Symptom: a test waits its whole patience, then says "in vain".
+    def test_an_instance_that_ended_is_reported_with_its_log(self):
+        """The wait for an instance checks its process, not only its port.
 
-        Sequence: an instance ends while it starts.
-        Cause: the wait asks the port only, never the process.
+        Otherwise a test whose instance ends during its start would wait for
+        the whole time-out and then show no cause.
         """
         error = self.run_ending(3)
         self.assertEqual(3, error.code)
@@ -48,11 +48,11 @@
             self.assertIn(part, str(error))
         self.assertEqual(1, self.starts())
 
-    def test_any_instance_that_ended_is_told(self):
-        """Symptom: as above.
+    def test_any_instance_that_ended_is_reported(self):
+        """The wait for one instance checks the processes of all.
 
-        Sequence: the last instance ends; the first waits for its vote.
-        Cause: one process is looked at after another.
+        If the last instance ends, the first one waits for its vote until the
+        time-out.
         """
         system = local.LocalSystem(folder=self.folder, instances=3)
         self.addCleanup(system.discard)
@@ -65,16 +65,15 @@
             system.wait_serving()
         self.assertEqual(4, raised.exception.code)
 
-    def test_lost_ports_are_met_a_few_times_only(self):
+    def test_lost_ports_are_retried_a_few_times_only(self):
         self.assertEqual(6, self.run_ending(6).code)
         self.assertEqual(local.MOST_STARTS, self.starts())
 
-    def test_a_lost_port_is_met_by_new_ones(self):
-        """Symptom: a run fails now and then, on any test.
+    def test_a_lost_port_is_replaced_by_new_ones(self):
+        """A free port can't be reserved for a process that starts later.
 
-        Sequence: a port is found free; another process takes it; the
-        instance that was to have it ends with exit code 6.
-        Cause: a port can't be kept for a process that starts later.
+        If another process takes it meanwhile, the instance ends with exit
+        code 6. Without a retry, any test would fail now and then.
         """
         taken = self.enterContext(socket.create_server((local.HOST, 0)))
         lost = taken.getsockname()[1]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Messages between instances: what arrives, what is dropped and counted."""
+"""Messages between instances: delivery, drops, faults and their counts."""
 
 import asyncio
 from collections import abc
@@ -18,12 +18,12 @@
 from tests import relay
 
 SECRET = b'shared by all instances'
-#: Seconds after which a condition that must come true counts as failed.
+#: Seconds after which an awaited condition counts as failed.
 LIMIT_S = 30.0
 
 
 class Received(msgspec.Struct, frozen=True, kw_only=True):
-    """Any message will do; this one is in the envelope's own protocol."""
+    """A small message; any will do, this one has a protobuf class."""
 
     count: int
 
@@ -35,7 +35,7 @@
 
 
 class Node:
-    """One end, with what it was given."""
+    """One instance, with the messages and faults that it received."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
 
 
 class DeliveryTest(unittest.IsolatedAsyncioTestCase):
-    async def test_messages_arrive_in_order_both_ways_and_to_oneself(self):
+    async def test_messages_arrive_in_order_both_ways_and_locally(self):
         async with running_pair() as (one, two):
             for count in range(3):
                 one.peers.send('gw-2', Received(count=count))
@@ -126,11 +126,10 @@
             self.assertEqual(2, one.peers.counters.connects)
 
     async def test_a_restarted_peer_is_reached_again(self):
-        """The sender must not stay with the connection to a stopped peer.
+        """The sender must not keep the connection to a stopped peer.
 
-        Symptom: after a restart of gw-2, gw-1's messages go nowhere.
-        Sequence: connect; gw-2 stops and starts on the same port.
-        Cause: a broken stream noticed only by writing, or a stop that leaves
+        After gw-2 restarts on the same port, gw-1's messages would be lost if
+        a broken stream were detected only by writing, or if a stop left
         connections open and unread.
         """
         addresses: dict[str, tuple[str, int]] = {}
@@ -145,13 +144,13 @@
                 a.peers.send('gw-2', Received(count=2))
                 self.assertEqual(('gw-1', 2), await two.next())
 
-    async def test_a_peer_that_is_heard_again_is_reached_at_once(self):
-        """Symptom: after a loss of all voters, single entries keep an old
-        configuration for seconds longer than the others.
+    async def test_a_message_from_a_peer_ends_the_backoff(self):
+        """A message from a peer ends the backoff before the next connect.
 
-        Sequence: the voters are away, tries to connect fail, the pause
-        between them grows; a voter is back and speaks.
-        Cause: the pause goes on, whatever is heard.
+        During an outage of all voters, attempts to connect fail and the
+        backoff grows. If it continued after a voter has sent a message,
+        single entries would keep an old configuration for seconds longer
+        than others.
         """
         limits = peers.Limits(
             min_backoff_s=100 * LIMIT_S,
@@ -172,11 +171,11 @@
                 self.assertEqual(('gw-2', 2), await one.next())
                 self.assertEqual(('gw-1', 1), await two.next())
 
-    async def test_a_wrong_address_does_not_end_the_tries(self):
-        """Symptom: a peer stays unreached after its address was mended.
+    async def test_a_wrong_address_does_not_end_the_attempts(self):
+        """A connect may fail with an error that is not a network error.
 
-        Sequence: a connect fails by an error that is not of the network.
-        Cause: the task that connects ends by that error, unseen.
+        If it ended the task that connects, the peer would stay unreachable
+        after its address was corrected.
         """
         async with running_pair() as (one, two):
             address = one.peers.addresses_by_id['gw-2']
@@ -209,10 +208,11 @@
 
 
 class DatagramTest(unittest.IsolatedAsyncioTestCase):
-    """Symptom: each of 200 instances holds connections to all others.
+    """Probes go as datagrams, so that they need no connections.
 
-    Sequence: each probes the others in turn, once a second.
-    Cause: the first message to a peer opens a connection, which stays.
+    Each of 200 instances probes the others in turn, once a second. Over
+    streams, the first probe of a peer would open a connection that stays, and
+    each instance would hold connections to all others.
     """
 
     async def test_a_datagram_opens_no_connection(self):
@@ -226,11 +226,11 @@
                 two.peers.counters.received_bytes,
             )
 
-    async def test_datagrams_and_streams_do_not_outrun_each_other(self):
-        """Symptom: messages are dropped as replayed.
+    async def test_datagrams_and_streams_have_separate_counters(self):
+        """A datagram may overtake a stream message that was sent before it.
 
-        Sequence: one that was sent later, as a datagram, comes first.
-        Cause: one counter for both.
+        With one counter for both, the stream message would be dropped as
+        replayed.
         """
         async with running_pair() as (one, two):
             one.peers.send('gw-2', Received(count=1))
@@ -238,7 +238,7 @@
             got = {await two.next(), await two.next()}
             self.assertEqual({('gw-1', 1), ('gw-1', 2)}, got)
 
-    async def test_what_is_large_goes_over_a_stream(self):
+    async def test_a_large_message_goes_over_a_stream(self):
         async with running_pair() as (one, two):
             large = Envelope(body=bytes(datagrams.MAX_BYTES))
             one.peers.send('gw-2', large, by_datagram=True)
@@ -247,11 +247,11 @@
             self.assertEqual(2, two.peers.counters.received)
             self.assertEqual(1, one.peers.counters.connects)
 
-    async def test_a_name_is_not_looked_up_on_the_loop(self):
-        """Symptom: an instance stands still while a name server is slow.
+    async def test_a_host_name_is_not_resolved_on_the_event_loop(self):
+        """A message to a host name is not sent as a datagram.
 
-        Sequence: a member is probed whose address is a name.
-        Cause: a datagram to a name is looked up by who sends it.
+        Sending a datagram would resolve the name synchronously, and a slow
+        name server would block the instance.
         """
         async with running_pair() as (one, two):
             port = one.peers.addresses_by_id['gw-2'][1]
@@ -260,7 +260,7 @@
             self.assertEqual(('gw-1', 1), await two.next())
             self.assertEqual(1, one.peers.counters.connects)
 
-    async def test_strangers_are_not_heard(self):
+    async def test_unauthenticated_datagrams_are_dropped(self):
         async with running_pair() as (one, two):
             address = one.peers.addresses_by_id['gw-2']
             stream_envelope = seal().SerializeToString()
@@ -290,8 +290,8 @@
             await one.fault('Received of 7 bytes is over the limit of 2')
             self.assertEqual(1, one.drops(envelopes.DropReason.TOO_LARGE))
 
-    async def test_what_can_not_be_sent_is_dropped_by_reason(self):
-        """One silent peer must not hold memory or the event loop."""
+    async def test_unsendable_messages_are_counted_by_reason(self):
+        """One unresponsive peer must not fill memory or block the loop."""
         limits = peers.Limits(max_queued=2)
         node = Node(
             instance_id='gw-1',
@@ -313,7 +313,7 @@
 def seal(
     *, incarnation: int = 5, secret: bytes | None = SECRET, times: int = 1
 ) -> envelope_pb2.Envelope:
-    """Return the envelope that is sealed after ``times`` tries."""
+    """Return the envelope sealed last of ``times``, so with that counter."""
     sealer = envelopes.Sealer(
         sender='gw-1', incarnation=incarnation, secret=secret
     )
@@ -330,11 +330,10 @@
 
 
 class EnvelopeTest(unittest.TestCase):
-    """Symptom: a message of an earlier process or a stranger takes effect.
+    """Forged, modified, misdirected, replayed and outdated envelopes drop.
 
-    Sequence: an envelope is changed, sent to another, played again, or
-    arrives after its sender's restart.
-    Cause: TCP says nothing of who sent a byte, nor when it was sent.
+    An envelope may also arrive after its sender's restart. TCP authenticates
+    neither the sender of a byte nor when it was sent.
     """
 
     @params(
@@ -361,7 +360,7 @@
 async def relayed(
     limits: peers.Limits = peers.Limits(),
 ) -> abc.AsyncIterator[tuple[Node, Node, relay.Relay]]:
-    """Two ends; gw-1 reaches gw-2 through the relay."""
+    """Run two instances; gw-1 connects to gw-2 through a relay."""
     two = {'instance_id': 'gw-2', 'addresses_by_id': {}}
     async with running(**two) as far:
         between = relay.Relay(host='127.0.0.1', port=far.peers.port)
@@ -375,14 +374,14 @@
 
 
 class SilentConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """Symptom: messages to one peer vanish for good; its process is well.
+    """A connection that loses all data must be detected and replaced.
 
-    Sequence: a connection works; something between the ends loses track of
-    it; both ends keep it open.
-    Cause: TCP reports nothing while bytes are merely unanswered.
+    A middlebox between the ends can lose the state of a connection while both
+    ends keep it open. TCP reports no error while bytes are merely
+    unacknowledged, so messages to a healthy peer would be lost for good.
     """
 
-    # Not by nose2's parameters: it does not await a coroutine.
+    # Without nose2's ``params``, which does not await coroutines.
     async def test_a_reconnect_gets_through_after_a_cut_there(self):
         await self._recover(relay.Way.THERE)
 
@@ -407,8 +406,8 @@
                     pass
             self.assertEqual(2, one.peers.counters.connects)
 
-    async def test_without_a_reconnect_nothing_is_heard(self):
-        """The relay does bring about what the test above recovers from."""
+    async def test_without_a_reconnect_nothing_arrives(self):
+        """The relay causes the fault that the tests above recover from."""
         async with relayed() as (one, two, between):
             between.blackhole()
             silent = between.connections[0]
@@ -418,11 +417,11 @@
             self.assertEqual({}, dict(one.peers.counters.faults_by_reason))
 
     async def test_pings_find_a_silent_connection(self):
-        """Symptom: bookings of one entry go unanswered for minutes.
+        """Pings check the connection itself, which probes do not use.
 
-        Sequence: its connection to the owner goes silent; members are well,
-        as they are probed in other ways.
-        Cause: nobody asks the connection itself.
+        Otherwise, if an entry's connection to an owner loses all data, its
+        bookings would go unanswered for minutes while all members are
+        healthy.
         """
         limits = peers.Limits(ping_s=0.05, ping_answer_s=0.05)
         async with relayed(limits=limits) as (one, two, between):
@@ -442,12 +441,11 @@
             await two.next()
             self.assertEqual(1, one.peers.counters.connects)
 
-    async def test_a_peer_that_accepts_and_says_nothing_is_a_fault(self):
-        """A frozen process accepts connections: its kernel does it.
+    async def test_a_peer_that_accepts_but_never_answers_is_a_fault(self):
+        """The kernel accepts connections on behalf of a frozen process.
 
-        Symptom: messages wait for a peer that never answers.
-        Sequence: connect to a listening socket that nobody serves.
-        Cause: an accepted connection proves nothing of the process.
+        So an accepted connection doesn't prove that the process runs, and
+        messages would wait for a peer that never answers.
         """
         async with relayed() as (one, _, between):
             between.cut_all(relay.Way.BACK)
@@ -458,11 +456,11 @@
             await one.fault('connect_failed')
 
     async def test_a_peer_that_stops_reading_is_a_fault(self):
-        """Symptom: messages to one peer expire for minutes.
+        """A write that blocks for too long ends the connection.
 
-        Sequence: the peer freezes; what it had allowed to be sent is used
-        up, and the next write waits.
-        Cause: a write without a limit of time.
+        If a peer freezes, the flow-control window fills up and the next write
+        blocks. Without a time-out, messages to the peer would expire for
+        minutes.
         """
         async with relayed() as (one, _, between):
             one.peers.limits = peers.Limits(
