--- a/dandeliongw/_link.py
+++ b/dandeliongw/_link.py
@@ -197,7 +197,7 @@
         while True:
             await self._wake.wait()
             self._reconnect.clear()
-            fault = await self._carry_until_reconnect()
+            fault = await self._connect_until_reconnect()
             if fault is None:
                 continue
             self._peers.counters.faults_by_reason[fault] += 1
@@ -207,22 +207,22 @@
             if fault is not FaultReason.RECONNECT_ASKED:
                 await self._back_off()
 
-    async def _carry_until_reconnect(self) -> FaultReason | None:
-        carry = asyncio.ensure_future(self._carry())
-        asked = asyncio.ensure_future(self._reconnect.wait())
+    async def _connect_until_reconnect(self) -> FaultReason | None:
+        connection = asyncio.ensure_future(self._connect_and_send())
+        requested = asyncio.ensure_future(self._reconnect.wait())
         try:
             await asyncio.wait(
-                {carry, asked}, return_when=asyncio.FIRST_COMPLETED
+                {connection, requested}, return_when=asyncio.FIRST_COMPLETED
             )
-            if carry.done():
-                return carry.result()
+            if connection.done():
+                return connection.result()
             return FaultReason.RECONNECT_ASKED
         finally:
-            asked.cancel()
-            carry.cancel()
-            await asyncio.gather(carry, asked, return_exceptions=True)
+            requested.cancel()
+            connection.cancel()
+            await asyncio.gather(connection, requested, return_exceptions=True)
 
-    async def _carry(self) -> FaultReason | None:
+    async def _connect_and_send(self) -> FaultReason | None:
         """Connect and send; return why it ended, ``None`` when idle."""
         address = self._peers.addresses_by_id.get(self._to)
         if address is None:
--- a/dandeliongw/envelopes.py
+++ b/dandeliongw/envelopes.py
@@ -13,7 +13,7 @@
 An opener keeps no state over a restart: after the *recipient's* restart, the
 first envelope of each sender is accepted with any counter. Components must
 therefore still tolerate a duplicate message, as
-:class:`~.coordination.parts.Send` says.
+:class:`~.coordination.parts.Send` requires.
 """
 
 import collections
