--- a/dandeliongw/metrics.py
+++ b/dandeliongw/metrics.py
@@ -151,19 +151,19 @@
 
     def _make_counters(self) -> None:
         self.answers = self._counter(
-            'answers', 'Answers to clients.', 'verdict'
+            'answers', 'Answers to callers.', 'verdict'
         )
         self.refusals = self._counter(
             'refusals',
-            'Requests that were answered with an error.',
+            'Requests that got an error instead of a result.',
             'reason',
         )
         self.retries = self._counter(
-            'retries', 'Retries: attempts after the first.', 'reason'
+            'retries', 'Attempts after the first.', 'reason'
         )
         self.wasted_prefill = self._counter(
             'wasted_prefill_tokens',
-            'Prompt tokens whose prefill was discarded or repeated.',
+            'Prompt tokens whose prefill was thrown away or done again.',
             'reason',
         )
         self.prefill = self._counter(
@@ -178,7 +178,7 @@
         )
         self.late_answers = self._counter(
             'late_answers',
-            'Replies that arrived after their attempt had ended; dropped.',
+            'Replies for attempts that were over, dropped.',
             'what',
         )
         _start_at_zero(self.late_answers, effects.Late)
@@ -196,56 +196,55 @@
         )
         self.peer_faults = self._watched(
             'peer_faults',
-            'Connections to other instances that failed.',
+            'Connections to other instances that ended badly.',
             'reason',
             list(peers.FaultReason),
         )
         self.lease_answers = self._watched(
             'lease_answers',
-            'Answers of this voter to requests for leases.',
+            'Answers of this voter to claims of leases.',
             'outcome',
             [each.name.lower() for each in lease_messages.LeaseOutcome],
         )
         self.orders_held_back = self._watched(
             'orders_held_back',
-            'Times that a due order was held back; one order may count '
-            'repeatedly.',
+            'Times that an order was due and not given; one may count often.',
             'reason',
             list(orders.HoldReason),
         )
         self.backend_ends = self._watched(
             'backend_ends',
-            'Backend servers that ended during a call, seen by this entry.',
+            'Ends of backend servers under calls, as seen by this entry.',
             None,
             [UNLABELLED],
         )
         self.order_repeats = self._watched(
             'order_repeats',
-            'Orders sent again after a lost or failed answer.',
+            'Orders sent again, as the answer was lost or a failure.',
             None,
             [UNLABELLED],
         )
 
         self.log_lines_left_out = self._watched(
             'log_lines_left_out',
-            'Log lines dropped by the rate limit or a full queue.',
+            'Log lines that were left out, as they were too many.',
             None,
             [UNLABELLED],
         )
 
     def _make_gauges(self) -> None:
         self.configuration_revision = self._gauge(
-            'configuration_revision', 'Revision in force on this instance.'
+            'configuration_revision', 'The revision that is in force here.'
         )
         self.configuration_age = self._gauge(
             'configuration_age_seconds',
-            'Time since a majority of the voters confirmed that revision.',
+            'Time since a majority confirmed that revision.',
         )
         self.members = self._gauge(
-            'members', 'Instances known to this one, itself included.'
+            'members', 'Instances that are heard of, this one included.'
         )
         self.voters = self._watched_gauge(
-            'voters', 'Voters in the set confirmed on this instance.', None
+            'voters', 'Voters of the set that is confirmed here.', None
         )
         self.lease_epoch = self._watched_gauge(
             'lease_epoch',
@@ -254,25 +253,25 @@
         )
         self.quarantined = self._watched_gauge(
             'quarantined_calls',
-            'Calls in quarantine because they end backend servers.',
+            'Calls that are held back, as they end backend servers.',
             None,
         )
         self.retry_budget = self._watched_gauge(
             'retry_budget',
-            'Retries left in the budget of this instance.',
+            'Attempts after the first that may still be made here.',
             'service',
         )
         self.backends = self._gauge(
-            'backends', 'Backend servers that can be assigned work.', 'pool'
+            'backends', 'Backend servers that may get work.', 'pool'
         )
         self.slots = self._gauge(
-            'slots', 'Slots in the cells that this instance owns.', 'pool'
+            'slots', 'Slots of the cells that this instance owns.', 'pool'
         )
         self.slots_used = self._gauge(
-            'slots_used', 'Slots in these cells, booked or busy.', 'pool'
+            'slots_used', 'Of these, booked or busy.', 'pool'
         )
         self.queue = self._gauge(
-            'queue', 'Requests queued for a slot in these cells.', 'pool'
+            'queue', 'Requests that wait for a slot of these cells.', 'pool'
         )
 
     def _make_histograms(self) -> None:
@@ -283,13 +282,13 @@
         )
         self.token_gap = self._histogram(
             'token_gap_seconds',
-            'Time between tokens sent to a client.',
+            'Time between tokens sent to a caller.',
             TOKEN_GAP_BUCKETS,
         )
         self.parts = self._histogram(
             'part_seconds',
-            'Duration of the stages of a request: booking, queue, prefill, '
-            'transfer, decode, call.',
+            "Parts of a request's way: booking, queue, prefill, transfer, "
+            'decode, call.',
             PART_BUCKETS,
             'part',
         )
