--- a/dandeliongw/entry/refusals.py
+++ b/dandeliongw/entry/refusals.py
@@ -95,7 +95,7 @@
 def log_shutdown_abort(request: request_module.Request) -> effects.Log:
     """Return the log line of a request that a shutdown aborts."""
     return effects.Log(
-        message=f'shutdown grace period is over; aborting a request in phase '
+        message=f'the shutdown cuts off a request in phase '
         f'{request.phase.value}',
         fields=(
             ('request_id', request.request_id),
