--- a/dandeliongw/_lines.py
+++ b/dandeliongw/_log_writer.py
@@ -16,10 +16,10 @@
 
 #: Lines that may be queued for the stream. At about 300 bytes each they take
 #: 600 KB, which the smallest machine can spare.
-MOST_WAITING = 2000
+MAX_QUEUED_LINES = 2000
 #: Rate limit for lines of one kind, per second. A busy entry writes about
 #: five lines for each of its 20 requests a second.
-MOST_A_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 #: Seconds after which the counts of the rate limit are reset.
 BUDGET_S = 1.0
 #: Seconds that ``stop`` waits for the queue to take its end mark, and again
@@ -45,15 +45,13 @@
         self._stream = stream
         self._common = dict(common)
         self._clock = clock
-        self._queue: queue.Queue[str | None] = queue.Queue(MOST_WAITING)
+        self._queue: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._lock = threading.Lock()
         self._ends_at = 0.0
         self._counts_by_kind: collections.Counter[str] = collections.Counter()
-        self._left_out_by_kind: collections.Counter[str] = (
-            collections.Counter()
-        )
+        self._dropped_by_kind: collections.Counter[str] = collections.Counter()
         #: Number of all lines dropped, for the metrics.
-        self.left_out = 0
+        self.dropped = 0
         self._thread = threading.Thread(
             target=self._run, name='log', daemon=True
         )
@@ -75,10 +73,10 @@
         with self._lock:
             report = self._end_second()
             self._counts_by_kind[kind] += 1
-            fits = self._counts_by_kind[kind] <= MOST_A_SECOND
+            fits = self._counts_by_kind[kind] <= MAX_LINES_PER_SECOND
             if not (fits and self._offer(line)):
-                self._left_out_by_kind[kind] += 1
-                self.left_out += 1
+                self._dropped_by_kind[kind] += 1
+                self.dropped += 1
             if report is not None:
                 self._offer(report)
 
@@ -96,15 +94,15 @@
             return None
         self._ends_at = now + BUDGET_S
         self._counts_by_kind.clear()
-        if not self._left_out_by_kind:
+        if not self._dropped_by_kind:
             return None
         fields = {
             'level': 'WARNING',
             'message': 'log lines left out',
             **self._common,
-            'counts': dict(self._left_out_by_kind),
+            'counts': dict(self._dropped_by_kind),
         }
-        self._left_out_by_kind.clear()
+        self._dropped_by_kind.clear()
         return json.dumps(fields)
 
     def _run(self) -> None:
@@ -116,7 +114,7 @@
             except (OSError, ValueError):
                 # The stream is closed or broken; there is no other output.
                 with self._lock:
-                    self.left_out += 1
+                    self.dropped += 1
 
 
 @contextlib.contextmanager
--- a/dandeliongw/heap.py
+++ b/dandeliongw/gc_control.py
@@ -9,7 +9,7 @@
 import gc
 
 
-def pause() -> None:
+def disable_gc() -> None:
     """Disable the garbage collector while the process starts.
 
     Call it before the imports: they take 0.37 s of processor time with it,
@@ -18,7 +18,7 @@
     gc.disable()
 
 
-def settle() -> None:
+def freeze_and_enable_gc() -> None:
     """Exclude all current objects from collections, and enable them again."""
     gc.freeze()
     gc.enable()
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -17,7 +17,7 @@
 from . import desks
 from . import events
 from . import exceptions
-from . import heap
+from . import gc_control
 from . import hosts
 from . import http_backends
 from . import joining
@@ -78,7 +78,7 @@
         """
         if self._metrics is not None:
             self._metrics.log_lines_left_out.watch(
-                lambda: {metrics_module.UNLABELLED: lines.left_out}
+                lambda: {metrics_module.UNLABELLED: lines.dropped}
             )
 
     def reload(self) -> None:
@@ -216,7 +216,7 @@
         _logged(settings, lines),
         opened(settings, adapter) as server,
     ):
-        heap.settle()
+        gc_control.freeze_and_enable_gc()
         server.watch_lines(lines)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: server.begin_shutdown())
--- a/tests/test_heap.py
+++ b/tests/test_gc_control.py
@@ -3,16 +3,16 @@
 import gc
 import unittest
 
-from dandeliongw import heap
+from dandeliongw import gc_control
 
 
-class HeapTest(unittest.TestCase):
+class GcControlTest(unittest.TestCase):
     def setUp(self):
         self.addCleanup(gc.enable)
         self.addCleanup(gc.unfreeze)
 
     def test_no_collections_during_the_start(self):
-        heap.pause()
+        gc_control.disable_gc()
         self.assertFalse(gc.isenabled())
 
     def test_a_serving_process_collects_only_new_objects(self):
@@ -20,9 +20,9 @@
 
         Scanning them too would block an instance for 50 ms now and then.
         """
-        heap.pause()
+        gc_control.disable_gc()
         held = [[] for _ in range(1_000)]
-        heap.settle()
+        gc_control.freeze_and_enable_gc()
         self.assertTrue(gc.isenabled())
         self.assertGreaterEqual(gc.get_freeze_count(), len(held))
         self.assertLess(len(gc.get_objects()), len(held))
--- a/tests/test_lines.py
+++ b/tests/test_log_writer.py
@@ -5,7 +5,7 @@
 import threading
 import unittest
 
-from dandeliongw import _lines
+from dandeliongw import _log_writer
 
 TIMEOUT_S = 20
 
@@ -27,7 +27,7 @@
         self.now = 0.0
 
     def make(self, stream):
-        return _lines.LineWriter(
+        return _log_writer.LineWriter(
             stream=stream, common={'instance': 'gw-1'}, clock=lambda: self.now
         )
 
@@ -47,24 +47,30 @@
         writer.start()
         writer.stop()
         lines = stream.getvalue().splitlines()
-        self.assertEqual(len(lines), _lines.MOST_A_SECOND + 3)
+        self.assertEqual(len(lines), _log_writer.MAX_LINES_PER_SECOND + 3)
         self.assertIn('the cause', lines)
         counts = json.loads(lines[-1])['counts']
-        self.assertEqual(counts, {'flood': 1000 - _lines.MOST_A_SECOND})
-        self.assertEqual(writer.left_out, 1000 - _lines.MOST_A_SECOND)
+        self.assertEqual(
+            counts, {'flood': 1000 - _log_writer.MAX_LINES_PER_SECOND}
+        )
+        self.assertEqual(
+            writer.dropped, 1000 - _log_writer.MAX_LINES_PER_SECOND
+        )
 
     def test_a_blocked_stream_does_not_block_logging(self):
         """An instance must keep working while its log's reader is stuck."""
         stream = BlockedStream()
         writer = self.make(stream)
         writer.start()
-        for number in range(2 * _lines.MOST_WAITING):
+        for number in range(2 * _log_writer.MAX_QUEUED_LINES):
             writer.put(f'kind {number % 50}', 'line')
-        self.assertGreater(writer.left_out, 0)
+        self.assertGreater(writer.dropped, 0)
         stream.freed.set()
         writer.stop()
         written = len(stream.getvalue().splitlines())
-        self.assertEqual(written + writer.left_out, 2 * _lines.MOST_WAITING)
+        self.assertEqual(
+            written + writer.dropped, 2 * _log_writer.MAX_QUEUED_LINES
+        )
 
     def test_lines_for_a_closed_stream_are_counted(self):
         stream = io.StringIO()
@@ -73,4 +79,4 @@
         writer.start()
         writer.put('kind', 'line')
         writer.stop()
-        self.assertEqual(writer.left_out, 1)
+        self.assertEqual(writer.dropped, 1)
