--- a/dandeliongw/borders/drafts.py
+++ b/dandeliongw/borders/drafts.py
@@ -117,13 +117,13 @@
             if draft is None:
                 return ()
             rebased = self._start_draft(current)
-            merged = differences.carry_over(
+            merged = differences.merge(
                 base=draft.base_tree, mine=draft.tree, theirs=rebased.tree
             )
             self._drafts_by_operator[operator] = msgspec.structs.replace(
                 rebased, tree=merged.tree
             )
-            return merged.left_out
+            return merged.conflicts
 
     def discard(self, operator: str, change_id: str | None = None) -> None:
         """Delete the draft.
--- a/dandeliongw/differences.py
+++ b/dandeliongw/differences.py
@@ -38,16 +38,16 @@
     fields: dict[str, tuple[typing.Any, typing.Any]]
 
 
-class CarriedOver(msgspec.Struct, frozen=True, kw_only=True):
-    """The outcome of :func:`carry_over`.
+class MergeResult(msgspec.Struct, frozen=True, kw_only=True):
+    """The outcome of :func:`merge`.
 
     :param tree: the document with the changes that could be applied.
-    :param left_out: conflicting changes, not applied: the other side changed
+    :param conflicts: conflicting changes, not applied: the other side changed
         the same items in another way.
     """
 
     tree: Tree
-    left_out: tuple[Difference, ...]
+    conflicts: tuple[Difference, ...]
 
 
 def key_of(section: str, item: Item) -> str:
@@ -80,11 +80,11 @@
     return found
 
 
-def carry_over(*, base: Tree, mine: Tree, theirs: Tree) -> CarriedOver:
+def merge(*, base: Tree, mine: Tree, theirs: Tree) -> MergeResult:
     """Apply the operator's changes to a document changed meanwhile by others.
 
     A three-way merge. An item that both sides changed in different ways keeps
-    the others' version and is reported in ``left_out``: overwriting it
+    the others' version and is reported in ``conflicts``: overwriting it
     could undo a change that was just accepted.
 
     :param base: the document that both sides started from.
@@ -93,15 +93,15 @@
     """
     taken = {(each.section, each.key) for each in find(base, theirs)}
     tree = dict(theirs)
-    left_out = []
+    conflicts = []
     for change in find(base, mine):
         wanted = items_by_key(mine, change.section).get(change.key)
         found = items_by_key(theirs, change.section).get(change.key)
         if (change.section, change.key) not in taken:
             tree = replace(tree, change.section, change.key, wanted)
         elif wanted != found:
-            left_out.append(change)
-    return CarriedOver(tree=tree, left_out=tuple(left_out))
+            conflicts.append(change)
+    return MergeResult(tree=tree, conflicts=tuple(conflicts))
 
 
 def replace(tree: Tree, section: str, key: str, item: Item | None) -> Tree:
--- a/dandeliongw/exceptions.py
+++ b/dandeliongw/exceptions.py
@@ -133,13 +133,13 @@
         super().__init__(message=f'data folder {path!r}: {reason}')
 
 
-class InstanceBroken(DandeliongwError):
+class InstanceFailed(DandeliongwError):
     """A running instance must stop: its disk failed, or its id is in use."""
 
     exit_code = ExitCode.UNAVAILABLE
 
 
-class ShutdownCutOff(DandeliongwError):
+class ShutdownTimedOut(DandeliongwError):
     """A graceful shutdown timed out.
 
     :param requests: how many requests were aborted; they are logged.
--- a/dandeliongw/metrics.py
+++ b/dandeliongw/metrics.py
@@ -25,7 +25,7 @@
 prometheus_client.disable_created_metrics()
 
 NAMESPACE = 'dandeliongw'
-#: The key of a watched counter's only value if it has no label.
+#: The key of a callback counter's only value if it has no label.
 UNLABELLED = ''
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
 
@@ -53,7 +53,7 @@
     MISSED = 'missed'
 
 
-class WatchedGauge(registry_module.Collector):
+class CallbackGauge(registry_module.Collector):
     """A gauge whose values are read from a component at each scrape.
 
     :param label: its only label, or ``None``; the label's values are the keys
@@ -66,7 +66,9 @@
         self._labels = (label,) if label else ()
         self._read: abc.Callable[[], abc.Mapping[str, float]] = dict
 
-    def watch(self, read: abc.Callable[[], abc.Mapping[str, float]]) -> None:
+    def set_callback(
+        self, read: abc.Callable[[], abc.Mapping[str, float]]
+    ) -> None:
         """Export the values that ``read`` returns, by label value.
 
         :param read: called at each scrape, in any thread; returns a copy.
@@ -83,7 +85,7 @@
         yield family
 
 
-class WatchedCounter(registry_module.Collector):
+class CallbackCounter(registry_module.Collector):
     """A counter whose values are read from a component at each scrape.
 
     The component needs no dependency on metrics, and no event can be counted
@@ -108,7 +110,9 @@
         self._values = values
         self._read: abc.Callable[[], abc.Mapping[str, int]] = dict
 
-    def watch(self, read: abc.Callable[[], abc.Mapping[str, int]]) -> None:
+    def set_callback(
+        self, read: abc.Callable[[], abc.Mapping[str, int]]
+    ) -> None:
         """Export the counts that ``read`` returns, by label value.
 
         :param read: called at each scrape, in any thread; label values
@@ -337,7 +341,7 @@
         self.slots_used.labels(pool).set(used)
         self.queue.labels(pool).set(queue)
 
-    def forget_pool(self, pool: str) -> None:
+    def remove_pool(self, pool: str) -> None:
         """Remove the gauges of a pool that is no longer in the document.
 
         Otherwise they would keep their last values and look like free slots.
@@ -369,9 +373,9 @@
         text: str,
         label: str | None,
         values: abc.Sequence[str],
-    ) -> WatchedCounter:
+    ) -> CallbackCounter:
         self._remember(name, (label,) if label else ())
-        counter = WatchedCounter(
+        counter = CallbackCounter(
             name=f'{NAMESPACE}_{name}', text=text, label=label, values=values
         )
         self.registry.register(counter)
@@ -379,9 +383,9 @@
 
     def _watched_gauge(
         self, name: str, text: str, label: str | None
-    ) -> WatchedGauge:
+    ) -> CallbackGauge:
         self._remember(name, (label,) if label else ())
-        gauge = WatchedGauge(
+        gauge = CallbackGauge(
             name=f'{NAMESPACE}_{name}', text=text, label=label
         )
         self.registry.register(gauge)
--- a/dandeliongw/models.py
+++ b/dandeliongw/models.py
@@ -27,9 +27,9 @@
 ]
 Positive = typing.Annotated[float, pydantic.Field(gt=0)]
 #: Messages between instances carry integers as signed 64 bits.
-END_OF_INTS = 1 << 63
-PositiveInt = typing.Annotated[int, pydantic.Field(gt=0, lt=END_OF_INTS)]
-NotNegativeInt = typing.Annotated[int, pydantic.Field(ge=0, lt=END_OF_INTS)]
+INT64_END = 1 << 63
+PositiveInt = typing.Annotated[int, pydantic.Field(gt=0, lt=INT64_END)]
+NonNegativeInt = typing.Annotated[int, pydantic.Field(ge=0, lt=INT64_END)]
 
 _MEANINGS_BY_PATTERN = {
     r'^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$': (
@@ -96,7 +96,7 @@
         load_json(body, source)
         return model.model_validate_json(body)
     except pydantic.ValidationError as error:
-        raise invalid(model, error, source) from error
+        raise to_invalid_input(model, error, source) from error
     except exceptions.InvalidInput as error:
         problems = error.problems
     raise exceptions.InvalidInput(problems=problems, source=source)
@@ -129,7 +129,7 @@
                 yield name, inspect.cleandoc(text)
 
 
-def invalid(
+def to_invalid_input(
     model: type[Model], error: pydantic.ValidationError, source: str = ''
 ) -> exceptions.InvalidInput:
     """Return a validation error of pydantic as an ``InvalidInput``."""
@@ -160,7 +160,7 @@
         raise exceptions.InvalidInput(problems=(problem,), source=source)
 
 
-def duplicates(
+def find_duplicates(
     values: abc.Iterable[typing.Any], list_path: str, field: str
 ) -> abc.Iterator[exceptions.Problem]:
     """Yield a problem for each value that occurs earlier in the list."""
@@ -176,7 +176,7 @@
             )
 
 
-def missing(
+def find_unknown(
     value: str, known: abc.Collection[str], path: str
 ) -> abc.Iterator[exceptions.Problem]:
     """Yield a problem if ``value`` is not one of the known names."""
--- a/dandeliongw/runtime.py
+++ b/dandeliongw/runtime.py
@@ -80,7 +80,7 @@
 
     def set_address(self, to: str, address: tuple[str, int]) -> None: ...
 
-    async def forget(self, to: str) -> None: ...
+    async def remove_peer(self, to: str) -> None: ...
 
 
 class Runtime:
@@ -278,7 +278,7 @@
 
     def _forget_peer(self, effect: effects.PeerForgotten) -> None:
         if self._wire is not None:
-            self._loop.create_task(self._wire.forget(effect.instance_id))
+            self._loop.create_task(self._wire.remove_peer(effect.instance_id))
 
     def _persist(self, effect: parts.Persist) -> None:
         self._writer.put(effect)
@@ -425,7 +425,7 @@
         gauges.members.set(effect.members)
         pools = {pool.pool for pool in effect.pools}
         for gone in self._reported_pools - pools:
-            gauges.forget_pool(gone)
+            gauges.remove_pool(gone)
         self._reported_pools = pools
         for pool in effect.pools:
             gauges.set_pool(
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -77,7 +77,7 @@
         :param lines: the log writer, which counts them.
         """
         if self._metrics is not None:
-            self._metrics.log_lines_left_out.watch(
+            self._metrics.log_lines_left_out.set_callback(
                 lambda: {metrics_module.UNLABELLED: lines.dropped}
             )
 
@@ -90,14 +90,14 @@
     def wait(self) -> None:
         """Return when a shutdown is complete.
 
-        :raises InstanceBroken: when the instance has failed fatally.
-        :raises ShutdownCutOff: when the shutdown aborted requests.
+        :raises InstanceFailed: when the instance has failed fatally.
+        :raises ShutdownTimedOut: when the shutdown aborted requests.
         """
         while not self._runtime.drained.wait(WAIT_S):
             if self._runtime.broken is not None:
-                raise exceptions.InstanceBroken(message=self._runtime.broken)
+                raise exceptions.InstanceFailed(message=self._runtime.broken)
         if self._runtime.cut_off:
-            raise exceptions.ShutdownCutOff(requests=self._runtime.cut_off)
+            raise exceptions.ShutdownTimedOut(requests=self._runtime.cut_off)
 
 
 @contextlib.contextmanager
@@ -143,7 +143,7 @@
             may_send=reducer.owner.ordering.may_send,
         )
         stack.callback(runtime.stop)
-        watch_counts(metrics, reducer)
+        export_counts(metrics, reducer)
         _start(
             runtime,
             make_wire(
@@ -204,8 +204,8 @@
     :param adapter: adapter of the platform that it runs on, if any.
     :raises DataFolderUnusable: when the data folder can't be used.
     :raises PortInUse: when a port is taken; names its field of the settings.
-    :raises InstanceBroken: when the instance has failed fatally.
-    :raises ShutdownCutOff: when the shutdown aborted requests.
+    :raises InstanceFailed: when the instance has failed fatally.
+    :raises ShutdownTimedOut: when the shutdown aborted requests.
     """
     common = {
         'instance': settings.instance_id,
@@ -276,23 +276,27 @@
     return f'http://{url_host}:{port}'
 
 
-def watch_counts(
+def export_counts(
     metrics: metrics_module.Metrics, reducer: reducer_module.Reducer
 ) -> None:
     """Export the counters of the reducer's parts as metrics."""
     counts = reducer.owner.ordering.counts
     unlabelled = metrics_module.UNLABELLED
-    metrics.lease_answers.watch(lambda: reducer.leases.outcomes_by_label)
-    metrics.orders_held_back.watch(lambda: counts.holds_by_reason)
-    metrics.voters.watch(
+    metrics.lease_answers.set_callback(
+        lambda: reducer.leases.outcomes_by_label
+    )
+    metrics.orders_held_back.set_callback(lambda: counts.holds_by_reason)
+    metrics.voters.set_callback(
         lambda: {unlabelled: len(reducer.register.voters_by_id)}
     )
-    metrics.lease_epoch.watch(reducer.owner.epochs_by_cell)
-    metrics.retry_budget.watch(reducer.requests.retries_left_by_service)
+    metrics.lease_epoch.set_callback(reducer.owner.epochs_by_cell)
+    metrics.retry_budget.set_callback(reducer.requests.retries_left_by_service)
     quarantine = reducer.quarantine
-    metrics.backend_ends.watch(lambda: {unlabelled: quarantine.ends_seen})
-    metrics.quarantined.watch(lambda: {unlabelled: quarantine.held})
-    metrics.order_repeats.watch(lambda: {unlabelled: counts.repeats})
+    metrics.backend_ends.set_callback(
+        lambda: {unlabelled: quarantine.ends_seen}
+    )
+    metrics.quarantined.set_callback(lambda: {unlabelled: quarantine.held})
+    metrics.order_repeats.set_callback(lambda: {unlabelled: counts.repeats})
 
 
 def make_wire(
@@ -328,8 +332,10 @@
 
     def make_watched() -> peers_module.Peers:
         made = make()
-        metrics.peer_drops.watch(lambda: made.counters.drops_by_reason)
-        metrics.peer_faults.watch(lambda: made.counters.faults_by_reason)
+        metrics.peer_drops.set_callback(lambda: made.counters.drops_by_reason)
+        metrics.peer_faults.set_callback(
+            lambda: made.counters.faults_by_reason
+        )
         return made
 
     return make_watched
--- a/dandeliongw/settings.py
+++ b/dandeliongw/settings.py
@@ -43,13 +43,13 @@
 
 
 #: Instances connect to each other by IP address; DNS is never queried.
-IpNumber = typing.Annotated[str, pydantic.AfterValidator(_check_ip)]
+IpAddress = typing.Annotated[str, pydantic.AfterValidator(_check_ip)]
 
 
 class Address(models.Model):
     """Where to listen; with port 0 the operating system assigns a port."""
 
-    host: IpNumber
+    host: IpAddress
     """The IP address to listen on."""
     port: Port
     """0: the operating system assigns one."""
@@ -67,7 +67,7 @@
     """Requests and streams that are served concurrently."""
     queue: models.PositiveInt = 64
     """Connections that may wait for a thread; more are refused."""
-    advertised: IpNumber | None = None
+    advertised: IpAddress | None = None
     """The IP address announced to others, if it differs from ``host``."""
 
 
@@ -83,7 +83,7 @@
 
     instance_id: models.Name
     """The same as in its own settings."""
-    host: IpNumber
+    host: IpAddress
     """The IP address that other instances connect to."""
     port: Port
     """Its ``peer`` port."""
@@ -113,7 +113,7 @@
     """Concurrent requests; must be less than ``callers.threads``."""
     max_streams: models.PositiveInt = 160
     """Concurrent streams from model engines."""
-    reserved_lookups: models.NotNegativeInt = 32
+    reserved_lookups: models.NonNegativeInt = 32
     """Threads that streams never use, so that lookups stay fast."""
     store_loads_per_s: models.Positive = 1.0
     """This instance's share of the weight store's load rate."""
@@ -277,7 +277,7 @@
 
     def _find_duplicates(self) -> abc.Iterator[exceptions.Problem]:
         ids = [peer.instance_id for peer in self.peers]
-        yield from models.duplicates(ids, 'peers', 'instance_id')
+        yield from models.find_duplicates(ids, 'peers', 'instance_id')
         # Port 0 is assigned later, so peers with port 0 never collide.
         addresses = [
             Address(host=peer.host, port=peer.port).show()
@@ -285,11 +285,11 @@
             else object()
             for peer in self.peers
         ]
-        yield from models.duplicates(addresses, 'peers', 'port')
+        yield from models.find_duplicates(addresses, 'peers', 'port')
         names = [entry.name for entry in self.operators]
-        yield from models.duplicates(names, 'operators', 'name')
+        yield from models.find_duplicates(names, 'operators', 'name')
         digests = [entry.token_sha256 for entry in self.operators]
-        yield from models.duplicates(digests, 'operators', 'token_sha256')
+        yield from models.find_duplicates(digests, 'operators', 'token_sha256')
 
     def _check_seeds(self) -> abc.Iterator[exceptions.Problem]:
         if self.peers:
@@ -309,7 +309,7 @@
     def _check_own_entry(self) -> abc.Iterator[exceptions.Problem]:
         own = self.peers_by_id.get(self.instance_id)
         if own is None:
-            yield from models.missing(
+            yield from models.find_unknown(
                 self.instance_id, self.peers_by_id.keys(), 'instance_id'
             )
             return
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -61,7 +61,7 @@
 
     def test_a_watched_counter_exports_the_current_count(self):
         counts = collections.Counter()
-        self.metrics.peer_drops.watch(lambda: counts)
+        self.metrics.peer_drops.set_callback(lambda: counts)
         counts[envelopes.DropReason.QUEUE_FULL] += 2
         value = self.metrics.value
         self.assertEqual(2, value('peer_drops_total', reason='queue_full'))
@@ -80,8 +80,8 @@
     def test_a_removed_pool_has_no_gauges(self):
         self.metrics.set_pool('a', backends=2, slots=40, used=3, queue=1)
         self.assertEqual(40, self.metrics.value('slots', pool='a'))
-        self.metrics.forget_pool('a')
-        self.metrics.forget_pool('never-set')
+        self.metrics.remove_pool('a')
+        self.metrics.remove_pool('never-set')
         self.assertNotIn('pool="a"', self.metrics.render().decode())
 
     def test_stages_of_a_request_are_labelled(self):
@@ -96,7 +96,7 @@
 
     def test_a_watched_gauge_drops_removed_values(self):
         epochs = {'a/x/0': 3}
-        self.metrics.lease_epoch.watch(lambda: epochs)
+        self.metrics.lease_epoch.set_callback(lambda: epochs)
         self.assertEqual(3, self.metrics.value('lease_epoch', cell='a/x/0'))
         del epochs['a/x/0']
         self.assertNotIn('a/x/0', self.metrics.render().decode())
@@ -129,7 +129,7 @@
 
     def test_answers_to_lease_requests(self):
         net = network.Network()
-        server.watch_counts(self.metrics, net.reducers_by_id['gw-1'])
+        server.export_counts(self.metrics, net.reducers_by_id['gw-1'])
         net.apply_example()
         net.run(5.0)
         name = 'lease_answers_total'
@@ -138,7 +138,7 @@
     def test_what_an_owner_holds(self):
         net = network.Network()
         reducer = net.reducers_by_id['gw-1']
-        server.watch_counts(self.metrics, reducer)
+        server.export_counts(self.metrics, reducer)
         net.apply_example()
         net.run(5.0)
         self.assertEqual(3, self.metrics.value('voters'))
@@ -150,7 +150,7 @@
 
     def test_orders_that_are_held_back(self):
         reducer = network.Network().reducers_by_id['gw-1']
-        server.watch_counts(self.metrics, reducer)
+        server.export_counts(self.metrics, reducer)
         counts = reducer.owner.ordering.counts
         counts.holds_by_reason[orders.HoldReason.STORE_BUDGET] += 1
         counts.repeats += 4
