--- a/dandeliongw/entry/reservations.py
+++ b/dandeliongw/entry/reservations.py
@@ -122,8 +122,8 @@
 
         The request does not wait for the answer: the booking is released
         right away, and this entry places the request. Otherwise, with few
-        clients, one request in three would wait in vain and be late while
-        the owner is unresponsive.
+        clients, one request in three would wait for an owner that does not
+        answer, and be late.
         """
         owners = self._directory.owners_of(request.cell)
         is_due = now >= self._probe_at_by_cell[request.cell]
--- a/dandeliongw/runtime.py
+++ b/dandeliongw/runtime.py
@@ -354,9 +354,9 @@
 
     def _order_now(self, effect: effects.GiveOrder) -> None:
         order = effect.order
-        # Checked in this thread, with a fresh reading of the clock: the order
-        # may have waited for a thread, or the process may have been paused,
-        # for so long that another instance now owns the cell.
+        # Checked in this thread, with a fresh reading of the clock: another
+        # instance may have become the cell's owner while the order waited for
+        # a thread or while the process was paused.
         if not self._may_send(effect, clock.now()):
             self._post_order_result(order, verdict.Verdict.NOT_RUN)
             return
