--- a/dandeliongw/runtime.py
+++ b/dandeliongw/runtime.py
@@ -80,7 +80,7 @@
 
     def set_address(self, to: str, address: tuple[str, int]) -> None: ...
 
-    async def forget(self, to: str) -> None: ...
+    async def remove_peer(self, to: str) -> None: ...
 
 
 class Runtime:
@@ -278,7 +278,7 @@
 
     def _forget_peer(self, effect: effects.PeerForgotten) -> None:
         if self._wire is not None:
-            self._loop.create_task(self._wire.forget(effect.instance_id))
+            self._loop.create_task(self._wire.remove_peer(effect.instance_id))
 
     def _persist(self, effect: parts.Persist) -> None:
         self._writer.put(effect)
@@ -354,9 +354,9 @@
 
     def _order_now(self, effect: effects.GiveOrder) -> None:
         order = effect.order
-        # Checked in this thread, with a fresh reading of the clock: the order
-        # may have waited for a thread, or the process may have been paused,
-        # for so long that another instance now owns the cell.
+        # Checked in this thread, with a fresh reading of the clock: another
+        # instance may have become the cell's owner while the order waited for
+        # a thread or while the process was paused.
         if not self._may_send(effect, clock.now()):
             self._post_order_result(order, verdict.Verdict.NOT_RUN)
             return
@@ -425,7 +425,7 @@
         gauges.members.set(effect.members)
         pools = {pool.pool for pool in effect.pools}
         for gone in self._reported_pools - pools:
-            gauges.forget_pool(gone)
+            gauges.remove_pool(gone)
         self._reported_pools = pools
         for pool in effect.pools:
             gauges.set_pool(
