--- a/dandeliongw/coordination/claim_attempts.py
+++ b/dandeliongw/coordination/claim_attempts.py
@@ -513,10 +513,10 @@
 def _slots_of(
     attempt: _Attempt, possible_winners: abc.Set[str]
 ) -> list[claim_slots.SeenSlot]:
-    """Return the reported slots of possible possible_winners.
+    """Return the reported slots of possible winners.
 
     Contested slots have no attempt id; they are included if an unseen
-    attempt is among the possible possible_winners.
+    attempt is among the possible winners.
     """
     return [
         seen
--- a/specs/register_formation.py
+++ b/specs/register_formation.py
@@ -88,7 +88,7 @@
     ) -> abc.Iterator[tuple[str, State]]:
         """Yield the reports of empty disks to a ballot.
 
-        Register._on_disk_query and _form_if_all_are_empty.
+        Register._on_disk_query and Formation.on_report.
         """
         attempt = state.attempts[ballot - 1]
         for instance, number in enumerate(state.disk_by_instance):
