--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -38,7 +38,7 @@
     plain_id='',
     waited_ms=12,
 )
-FAILED = decisions.TriedAgain(
+FAILED = decisions.AttemptFailed(
     request_id=PLACED.request_id,
     attempt_id=PLACED.attempt_id,
     again=True,
@@ -116,7 +116,7 @@
 
 
 def main() -> None:
-    _lines.MOST_A_SECOND = _lines.MOST_WAITING = NO_BUDGET
+    _lines.MAX_LINES_PER_SECOND = _lines.MAX_QUEUED_LINES = NO_BUDGET
     for write in (write_good, write_retried):
         for name, level in (('off', 'CRITICAL'), ('on', 'INFO')):
             costs = [cost_of(write, level) for _ in range(RUNS)]
--- a/dandeliongw/_lines.py
+++ b/dandeliongw/_lines.py
@@ -16,10 +16,10 @@
 
 #: Lines that may wait for the stream. At some 300 bytes each that is 600 KB
 #: of the memory of the smallest machine.
-MOST_WAITING = 2000
+MAX_QUEUED_LINES = 2000
 #: Lines of one kind a second. A busy entry writes about five lines for each
 #: of its 20 requests a second.
-MOST_A_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 #: Seconds of a budget.
 BUDGET_S = 1.0
 #: Seconds that the end of a process waits for its last lines.
@@ -44,7 +44,7 @@
         self._stream = stream
         self._common = dict(common)
         self._clock = clock
-        self._queue: queue.Queue[str | None] = queue.Queue(MOST_WAITING)
+        self._queue: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._lock = threading.Lock()
         self._ends_at = 0.0
         self._counts_by_kind: collections.Counter[str] = collections.Counter()
@@ -74,7 +74,7 @@
         with self._lock:
             told = self._end_second()
             self._counts_by_kind[kind] += 1
-            fits = self._counts_by_kind[kind] <= MOST_A_SECOND
+            fits = self._counts_by_kind[kind] <= MAX_LINES_PER_SECOND
             if not (fits and self._offer(line)):
                 self._left_out_by_kind[kind] += 1
                 self.left_out += 1
--- a/dandeliongw/adapter.py
+++ b/dandeliongw/adapter.py
@@ -75,10 +75,10 @@
     """What a platform implements."""
 
     @property
-    def dialect(self) -> gateway.Dialect: ...
+    def header_parser(self) -> gateway.HeaderParser: ...
 
     def backends(
-        self, *, work: relay.Work, facts: gateway.Facts
+        self, *, work: relay.RequestPayload, facts: gateway.CallMetadata
     ) -> relay.Backends:
         """Return the adapters that send one call to backend servers."""
         ...
--- a/dandeliongw/borders/_forwarded_body.py
+++ b/dandeliongw/borders/_forwarded_body.py
@@ -26,14 +26,14 @@
 
     :param length: bytes, from ``Content-Length``.
     :param max_bytes: longest body that is accepted.
-    :raises BadCall: for a longer body, which stays unread, and for one that
-        ends too soon.
+    :raises InvalidCall: for a longer body, which stays unread, and for one
+        that ends too soon.
     """
     if length > max_bytes:
         raise _too_large(length, max_bytes)
     body = reader.read(length) if length else b''
     if len(body) < length:
-        raise calls.BadCall(
+        raise calls.InvalidCall(
             f'the body has {len(body)} bytes; Content-Length says {length}'
         )
     return body
@@ -43,7 +43,7 @@
     """Return a chunked body without its trailers.
 
     :param max_bytes: longest body that is accepted.
-    :raises BadCall: for a body that is too long or malformed, also for a
+    :raises InvalidCall: for a body that is too long or malformed, also for a
         chunk size that isn't plain hexadecimal digits. Parsers disagree on
         where such a body ends, and the rest could be smuggled in as another
         call.
@@ -56,23 +56,25 @@
             raise _too_large(total, max_bytes)
         pieces.append(reader.read(size))
         if len(pieces[-1]) < size or reader.read(2) != b'\r\n':
-            raise calls.BadCall('a chunk of the body does not end as it says')
+            raise calls.InvalidCall(
+                'a chunk of the body does not end as it says'
+            )
     for _ in range(_MAX_TRAILERS):
         if reader.readline(_MAX_LINE_BYTES) == b'\r\n':
             return b''.join(pieces)
-    raise calls.BadCall('the trailers of the body do not end')
+    raise calls.InvalidCall('the trailers of the body do not end')
 
 
 def _read_size(reader: Reader) -> int:
     line = reader.readline(_MAX_LINE_BYTES)
     found = _SIZE_LINE.fullmatch(line)
     if found is None:
-        raise calls.BadCall(f'the size of a chunk is {line[:40]!r}')
+        raise calls.InvalidCall(f'the size of a chunk is {line[:40]!r}')
     return int(found[1], 16)
 
 
-def _too_large(size: int, max_bytes: int) -> calls.BadCall:
-    return calls.BadCall(
+def _too_large(size: int, max_bytes: int) -> calls.InvalidCall:
+    return calls.InvalidCall(
         f'the body has {size} bytes or more; at most {max_bytes} are read',
         verdict.RefusalReason.TOO_LARGE,
     )
--- a/dandeliongw/borders/backends.py
+++ b/dandeliongw/borders/backends.py
@@ -37,8 +37,8 @@
     """
 
     backend_id: models.Name
-    incarnation: models.NotNegativeInt
-    sequence: models.NotNegativeInt
+    incarnation: models.NonNegativeInt
+    sequence: models.NonNegativeInt
 
 
 class Announcement(Identity):
@@ -52,18 +52,18 @@
     role: Role
     url: typing.Annotated[str, pydantic.AfterValidator(_check_url)]
     data_centre: models.Name
-    slots: models.NotNegativeInt = 0
+    slots: models.NonNegativeInt = 0
     checks_fence: bool = False
 
 
 class Load(models.Model):
     """A load report; the values may be older than the message."""
 
-    running: models.NotNegativeInt = 0
-    waiting: models.NotNegativeInt = 0
-    queued_tokens: models.NotNegativeInt = 0
-    slots_used: models.NotNegativeInt = 0
-    kv_bytes: models.NotNegativeInt = 0
+    running: models.NonNegativeInt = 0
+    waiting: models.NonNegativeInt = 0
+    queued_tokens: models.NonNegativeInt = 0
+    slots_used: models.NonNegativeInt = 0
+    kv_bytes: models.NonNegativeInt = 0
 
 
 class CacheEvent(models.Model):
@@ -74,7 +74,7 @@
 class CacheEvents(models.Model):
     """Consecutive cache events; ``first`` is the number of the first one."""
 
-    first: models.NotNegativeInt = 0
+    first: models.NonNegativeInt = 0
     events: tuple[CacheEvent, ...] = ()
 
 
@@ -90,7 +90,7 @@
         registered one.
     """
 
-    incarnation: models.NotNegativeInt | None
+    incarnation: models.NonNegativeInt | None
 
 
 class PresenceAnswer(enum.StrEnum):
@@ -188,7 +188,7 @@
                 {
                     'reason': 'too_large',
                     'message': 'the body is too long; at most '
-                    f'{bodies.MOST_BYTES} bytes are read',
+                    f'{bodies.MAX_BYTES} bytes are read',
                 },
             )
         except exceptions.InvalidInput as error:
--- a/dandeliongw/borders/bodies.py
+++ b/dandeliongw/borders/bodies.py
@@ -7,14 +7,14 @@
 
 #: Longest body that is accepted. Messages of backend servers have some hundred
 #: bytes, those with lists of cache events some thousand.
-MOST_BYTES = 1 << 20
+MAX_BYTES = 1 << 20
 #: Longest remainder of a body that is read and discarded.
 MAX_DISCARDED_BYTES = 8 << 20
 _PIECE_BYTES = 1 << 16
 
 
 class TooLarge(Exception):
-    """A body is longer than ``MOST_BYTES``; it was not parsed."""
+    """A body is longer than ``MAX_BYTES``; it was not parsed."""
 
 
 def read() -> bytes:
@@ -23,17 +23,17 @@
     The application must disable ``request.process_request_body``, so that
     CherryPy doesn't read the body.
 
-    :raises TooLarge: if the body is longer than ``MOST_BYTES``.
+    :raises TooLarge: if the body is longer than ``MAX_BYTES``.
     :raises InvalidInput: if the body is malformed or a read fails.
     """
     try:
-        body = cherrypy.request.rfile.read(MOST_BYTES + 1)
+        body = cherrypy.request.rfile.read(MAX_BYTES + 1)
     except (ValueError, OSError) as error:
         problem = exceptions.Problem(
             path='', given=f'did not arrive: {error}', allowed='send it whole'
         )
         raise exceptions.InvalidInput(problems=(problem,)) from error
-    if len(body) > MOST_BYTES:
+    if len(body) > MAX_BYTES:
         raise TooLarge
     return body
 
--- a/dandeliongw/borders/callers.py
+++ b/dandeliongw/borders/callers.py
@@ -50,7 +50,7 @@
     """The server's interface to this API."""
 
     def open_relay(
-        self, *, call: events.Call, work: relay.Work, request_id: str
+        self, *, call: events.Call, work: relay.RequestPayload, request_id: str
     ) -> relay.Relay:
         """Start a relay for a request and watch the caller's socket."""
         ...
@@ -58,7 +58,7 @@
     def close_relay(self, request_id: str) -> None: ...
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether the instance is shutting down."""
         ...
 
@@ -91,10 +91,10 @@
         request_id = _new_request_id()
         try:
             body = self._read_body()
-            completion = calls.read_completion(body, cherrypy.request.headers)
-        except calls.BadCall as error:
+            completion = calls.parse_completion(body, cherrypy.request.headers)
+        except calls.InvalidCall as error:
             return self._refuse(request_id, error.refusal())
-        work = relay.Work(prompt=completion.prompt)
+        work = relay.RequestPayload(prompt=completion.prompt)
         answer = answers.Answer(
             gate=self._gate,
             metrics=self._metrics,
@@ -139,8 +139,8 @@
         request_id = _new_request_id()
         try:
             body = self._read_body()
-            call, work = calls.read_plain_call(target, body, cherrypy.request)
-        except calls.BadCall as error:
+            call, work = calls.parse_plain_call(target, body, cherrypy.request)
+        except calls.InvalidCall as error:
             return self._refuse(request_id, error.refusal())
         answer = answers.Answer(
             gate=self._gate,
@@ -163,17 +163,17 @@
     def _read_body(self) -> bytes:
         """Return the complete body.
 
-        :raises BadCall: for a body that is too long, malformed or truncated.
-            Half a booking must not be forwarded as a complete one.
+        :raises InvalidCall: for a body that is too long, malformed or
+            truncated. Half a booking must not be forwarded as a complete one.
         """
         headers = cherrypy.request.headers
         length = headers.get('Content-Length')
         if length is not None and 'Transfer-Encoding' in headers:
-            raise calls.BadCall(
+            raise calls.InvalidCall(
                 'Content-Length: must not be given with Transfer-Encoding'
             )
         if length is not None and not re.fullmatch('[0-9]{1,18}', length):
-            raise calls.BadCall(
+            raise calls.InvalidCall(
                 f'Content-Length: given {length!r}; must be a whole number, '
                 'not negative'
             )
@@ -183,13 +183,13 @@
         if len(body) > self._max_body_bytes:
             raise self._too_large(f'more than {self._max_body_bytes}')
         if length is not None and len(body) < int(length):
-            raise calls.BadCall(
+            raise calls.InvalidCall(
                 f'the body has {len(body)} bytes; Content-Length says {length}'
             )
         return body
 
-    def _too_large(self, size: str) -> calls.BadCall:
-        return calls.BadCall(
+    def _too_large(self, size: str) -> calls.InvalidCall:
+        return calls.InvalidCall(
             f'the body has {size} bytes; at most {self._max_body_bytes} are '
             'read',
             _REASON.TOO_LARGE,
@@ -203,10 +203,10 @@
         could not know whether the call ran. Callers with a persistent
         connection would also not switch to another instance.
         """
-        if self._gate.is_leaving or not _is_body_fully_read():
+        if self._gate.is_shutting_down or not _is_body_fully_read():
             web.close_connection()
 
-    def refuse_call(self, error: calls.BadCall) -> bytes:
+    def refuse_call(self, error: calls.InvalidCall) -> bytes:
         """Refuse a call with an invalid request line."""
         return self._refuse(_new_request_id(), error.refusal())
 
@@ -236,7 +236,7 @@
         return cherrypy.request.rfile.read(max_bytes)
     except (ValueError, OSError) as error:
         # A malformed chunk, or a caller that stopped sending.
-        raise calls.BadCall(
+        raise calls.InvalidCall(
             f'the body did not arrive whole: {error}'
         ) from error
 
@@ -322,8 +322,8 @@
     def _answer(self) -> typing.Any:
         uri = cherrypy.request.wsgi_environ['REQUEST_URI']
         try:
-            target = calls.read_target(uri)
-        except calls.BadCall as error:
+            target = calls.parse_target(uri)
+        except calls.InvalidCall as error:
             return self._callers.refuse_call(error)
         match target.segments, cherrypy.request.method:
             case ('v1', 'entries'), 'GET':
--- a/dandeliongw/borders/calls.py
+++ b/dandeliongw/borders/calls.py
@@ -1,7 +1,7 @@
 """Parses and validates the calls of callers.
 
-Without I/O. Each error is a :class:`BadCall` whose message names the field,
-the given value and the allowed values.
+Without I/O. Each error is a :class:`InvalidCall` whose message names the
+field, the given value and the allowed values.
 """
 
 from collections import abc
@@ -27,7 +27,7 @@
 _KEY_PATTERN = re.compile(r'[\x21-\x7e]{1,255}')
 
 
-class BadCall(Exception):
+class InvalidCall(Exception):
     """An invalid call; it is answered with a refusal."""
 
     def __init__(
@@ -52,33 +52,37 @@
     stream: bool
 
 
-def read_completion(body: bytes, headers: abc.Mapping[str, str]) -> Completion:
+def parse_completion(
+    body: bytes, headers: abc.Mapping[str, str]
+) -> Completion:
     """Parse an OpenAI-style completions call.
 
-    :raises BadCall: for an invalid body or header.
+    :raises InvalidCall: for an invalid body or header.
     """
     fields = _read_object(body)
     prompt = fields.get('prompt')
     if not isinstance(prompt, str) or not prompt:
-        raise BadCall(
+        raise InvalidCall(
             f'prompt: given {_json(prompt)}; must be a string that is not '
             'empty (lists and token numbers are not taken)'
         )
     if not _is_unicode(prompt):
-        raise BadCall('prompt: has half of a surrogate pair')
+        raise InvalidCall('prompt: has half of a surrogate pair')
     max_tokens = fields.get('max_tokens', DEFAULT_MAX_TOKENS)
     is_count = isinstance(max_tokens, int) and max_tokens is not True
     if not is_count or not 1 <= max_tokens <= MAX_TOKENS_LIMIT:
-        raise BadCall(
+        raise InvalidCall(
             f'max_tokens: given {_json(max_tokens)}; must be a whole number '
             f'from 1 to {MAX_TOKENS_LIMIT}'
         )
     stream = fields.get('stream', False)
     if not isinstance(stream, bool):
-        raise BadCall(f'stream: given {_json(stream)}; must be true or false')
+        raise InvalidCall(
+            f'stream: given {_json(stream)}; must be true or false'
+        )
     model = fields.get('model')
     if not isinstance(model, str) or not _is_unicode(model):
-        raise BadCall(
+        raise InvalidCall(
             f'model: given {_json(model)}; must be the name of a service'
         )
     call = events.Call(
@@ -111,18 +115,18 @@
     path: str
 
 
-def read_target(uri: str) -> Target:
+def parse_target(uri: str) -> Target:
     """Parse the URI of a request line.
 
     CherryPy's own path has lost trailing and doubled slashes and the percent
     encoding. A plain service must get the path that its caller sent, and
     the document's routes must match the same path that the service sees.
 
-    :raises BadCall: for an ambiguous path, which two programs could resolve
-        differently.
+    :raises InvalidCall: for an ambiguous path, which two programs could
+        resolve differently.
     """
     if not _TARGET_PATTERN.fullmatch(uri):
-        raise BadCall(
+        raise InvalidCall(
             f'the path is {uri[:80]!r}; it must be visible ASCII, all else '
             'percent-encoded'
         )
@@ -142,25 +146,25 @@
     try:
         path = urllib.parse.unquote(raw, errors='strict')
     except UnicodeDecodeError as error:
-        raise BadCall(f'the path is not UTF-8: {raw[:80]!r}') from error
+        raise InvalidCall(f'the path is not UTF-8: {raw[:80]!r}') from error
     # A service that resolves ".." would run a call of another route than the
     # one that was matched here, which may differ in being idempotent.
     if {'.', '..'} & set(re.split(r'[/\\]', path)) or '%2f' in raw.lower():
-        raise BadCall(
+        raise InvalidCall(
             f'the path is {path[:80]!r}; it must not have "." or ".." '
             'as a part, nor an encoded slash'
         )
     if not path.isprintable():
-        raise BadCall(f'the path has control characters: {path[:80]!r}')
+        raise InvalidCall(f'the path has control characters: {path[:80]!r}')
     return path
 
 
-def read_plain_call(
+def parse_plain_call(
     target: Target, body: bytes, request: typing.Any
-) -> tuple[events.Call, relay.Work]:
+) -> tuple[events.Call, relay.RequestPayload]:
     """Parse a call for a plain service.
 
-    :raises BadCall: for an invalid header.
+    :raises InvalidCall: for an invalid header.
     """
     headers = request.headers
     call = events.Call(
@@ -179,16 +183,18 @@
         for name in relay.PASSED_HEADERS
         if name in headers
     )
-    return call, relay.Work(path=target.rest, body=body, headers=passed)
+    return call, relay.RequestPayload(
+        path=target.rest, body=body, headers=passed
+    )
 
 
 def _read_object(body: bytes) -> dict[str, typing.Any]:
     try:
         fields = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise BadCall(f'the body is not JSON: {error}') from error
+        raise InvalidCall(f'the body is not JSON: {error}') from error
     if not isinstance(fields, dict):
-        raise BadCall('the body must be a JSON object')
+        raise InvalidCall('the body must be a JSON object')
     return fields
 
 
@@ -216,7 +222,7 @@
 def _idempotency_key(headers: abc.Mapping[str, str]) -> str | None:
     key = headers.get('Idempotency-Key')
     if key is not None and not _KEY_PATTERN.fullmatch(key):
-        raise BadCall(
+        raise InvalidCall(
             f'Idempotency-Key: given {key!r}; must be 1 to '
             f'{MAX_KEY_CHARACTERS} visible ASCII characters'
         )
@@ -232,7 +238,7 @@
     except ValueError:
         seconds = -1.0
     if not 0 < seconds < float('inf'):
-        raise BadCall(
+        raise InvalidCall(
             f'X-Deadline-S: given {text!r}; must be seconds, more than 0'
         )
     return seconds
--- a/dandeliongw/borders/gateway.py
+++ b/dandeliongw/borders/gateway.py
@@ -1,8 +1,8 @@
 """HTTP front end for calls by host route, which are forwarded unchanged.
 
-One WSGI application for one port. A :class:`Dialect` parses the headers that
-are specific to a platform; the document's host routes map a host and a path
-to services. The handler's thread stays with its call until the answer has
+One WSGI application for one port. A :class:`HeaderParser` parses the headers
+that are specific to a platform; the document's host routes map a host and a
+path to services. The handler's thread stays with its call until the answer has
 ended.
 """
 
@@ -53,7 +53,7 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class Facts(msgspec.Struct, frozen=True, kw_only=True):
+class CallMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """The attributes of a call that its headers give.
 
     :param request_id: the caller's identifier of this attempt.
@@ -63,7 +63,7 @@
     :param max_tokens: maximum length of the answer in tokens, or 0.
     :param expected_tokens: the caller's estimate of the answer's length in
         tokens, or 0.
-    :param pieces_held: number of pieces of the stream that the caller
+    :param pieces_received: number of pieces of the stream that the caller
         received before the stream broke.
     :param prefix: identifiers of the prompt's leading blocks, which other
         calls may share.
@@ -75,19 +75,19 @@
     prompt_tokens: int
     max_tokens: int
     expected_tokens: int
-    pieces_held: int
+    pieces_received: int
     prefix: tuple[str, ...]
     headers: Headers
 
 
-class Dialect(typing.Protocol):
+class HeaderParser(typing.Protocol):
     """Parses the request headers of one platform."""
 
-    def read_call(self, headers: Headers) -> Facts:
+    def read_call(self, headers: Headers) -> CallMetadata:
         """Parse the headers of a call.
 
-        :raises BadCall: for an invalid header; the message names the header,
-            the given value and the allowed values.
+        :raises InvalidCall: for an invalid header; the message names the
+            header, the given value and the allowed values.
         """
         ...
 
@@ -99,12 +99,12 @@
 class Gate(typing.Protocol):
     """The server's interface to this front end."""
 
-    def open_passing(
+    def open_pass_through(
         self,
         *,
         call: events.Call,
-        work: relay.Work,
-        facts: Facts,
+        work: relay.RequestPayload,
+        facts: CallMetadata,
         caller: socket.socket,
     ) -> relay.Relay:
         """Start a relay for a call and watch the caller's socket."""
@@ -113,7 +113,7 @@
     def close_relay(self, request_id: str) -> None: ...
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether the instance is shutting down."""
         ...
 
@@ -125,10 +125,14 @@
     """The WSGI application; see the module's documentation."""
 
     def __init__(
-        self, *, gate: Gate, dialect: Dialect, metrics: metrics_module.Metrics
+        self,
+        *,
+        gate: Gate,
+        header_parser: HeaderParser,
+        metrics: metrics_module.Metrics,
     ) -> None:
         self._gate = gate
-        self._dialect = dialect
+        self._header_parser = header_parser
         self._metrics = metrics
 
     def __call__(
@@ -138,18 +142,18 @@
         reply = _Reply(
             start_response=start_response,
             incoming=incoming,
-            closes=self._gate.is_leaving,
+            closes=self._gate.is_shutting_down,
         )
         headers = _decode(incoming.inheaders)
         try:
             call, work, facts = self._read(environ, headers)
-        except calls.BadCall as error:
+        except calls.InvalidCall as error:
             # Unread bytes of the body would be parsed as another call.
             reply.close_connection()
             refusal = error.refusal()
             self._metrics.count_refusal(refusal)
             logger.bind(
-                request_id=self._dialect.read_request_id(headers)
+                request_id=self._header_parser.read_request_id(headers)
             ).info(
                 'call refused',
                 reason=refusal.reason,
@@ -157,7 +161,7 @@
                 why=refusal.message,
             )
             return reply.refuse(refusal)
-        call_relay = self._gate.open_passing(
+        call_relay = self._gate.open_pass_through(
             call=call, work=work, facts=facts, caller=incoming.conn.socket
         )
         forwarded = _ForwardedCall(
@@ -171,18 +175,18 @@
 
     def _read(
         self, environ: dict[str, typing.Any], headers: Headers
-    ) -> tuple[events.Call, relay.Work, Facts]:
+    ) -> tuple[events.Call, relay.RequestPayload, CallMetadata]:
         incoming = environ[web.REQUEST_KEY]
         target = incoming.uri.decode('latin-1')
         if not _TARGET.fullmatch(target):
-            raise calls.BadCall(
+            raise calls.InvalidCall(
                 f'the path is {target[:80]!r}; it must begin with a slash '
                 'and be visible ASCII'
             )
         method = incoming.method.decode('latin-1')
         host = _read_host(headers)
         body = self._read_body(incoming)
-        facts = self._dialect.read_call(headers)
+        facts = self._header_parser.read_call(headers)
         path = target.partition('?')[0]
         call = events.Call(
             service='',
@@ -201,13 +205,13 @@
             credentials_sha256=_hash_credentials(headers),
             address=environ.get('REMOTE_ADDR', ''),
         )
-        work = relay.Work(
+        work = relay.RequestPayload(
             method=method,
             path=target,
             body=body,
             headers=_without_hop_headers(facts.headers),
-            is_passed_on=True,
-            pieces_held=facts.pieces_held,
+            is_pass_through=True,
+            pieces_received=facts.pieces_received,
         )
         return call, work, facts
 
@@ -224,7 +228,9 @@
             incoming.rfile.remaining = 0
             return body
         except OSError as error:
-            raise calls.BadCall(f'the body did not arrive: {error}') from error
+            raise calls.InvalidCall(
+                f'the body did not arrive: {error}'
+            ) from error
 
 
 class _Reply:
@@ -281,7 +287,7 @@
         call_relay: relay.Relay,
         gate: Gate,
         reply: _Reply,
-        facts: Facts,
+        facts: CallMetadata,
         metrics: metrics_module.Metrics,
     ) -> None:
         self._gate = gate
@@ -304,7 +310,7 @@
         except BaseException:
             self.close()
             raise
-        if isinstance(first, engine.Head):
+        if isinstance(first, engine.ResponseHead):
             headers = _without_hop_headers(first.headers)
             self._reply.start(first.status, headers)
             return self
@@ -400,7 +406,7 @@
     given = dict(headers).get('Host', '')
     found = _HOST.fullmatch(given.lower())
     if found is None:
-        raise calls.BadCall(
+        raise calls.InvalidCall(
             f'Host: given {given[:80]!r}; must be a name, with a port or not'
         )
     return found[1]
--- a/dandeliongw/borders/operators.py
+++ b/dandeliongw/borders/operators.py
@@ -71,7 +71,7 @@
     """The body of ``PUT /v1/document``."""
 
     document: dict[str, typing.Any]
-    expected_revision: models.NotNegativeInt
+    expected_revision: models.NonNegativeInt
     """The revision on which the change is based."""
     change_id: typing.Annotated[
         str, pydantic.StringConstraints(pattern=changes.CHANGE_ID_PATTERN)
--- a/dandeliongw/borders/watch.py
+++ b/dandeliongw/borders/watch.py
@@ -27,18 +27,19 @@
 )
 
 
-class Watch:
-    """Calls ``on_gone`` for each watched caller that has disconnected.
+class DisconnectWatcher:
+    """Calls ``on_disconnect`` for each watched caller that has disconnected.
 
     The call is repeated once a second until the request is removed. A caller
     that disconnects immediately could be reported before the request itself
     arrives; with a single notification, its disconnection would be lost.
 
-    :param on_gone: called with the request id, on the thread of this object.
+    :param on_disconnect: called with the request id, on the thread of this
+        object.
     """
 
-    def __init__(self, *, on_gone: abc.Callable[[str], None]) -> None:
-        self._on_gone = on_gone
+    def __init__(self, *, on_disconnect: abc.Callable[[str], None]) -> None:
+        self._on_disconnect = on_disconnect
         self._lock = threading.Lock()
         self._sockets_by_id: dict[str, socket.socket] = {}
         self._polls_by_disconnected: dict[str, int] = {}
@@ -102,7 +103,7 @@
         while not self._stopped.wait(POLL_S):
             try:
                 for request_id in self.poll():
-                    self._on_gone(request_id)
+                    self._on_disconnect(request_id)
             except Exception:
                 # If this thread ended, no caller would be reported any more.
                 logger.exception(
--- a/dandeliongw/borders/web.py
+++ b/dandeliongw/borders/web.py
@@ -218,7 +218,7 @@
         request.close_connection = True
 
 
-def quiet_cherrypy() -> None:
+def disable_cherrypy_logs() -> None:
     """Disable CherryPy's own log output, which isn't JSON."""
     cherrypy.log.screen = False
     cherrypy.log.access_log.propagate = False
--- a/dandeliongw/caller_facades.py
+++ b/dandeliongw/caller_facades.py
@@ -32,7 +32,7 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: watch_module.Watch,
+        watch: watch_module.DisconnectWatcher,
     ) -> None:
         self._settings = settings
         self._reducer = reducer
@@ -41,7 +41,7 @@
         self._backends = http_backends.HttpBackends(timeouts=settings.timeouts)
 
     def open_relay(
-        self, *, call: events.Call, work: relay.Work, request_id: str
+        self, *, call: events.Call, work: relay.RequestPayload, request_id: str
     ) -> relay.Relay:
         return self._open(
             call=call,
@@ -55,7 +55,7 @@
         self,
         *,
         call: events.Call,
-        work: relay.Work,
+        work: relay.RequestPayload,
         request_id: str,
         backends: relay.Backends,
         caller: socket.socket | None,
@@ -77,8 +77,8 @@
         self._runtime.remove_relay(request_id)
 
     @property
-    def is_leaving(self) -> bool:
-        return self._reducer.shutdown.is_leaving
+    def is_shutting_down(self) -> bool:
+        return self._reducer.shutdown.is_shutting_down
 
     def entries(self) -> dict[str, typing.Any]:
         found = self._runtime.look(self._reducer.membership.entries)
@@ -105,7 +105,7 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: watch_module.Watch,
+        watch: watch_module.DisconnectWatcher,
         adapter: adapter_module.Adapter,
     ) -> None:
         super().__init__(
@@ -113,12 +113,12 @@
         )
         self._adapter = adapter
 
-    def open_passing(
+    def open_pass_through(
         self,
         *,
         call: events.Call,
-        work: relay.Work,
-        facts: gateway.Facts,
+        work: relay.RequestPayload,
+        facts: gateway.CallMetadata,
         caller: socket.socket,
     ) -> relay.Relay:
         # Callers choose request ids freely and may use one twice; the suffix
--- a/dandeliongw/cell/backend_state.py
+++ b/dandeliongw/cell/backend_state.py
@@ -13,7 +13,7 @@
 from .vocabulary import CellBackend
 
 #: Blocks kept for each backend server, about 100 bytes each.
-MOST_BLOCKS = 4_096
+MAX_BLOCKS = 4_096
 
 
 class FullForecast(msgspec.Struct, frozen=True, kw_only=True):
@@ -124,7 +124,7 @@
         for block in prefix:
             self.blocks[block] = None
             self.blocks.move_to_end(block)
-        while len(self.blocks) > MOST_BLOCKS:
+        while len(self.blocks) > MAX_BLOCKS:
             self.blocks.popitem(last=False)
 
     def drop_blocks(self, prefix: abc.Iterable[str]) -> None:
--- a/dandeliongw/cell/cells.py
+++ b/dandeliongw/cell/cells.py
@@ -73,7 +73,7 @@
     'Outcome',
     'PrefillDone',
     'Progress',
-    'PROGRESS_EVERY_S',
+    'PROGRESS_INTERVAL_S',
     'Queued',
     'Reclaim',
     'ReclaimedBooking',
@@ -88,7 +88,7 @@
 #: is taken to have died.
 BOOKING_LEASE_S = 4.0
 #: How often an entry should send :class:`Progress`, in seconds.
-PROGRESS_EVERY_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 #: How often an owner lists the streams of its backend servers, in seconds.
 LIST_INTERVAL_S = 5.0
 #: After a dispatch that placed nothing, events that free no capacity don't
--- a/dandeliongw/cell/orders.py
+++ b/dandeliongw/cell/orders.py
@@ -62,7 +62,7 @@
 
     def epoch_if_held(self, name: str, now: float) -> int | None: ...
 
-    def may_order(
+    def epoch_for_unfenced_order(
         self, name: str, now: float, longest_order_s: float
     ) -> int | None: ...
 
@@ -400,8 +400,11 @@
             return HoldReason.FENCED
         if self._guard.epoch_if_held(self.cell, now) != self.epoch:
             return HoldReason.LEASE_NOT_HELD
-        if not engine.checks_fence and not self._guard.may_order(
-            self.cell, now, self.longest_order_s
+        if (
+            not engine.checks_fence
+            and not self._guard.epoch_for_unfenced_order(
+                self.cell, now, self.longest_order_s
+            )
         ):
             return HoldReason.PREDECESSOR_UNSETTLED
         if self._is_unsettled(now, engine, order):
--- a/dandeliongw/cell/owner.py
+++ b/dandeliongw/cell/owner.py
@@ -20,7 +20,7 @@
 #: Seconds between two reviews of the pools' sizes.
 ROLE_REVIEW_INTERVAL_S = 0.5
 #: The messages that are addressed to the owner of ``message.cell``.
-TO_OWNER = (
+OWNER_MESSAGES = (
     cells.Book,
     cells.PrefillDone,
     cells.Progress,
@@ -53,7 +53,7 @@
         self._presence = backends
         self._moves_engines = moves_engines
         self._roles_at = 0.0
-        self.ordering = order_dispatch.OrderDispatch(
+        self.order_dispatch = order_dispatch.OrderDispatch(
             directory=directory,
             leases=leases,
             backends=backends,
@@ -98,7 +98,7 @@
             now=now, cell=cell, epoch=epoch, awaited=instance_ids
         )
         self._takeovers_by_cell[cell] = current
-        self.ordering.gain(cell, epoch)
+        self.order_dispatch.gain(cell, epoch)
         return [*self._update_backends(now, cell), *current.announce()]
 
     def make_policy(self) -> policy.Policy:
@@ -126,7 +126,7 @@
         if cell not in self.cells_by_id or cell in self._takeovers_by_cell:
             return False
         self._epochs_by_cell.pop(cell, None)
-        self.ordering.drop(cell)
+        self.order_dispatch.drop(cell)
         self._kept_cells.add(cell)
         return True
 
@@ -140,7 +140,7 @@
         self._kept_cells.discard(cell)
         self.cells_by_id.pop(cell, None)
         self._takeovers_by_cell.pop(cell, None)
-        self.ordering.drop(cell)
+        self.order_dispatch.drop(cell)
 
     def change_document(
         self, now: float, instance_ids: frozenset[str]
@@ -158,7 +158,7 @@
                 self._drop(cell_id)
                 continue
             out.extend(cell.handle(cells.TermsChanged(now=now, terms=terms)))
-            self.ordering.update(now, cell)
+            self.order_dispatch.update(now, cell)
         for cell_id, epoch in list(self._epochs_by_cell.items()):
             if cell_id not in self.cells_by_id:
                 out.extend(self.gain(now, cell_id, epoch, instance_ids))
@@ -250,7 +250,7 @@
             *self._end_takeovers(event.now),
             *self.fallback_cells.tick(event),
             *self._review_roles(event.now),
-            *self.ordering.due_orders(event, self.cells_by_id),
+            *self.order_dispatch.due_orders(event, self.cells_by_id),
         ]
 
     def change_backend(self, now: float, backend_id: str) -> list[typing.Any]:
@@ -286,7 +286,7 @@
         for cell_id, cell in self.cells_by_id.items():
             if cell_id in self._kept_cells or not cell.review_roles(now):
                 continue
-            self.ordering.update(now, cell)
+            self.order_dispatch.update(now, cell)
             out += [
                 effects.log(
                     'an engine is moved to another pool',
@@ -361,7 +361,7 @@
             return []
         backends = self._backends_of(now, cell_id)
         out = cell.handle(cells.BackendsChanged(now=now, backends=backends))
-        self.ordering.update(now, cell)
+        self.order_dispatch.update(now, cell)
         return out
 
     def _backends_of(
--- a/dandeliongw/cell/succession.py
+++ b/dandeliongw/cell/succession.py
@@ -39,14 +39,14 @@
         directory: directory_module.Directory,
         owner: owner_module.Owner,
     ) -> None:
-        self.is_leaving = False
+        self.is_shutting_down = False
         self._instance_id = instance_id
         self._directory = directory
         self._owner = owner
         self._wanted: frozenset[str] | None = None
         self._requests_by_cell: dict[str, _OwnerRequests] = {}
 
-    def note_asked(self, now: float, cell: str) -> None:
+    def record_owner_request(self, now: float, cell: str) -> None:
         """Record a request from an entry for a cell that isn't owned here.
 
         Entries turn to a deputy when the owner doesn't answer. The owner's
@@ -72,10 +72,10 @@
 
     def hand_over(self, now: float) -> list[typing.Any]:
         """Release every cell to the first instance of its ranking."""
-        self.is_leaving = True
+        self.is_shutting_down = True
         # Cached ranks still include this instance, which would be its own
         # successor.
-        self._directory.forget_ranks()
+        self._directory.clear_rankings()
         out: list[typing.Any] = []
         for cell in list(self._owner.cells_by_id):
             successors = self._directory.ranked_owners(cell)
@@ -97,7 +97,7 @@
         """
         ranked = self._directory.ranked_owners(cell)
         if self._instance_id not in ranked:
-            is_last = self.is_leaving and not ranked
+            is_last = self.is_shutting_down and not ranked
             return is_last and cell in self._owner.cells_by_id
         rank = ranked.index(self._instance_id)
         if rank == 0:
--- a/dandeliongw/coordination/_backends.py
+++ b/dandeliongw/coordination/_backends.py
@@ -84,19 +84,25 @@
 
     :param lease_s: seconds without renewal after which a backend server
         receives no work.
-    :param memory_s: seconds for which leaves and expired backend servers are
-        retained.
-    :param outlasts_silence: whether leases are suspended while no
+    :param retention_s: seconds for which leaves and expired backend servers
+        are retained.
+    :param suspends_leases_in_outage: whether leases are suspended while no
         announcement or renewal of any backend server arrives.
     """
 
     def __init__(
-        self, *, lease_s: float, memory_s: float, outlasts_silence: bool
+        self,
+        *,
+        lease_s: float,
+        retention_s: float,
+        suspends_leases_in_outage: bool,
     ) -> None:
-        self._suspend_after_s = lease_s / 2 if outlasts_silence else math.inf
+        self._suspend_after_s = (
+            lease_s / 2 if suspends_leases_in_outage else math.inf
+        )
         self._received_at: float | None = None
         self._lease_s = lease_s
-        self._memory_s = memory_s
+        self._retention_s = retention_s
         self.by_id: dict[str, Backend] = {}
         self._left_by_id: dict[str, Stamp] = {}
         self._forget_left_by_id: dict[str, float] = {}
@@ -127,7 +133,7 @@
         since = now - LOWER_START_AFTER_S
         left, _ = self.left(backend_id)
         if left > announcement.incarnation and (
-            self._forget_left_by_id[backend_id] - self._memory_s <= since
+            self._forget_left_by_id[backend_id] - self._retention_s <= since
         ):
             del self._left_by_id[backend_id]
             del self._forget_left_by_id[backend_id]
@@ -198,7 +204,7 @@
         if stamp(departure) <= self.left(backend_id):
             return []
         self._left_by_id[backend_id] = stamp(departure)
-        self._forget_left_by_id[backend_id] = now + self._memory_s
+        self._forget_left_by_id[backend_id] = now + self._retention_s
         held = self.by_id.get(backend_id)
         return [] if held is None else self._refresh(now, held)
 
@@ -245,7 +251,7 @@
 
     def _forget(self, now: float) -> None:
         for backend_id, backend in list(self.by_id.items()):
-            if now >= backend.lease_until + self._memory_s:
+            if now >= backend.lease_until + self._retention_s:
                 del self.by_id[backend_id]
         for backend_id, end in list(self._forget_left_by_id.items()):
             if now >= end:
--- a/dandeliongw/coordination/_membership_view.py
+++ b/dandeliongw/coordination/_membership_view.py
@@ -36,11 +36,11 @@
 
     :param own: this instance.
     :param period_s: seconds between probes.
-    :param memory_s: seconds for which dead and left members are retained.
+    :param retention_s: seconds for which dead and left members are retained.
     """
 
     def __init__(
-        self, *, own: Member, period_s: float, memory_s: float
+        self, *, own: Member, period_s: float, retention_s: float
     ) -> None:
         self.own = own
         self.roster = Roster()
@@ -57,7 +57,7 @@
         #: Members suspected after a failed probe of this instance itself.
         self.suspected_here: set[str] = set()
         self._period_s = period_s
-        self._memory_s = memory_s
+        self._retention_s = retention_s
         self._received_at = 0.0
         self._verdicts_since_message: set[str] = set()
         self._suspicion_ends_by_id: dict[str, float] = {}
@@ -284,7 +284,7 @@
         if not _is_suspect_or_dead(member):
             self.contested.discard(instance_id)
         if member.state in (MemberState.DEAD, MemberState.LEFT):
-            self._forget_at_by_id[instance_id] = now + self._memory_s
+            self._forget_at_by_id[instance_id] = now + self._retention_s
         else:
             self._forget_at_by_id.pop(instance_id, None)
 
--- a/dandeliongw/coordination/checker.py
+++ b/dandeliongw/coordination/checker.py
@@ -6,9 +6,9 @@
 from . import ballot as ballots
 from . import configuration as configurations
 from . import confirmation
-from . import knowledge as knowledges
 from . import parts
 from . import register_messages as messages
+from . import register_state as state_module
 from . import unfinished_changes
 
 #: A lagging disk is sent the version at most once in this many confirmation
@@ -38,14 +38,14 @@
     def __init__(
         self,
         *,
-        knowledge: knowledges.Knowledge,
+        register_state: state_module.RegisterState,
         ttl_s: float,
         confirm: Confirm,
     ) -> None:
         #: Whether a check has found a change that its proposer left
         #: unfinished.
         self.is_repair_wanted = False
-        self._knowledge = knowledge
+        self._register_state = register_state
         self._ttl_s = ttl_s
         self._confirm = confirm
         self._waiting_requests_by_id: dict[
@@ -59,7 +59,8 @@
         self._is_check_requested = False
         self._caught_up_at_by_disk: dict[str, float] = {}
         self._detector = unfinished_changes.UnfinishedChangeDetector(
-            knowledge=knowledge, timeout_s=confirmation.CHECK_TIMEOUT * ttl_s
+            register_state=register_state,
+            timeout_s=confirmation.CHECK_TIMEOUT * ttl_s,
         )
 
     def start(self, first_id: int) -> None:
@@ -127,7 +128,7 @@
     def settle(self, now: float) -> list[typing.Any]:
         """End the latest check that confirms a version held here."""
         for check in reversed(self._checks_by_id.values()):
-            for versions in self._knowledge.histories:
+            for versions in self._register_state.histories:
                 version = versions.current
                 if version is not None and check.confirms(version):
                     return self._end(check, versions, now)
@@ -147,7 +148,7 @@
         return self._answer(check, versions, now)
 
     def _begin_if_due(self, now: float) -> list[typing.Any]:
-        if not self._knowledge.is_voter or self._check_id is None:
+        if not self._register_state.is_voter or self._check_id is None:
             return []
         if self._is_under_way(now) or not self._is_due(now):
             return []
@@ -179,19 +180,19 @@
         rotates with every check, so that every disk is queried regularly.
         While voters are joining, all disks of both sets are returned.
         """
-        voters = self._knowledge.voters
+        voters = self._register_state.voters
         disk_ids = sorted(voters.instance_by_disk)
         if voters.joining_by_id:
             return disk_ids
         start = self._check_id % len(disk_ids)
         rotated = [*disk_ids[start:], *disk_ids[:start]]
-        own = self._knowledge.disk_id
+        own = self._register_state.disk_id
         rotated.sort(key=lambda disk_id: disk_id != own)
         return rotated[: len(disk_ids) // 2 + 1 + SPARE_DISKS]
 
     def _query_others(self, check: confirmation.Check) -> list[parts.Send]:
         """Query the disks that were not queried at first."""
-        disk_ids = sorted(self._knowledge.voters.instance_by_disk)
+        disk_ids = sorted(self._register_state.voters.instance_by_disk)
         return self._query(
             check, [d for d in disk_ids if d not in check.queried]
         )
@@ -199,7 +200,7 @@
     def _query(
         self, check: confirmation.Check, disk_ids: abc.Iterable[str]
     ) -> list[parts.Send]:
-        instance_by_disk = self._knowledge.voters.instance_by_disk
+        instance_by_disk = self._register_state.voters.instance_by_disk
         sends = []
         for disk_id in disk_ids:
             check.queried.add(disk_id)
@@ -225,7 +226,7 @@
         check: confirmation.Check,
         message: messages.AcceptedReport,
     ) -> list[typing.Any]:
-        known = self._knowledge.known.ballot
+        known = self._register_state.known.ballot
         latest = check.fetched or known
         if message.accepted is None or message.accepted <= latest:
             return []
@@ -259,12 +260,12 @@
         self, report: messages.AcceptedReport, now: float
     ) -> list[typing.Any]:
         """Resend the accept request to a disk that missed it or is joining."""
-        version = self._knowledge.confirmed
+        version = self._register_state.confirmed
         if version is None or not _is_behind(report, version.ballot):
             return []
         if not self._is_own_turn_to_catch_up():
             return []
-        if self._knowledge.known.ballot != version.ballot:
+        if self._register_state.known.ballot != version.ballot:
             # A later version is known here and not confirmed yet. If the
             # confirmed one were sent now, the later one would follow soon,
             # as a full value again.
@@ -280,7 +281,7 @@
         self._caught_up_at_by_disk[disk_id] = now
         message = messages.AcceptVersion(
             to_disk_id=disk_id,
-            update=self._knowledge.update_to_confirmed(report.accepted),
+            update=self._register_state.update_to_confirmed(report.accepted),
         )
         return [parts.Send(to=instance_by_disk[disk_id], message=message)]
 
@@ -288,10 +289,10 @@
         # Every voter detects the lagging one. If all sent it the version,
         # possibly as a full value, it would receive most of a megabyte a
         # dozen times. So the voters take turns by check id.
-        voter_ids = self._knowledge.voter_ids
-        if self._knowledge.instance_id not in voter_ids:
+        voter_ids = self._register_state.voter_ids
+        if self._register_state.instance_id not in voter_ids:
             return False
-        turn = voter_ids.index(self._knowledge.instance_id)
+        turn = voter_ids.index(self._register_state.instance_id)
         return self._check_id % len(voter_ids) == turn
 
 
--- a/dandeliongw/coordination/confirmation.py
+++ b/dandeliongw/coordination/confirmation.py
@@ -39,7 +39,7 @@
 AVOID_FOR = 4.0
 
 
-class Asker:
+class ConfirmationRequester:
     """Requests confirmations of the configuration from the voters.
 
     A request that times out is followed by one to other voters.
--- a/dandeliongw/coordination/formation.py
+++ b/dandeliongw/coordination/formation.py
@@ -7,10 +7,10 @@
 
 from . import changes
 from . import configuration as configurations
-from . import knowledge as knowledges
 from . import parts
 from . import proposer as proposers
 from . import register_messages as messages
+from . import register_state as state_module
 
 #: Interval in seconds at which the first voters are queried for their disks.
 FORMATION_EVERY_S = 0.5
@@ -29,11 +29,11 @@
     def __init__(
         self,
         *,
-        knowledge: knowledges.Knowledge,
+        register_state: state_module.RegisterState,
         proposer: proposers.Proposer,
         initial_voters: tuple[str, ...],
     ) -> None:
-        self._knowledge = knowledge
+        self._register_state = register_state
         self._proposer = proposer
         self._initial_voters = initial_voters
         self._query_id = 0
@@ -95,13 +95,13 @@
         }
 
     def _may_form(self) -> bool:
-        knowledge = self._knowledge
+        register_state = self._register_state
         if not self._initial_voters:
             return False
         if any(job.forming_by_id for job in self._proposer.jobs):
             return False
         return (
-            knowledge.known.current is None
-            and knowledge.acceptor is not None
-            and knowledge.instance_id == min(self._initial_voters)
+            register_state.known.current is None
+            and register_state.acceptor is not None
+            and register_state.instance_id == min(self._initial_voters)
         )
--- a/dandeliongw/coordination/holder.py
+++ b/dandeliongw/coordination/holder.py
@@ -121,7 +121,7 @@
         # its lease expired may get here before any event is handled.
         return lease.epoch if now < lease.valid_until else None
 
-    def may_order(
+    def epoch_for_unfenced_order(
         self, name: str, now: float, longest_order_s: float
     ) -> int | None:
         """Return the epoch if no predecessor's order can still take effect.
--- a/dandeliongw/coordination/lease.py
+++ b/dandeliongw/coordination/lease.py
@@ -86,7 +86,7 @@
         """
         return self._holder.epoch_if_held(name, now)
 
-    def may_order(
+    def epoch_for_unfenced_order(
         self, name: str, now: float, longest_order_s: float
     ) -> int | None:
         """Return the epoch if engines without fencing may get an order.
@@ -94,7 +94,9 @@
         :param longest_order_s: most seconds from the check before an order's
             send until the order takes effect.
         """
-        return self._holder.may_order(name, now, longest_order_s)
+        return self._holder.epoch_for_unfenced_order(
+            name, now, longest_order_s
+        )
 
     def known_holder(self, name: str) -> str | None:
         """Return the last known holder of a name; it may be out of date."""
--- a/dandeliongw/coordination/membership.py
+++ b/dandeliongw/coordination/membership.py
@@ -57,7 +57,7 @@
     'InstanceInfo',
     'Leave',
     'MESSAGES',
-    'MOST_UNSEEN_PERIODS',
+    'MAX_DETECTION_PERIODS',
     'Member',
     'MemberChanged',
     'MemberForgotten',
@@ -81,7 +81,7 @@
 #: which the update spreads. Over 100 simulated losses among 12 instances the
 #: longest took 2.7 periods; with 4 % of messages lost, 2.8; with two other
 #: instances frozen, 3.2.
-MOST_UNSEEN_PERIODS = 3.5
+MAX_DETECTION_PERIODS = 3.5
 #: Members to which each instance sends an urgent update at once.
 URGENT_FANOUT = 3
 #: Members that a leaving instance notifies at once.
@@ -111,7 +111,7 @@
 #: partitions between regions last: an instance that was partitioned that long
 #: still has a member alive that left meanwhile, and gossips this once it
 #: reconnects.
-MEMORY_S = 24 * 3600.0
+RETENTION_S = 24 * 3600.0
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True):
@@ -135,7 +135,7 @@
     :param seeds_by_id: instances to contact first; this one may be among
         them.
     :param period_s: seconds between probes.
-    :param memory_s: seconds for which dead and left members are retained.
+    :param retention_s: seconds for which dead and left members are retained.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
         self_info: InstanceInfo,
         seeds_by_id: dict[str, InstanceInfo],
         period_s: float = PERIOD_S,
-        memory_s: float = MEMORY_S,
+        retention_s: float = RETENTION_S,
     ) -> None:
         own = Member(
             instance_id=instance_id,
@@ -159,7 +159,7 @@
         self.period_s = period_s
         self._seed_ids = seeds_by_id.keys() - {instance_id}
         self._view = MembershipView(
-            own=own, period_s=period_s, memory_s=memory_s
+            own=own, period_s=period_s, retention_s=retention_s
         )
         self._probing = Probing(period_s=period_s)
         self._comparison = Comparison(view=self._view, probing=self._probing)
--- a/dandeliongw/coordination/presence.py
+++ b/dandeliongw/coordination/presence.py
@@ -73,7 +73,7 @@
 LEASE_S = 3.0
 #: Seconds for which leaves are retained. A message may wait a few seconds in
 #: one of our queues, but minutes in a connection that stalls and recovers.
-MEMORY_S = 3600.0
+RETENTION_S = 3600.0
 #: Seconds for which renewals to the same instance are collected in a batch.
 BATCH_S = 0.2
 #: Seconds without a renewal after which the front requires a new announcement.
@@ -143,9 +143,9 @@
 
     :param instance_id: this instance.
     :param lease_s: seconds without renewal after which presence ends.
-    :param memory_s: seconds for which leaves are retained.
-    :param outlasts_silence: whether leases are suspended while no renewals
-        arrive from any backend server, because whatever carries all
+    :param retention_s: seconds for which leaves are retained.
+    :param suspends_leases_in_outage: whether leases are suspended while no
+        renewals arrive from any backend server, because whatever carries all
         heartbeats is down.
     """
 
@@ -154,16 +154,16 @@
         *,
         instance_id: str,
         lease_s: float = LEASE_S,
-        memory_s: float = MEMORY_S,
-        outlasts_silence: bool = False,
+        retention_s: float = RETENTION_S,
+        suspends_leases_in_outage: bool = False,
     ) -> None:
         self.instance_id = instance_id
         self.lease_s = lease_s
-        self._memory_s = memory_s
+        self._retention_s = retention_s
         self._backends = Backends(
             lease_s=lease_s,
-            memory_s=memory_s,
-            outlasts_silence=outlasts_silence,
+            retention_s=retention_s,
+            suspends_leases_in_outage=suspends_leases_in_outage,
         )
         self._fronts_by_id: dict[str, _Front] = {}
         self._instance_ids: tuple[str, ...] = (instance_id,)
--- a/dandeliongw/coordination/proposer.py
+++ b/dandeliongw/coordination/proposer.py
@@ -7,9 +7,9 @@
 from . import ballot as ballots
 from . import changes
 from . import configuration as configurations
-from . import knowledge as knowledges
 from . import parts
 from . import register_messages as messages
+from . import register_state as state_module
 
 #: Interval in seconds at which unanswered messages of an attempt are resent.
 RESEND_EVERY_S = 0.25
@@ -85,11 +85,11 @@
     def __init__(
         self,
         *,
-        knowledge: knowledges.Knowledge,
+        register_state: state_module.RegisterState,
         on_chosen: abc.Callable[[attempts.Attempt, float], list],
     ) -> None:
         self.jobs: list[Job] = []
-        self._knowledge = knowledge
+        self._register_state = register_state
         self._on_chosen = on_chosen
         self._attempt: attempts.Attempt | None = None
         self._attempt_started_at = 0.0
@@ -137,14 +137,17 @@
         if not self.jobs or self._attempt is not None or now < self._retry_at:
             return []
         job = self.jobs[0]
-        if self._knowledge.known.current is None and not job.forming_by_id:
+        if (
+            self._register_state.known.current is None
+            and not job.forming_by_id
+        ):
             return []
         job.tries += 1
-        confirmed = self._knowledge.confirmed
+        confirmed = self._register_state.confirmed
         self._attempt = attempts.Attempt(
             ballot=self._next_ballot(job),
             change=job.change,
-            known=self._knowledge.known,
+            known=self._register_state.known,
             chosen=None if confirmed is None else confirmed.ballot,
             forming_by_id=job.forming_by_id,
         )
@@ -210,14 +213,14 @@
         return self._attempt is not None and self._attempt.ballot == ballot
 
     def _next_ballot(self, job: Job) -> ballots.Ballot:
-        seen = [self._knowledge.known.ballot]
-        if self._knowledge.acceptor is not None:
-            seen.append(self._knowledge.acceptor.promised)
+        seen = [self._register_state.known.ballot]
+        if self._register_state.acceptor is not None:
+            seen.append(self._register_state.acceptor.promised)
         numbers = [ballot.number for ballot in seen if ballot is not None]
         self._highest_number = max(self._highest_number, *numbers, 0) + 1
         return ballots.Ballot(
             number=self._highest_number,
-            proposer=self._knowledge.instance_id,
+            proposer=self._register_state.instance_id,
             nonce=job.derive_bits('nonce'),
         )
 
--- a/dandeliongw/coordination/register.py
+++ b/dandeliongw/coordination/register.py
@@ -20,11 +20,11 @@
 from . import enforcement
 from . import formation as formations
 from . import hints as hinting
-from . import knowledge as knowledges
 from . import learners as learning
 from . import parts
 from . import proposer as proposers
 from . import register_messages as messages
+from . import register_state as state_module
 from . import standing as standings
 from . import sync_gate
 from .changes import Applied
@@ -219,24 +219,24 @@
         self._is_disk_caught_up = False
         self._replacements_by_ticket: dict[str, ReplaceVoter] = {}
         self._query_disks_at = 0.0
-        self._knowledge = knowledges.Knowledge(
+        self._register_state = state_module.RegisterState(
             instance_id=instance_id, disk_id=disk_id
         )
         self._gate = sync_gate.SyncGate(prefix=TOKEN_PREFIX)
         self._proposer = proposers.Proposer(
-            knowledge=self._knowledge, on_chosen=self._on_chosen
+            register_state=self._register_state, on_chosen=self._on_chosen
         )
         self._formation = formations.Formation(
-            knowledge=self._knowledge,
+            register_state=self._register_state,
             proposer=self._proposer,
             initial_voters=initial_voters,
         )
         self._checker = checkers.Checker(
-            knowledge=self._knowledge,
+            register_state=self._register_state,
             ttl_s=confirm_ttl_s,
             confirm=self._confirm,
         )
-        self._requester = confirmation.Asker(
+        self._requester = confirmation.ConfirmationRequester(
             instance_id=instance_id, ttl_s=confirm_ttl_s
         )
         self._monitor = standings.ConfirmationMonitor()
@@ -286,7 +286,7 @@
     @property
     def configuration(self) -> configurations.Configuration | None:
         """Return the last confirmed configuration; ``None`` before one."""
-        confirmed = self._knowledge.confirmed
+        confirmed = self._register_state.confirmed
         return None if confirmed is None else confirmed.configuration
 
     @property
@@ -295,7 +295,7 @@
 
         By this instance's monotonic clock, in seconds.
         """
-        return self._knowledge.confirmed_at
+        return self._register_state.confirmed_at
 
     @property
     def revision(self) -> int | None:
@@ -352,13 +352,13 @@
         confirmed_at = self.confirmed_at
         return confirmed_at is not None and now - confirmed_at < self._ttl_s
 
-    def standing(self, now: float) -> standings.Standing:
+    def standing(self, now: float) -> standings.ConfirmationStatus:
         """Return how current the configuration is."""
         configuration = self.configuration
         if configuration is None:
-            return standings.Standing(revision=None)
+            return standings.ConfirmationStatus(revision=None)
         at = self.confirmed_at
-        return standings.Standing(
+        return standings.ConfirmationStatus(
             revision=configuration.revision,
             order=configuration.order,
             confirmed_age_s=None if at is None else now - at,
@@ -398,15 +398,15 @@
 
     def restore(self, record: typing.Any) -> None:
         """Apply one journal record; records of other parts are ignored."""
-        acceptor = self._knowledge.acceptor
+        acceptor = self._register_state.acceptor
         if acceptor is None or not isinstance(record, messages.RECORDS):
             return
         acceptor.restore(record)
-        self._knowledge.learn_from_disk()
+        self._register_state.learn_from_disk()
 
     def snapshot(self) -> list[typing.Any]:
         """Return the records that rebuild this part."""
-        acceptor = self._knowledge.acceptor
+        acceptor = self._register_state.acceptor
         return [] if acceptor is None else acceptor.snapshot()
 
     def _on_ticked(self, event: parts.Ticked) -> list[typing.Any]:
@@ -420,7 +420,9 @@
             *self._checker.tick(event.now),
             *self._tick_requester(event.now),
             *self._learners.tick(
-                event.now, self._instance_ids, self._knowledge.known.ballot
+                event.now,
+                self._instance_ids,
+                self._register_state.known.ballot,
             ),
             *self._hints.tick(event.now, self.in_force),
             *self._monitor.tick(
@@ -470,20 +472,20 @@
     def _on_prepare(
         self, event: parts.Received, message: messages.PrepareBallot
     ) -> list[typing.Any]:
-        answer = self._knowledge.acceptor.prepare(message)
+        answer = self._register_state.acceptor.prepare(message)
         return self._reply(event.sender, answer)
 
     def _on_accept(
         self, event: parts.Received, message: messages.AcceptVersion
     ) -> list[typing.Any]:
-        answer = self._knowledge.acceptor.accept(message)
-        self._knowledge.learn_from_disk()
+        answer = self._register_state.acceptor.accept(message)
+        self._register_state.learn_from_disk()
         return self._reply(event.sender, answer)
 
     def _on_fetch(
         self, event: parts.Received, message: messages.FetchVersion
     ) -> list[typing.Any]:
-        versions = self._knowledge.acceptor.versions
+        versions = self._register_state.acceptor.versions
         if versions.current is None:
             return []
         reply = messages.VersionFetched(
@@ -497,7 +499,7 @@
         reply = messages.AcceptedReport(
             from_disk_id=self.disk_id,
             check_id=message.check_id,
-            accepted=self._knowledge.acceptor.accepted,
+            accepted=self._register_state.acceptor.accepted,
         )
         return self._reply(event.sender, acceptors.Answer(reply=reply))
 
@@ -556,7 +558,7 @@
     def _on_fetched(
         self, event: parts.Received, message: messages.VersionFetched
     ) -> list[typing.Any]:
-        self._knowledge.learn(message.update)
+        self._register_state.learn(message.update)
         return [
             *self._proposer.on_version_known(event.now),
             *self._checker.settle(event.now),
@@ -571,8 +573,8 @@
         # The change would then be in force at one instance only, until each
         # other instance's next regular confirmation.
         before = self.configuration
-        known = self._knowledge.known
-        self._knowledge.learn(attempt.update_from(known.ballot))
+        known = self._register_state.known
+        self._register_state.learn(attempt.update_from(known.ballot))
         revision = attempt.version.configuration.revision
         if before is None or before.revision < revision:
             self._hints.begin(revision, now)
@@ -628,7 +630,7 @@
         return self._proposer.add(job, event.now)
 
     def _is_recorded(self, change_id: str) -> bool:
-        known = self._knowledge.known.current
+        known = self._register_state.known.current
         if known is None:
             return False
         return known.configuration.find_change(change_id) is not None
@@ -661,7 +663,7 @@
     def _on_disk_query(
         self, event: parts.Received, message: messages.DiskQuery
     ) -> list[typing.Any]:
-        acceptor = self._knowledge.acceptor
+        acceptor = self._register_state.acceptor
         holds = acceptor is not None and acceptor.accepted is not None
         report = messages.DiskReport(
             query_id=message.query_id,
@@ -697,7 +699,7 @@
         That is the last step of its own joining, or the repair of a change
         that a proposer left unfinished.
         """
-        if self._knowledge.acceptor is None or self._proposer.jobs:
+        if self._register_state.acceptor is None or self._proposer.jobs:
             return
         change: changes.Change
         if self._is_ready_to_vote():
@@ -715,7 +717,7 @@
         self._proposer.add_after_backoff(job, event.now)
 
     def _is_ready_to_vote(self) -> bool:
-        version = self._knowledge.acceptor.versions.current
+        version = self._register_state.acceptor.versions.current
         if version is None or not self._is_disk_caught_up:
             return False
         return version.configuration.voters.is_joining(self.disk_id)
@@ -725,10 +727,10 @@
     def _on_confirm(
         self, event: parts.Received, message: messages.ConfirmConfiguration
     ) -> list[typing.Any]:
-        if self._knowledge.is_voter:
+        if self._register_state.is_voter:
             return self._checker.ask(event.sender, message, event.now)
         refusal = messages.ConfirmRefused(
-            ask_id=message.ask_id, voter_ids=self._knowledge.voter_ids
+            ask_id=message.ask_id, voter_ids=self._register_state.voter_ids
         )
         return [parts.Send(to=event.sender, message=refusal)]
 
@@ -740,11 +742,11 @@
     def _tick_requester(self, now: float) -> list[typing.Any]:
         if not self._requester.is_due(now):
             return []
-        if self._knowledge.is_voter and not self._is_overdue(now):
+        if self._register_state.is_voter and not self._is_overdue(now):
             return []
         return list(
             self._requester.tick(
-                now, self._candidates(), self._knowledge.known.ballot
+                now, self._candidates(), self._register_state.known.ballot
             )
         )
 
@@ -759,7 +761,7 @@
 
     def _candidates(self) -> list[str]:
         ids = (
-            *self._knowledge.voter_ids,
+            *self._register_state.voter_ids,
             *self._referred_ids,
             *self._contact_ids,
         )
@@ -773,12 +775,12 @@
         )
         if sent_at is None:
             return []
-        known = self._knowledge.known.current
+        known = self._register_state.known.current
         version = configurations.resolve(message.update, known)
         if version is None:
             self._requester.request_soon()
             return []
-        self._knowledge.learn(message.update)
+        self._register_state.learn(message.update)
         effects = self._confirm(version, sent_at, event.now)
         effects.extend(self._tick_requester(event.now))
         effects.extend(self._proposer.on_version_known(event.now))
@@ -799,7 +801,7 @@
         :param at: monotonic seconds of this instance.
         """
         before = self.configuration
-        if not self._knowledge.confirm(version, at):
+        if not self._register_state.confirm(version, at):
             return []
         self._learners.note_confirmation(now)
         return self._put_in_force(before, now)
@@ -811,7 +813,7 @@
 
         :param before: the configuration that was confirmed before.
         """
-        after = self._knowledge.confirmed.configuration
+        after = self._register_state.confirmed.configuration
         self._tracker.note_chosen(after.revision, now)
         effects: list[typing.Any] = []
         if before is None or before.revision != after.revision:
@@ -834,13 +836,13 @@
     def _on_learner_query(
         self, event: parts.Received, message: messages.LearnerQuery
     ) -> list[typing.Any]:
-        confirmed = self._knowledge.confirmed
+        confirmed = self._register_state.confirmed
         if confirmed is None:
             return []
         if message.base is not None and message.base >= confirmed.ballot:
             return []
         report = messages.LearnerReport(
-            update=self._knowledge.update_to_confirmed(message.base)
+            update=self._register_state.update_to_confirmed(message.base)
         )
         return [parts.Send(to=event.sender, message=report)]
 
@@ -848,7 +850,7 @@
         self, event: parts.Received, message: messages.LearnerReport
     ) -> list[typing.Any]:
         before = self.configuration
-        if not self._knowledge.adopt(message.update):
+        if not self._register_state.adopt(message.update):
             return []
         return [
             *self._put_in_force(before, event.now),
@@ -865,7 +867,7 @@
             reply = messages.RevisionConfirmed(revision=confirmed)
             return [parts.Send(to=event.sender, message=reply)]
         self._hints.add_hint_sender(event.sender)
-        if self._knowledge.is_voter:
+        if self._register_state.is_voter:
             return self._checker.check_soon(event.now)
         self._requester.request_soon()
         return self._tick_requester(event.now)
--- a/dandeliongw/coordination/knowledge.py
+++ b/dandeliongw/coordination/register_state.py
@@ -9,7 +9,7 @@
 from . import voters as voter_sets
 
 
-class Knowledge:
+class RegisterState:
     """The latest version received, and the latest one confirmed.
 
     :param disk_id: the identity of this instance's disk, if it has one.
--- a/dandeliongw/coordination/standing.py
+++ b/dandeliongw/coordination/standing.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Standing(msgspec.Struct, frozen=True, kw_only=True):
+class ConfirmationStatus(msgspec.Struct, frozen=True, kw_only=True):
     """A configuration and the age of its last confirmation.
 
     :param revision: ``None`` before the first configuration.
@@ -41,7 +41,7 @@
         slow.
     """
 
-    standing: Standing
+    standing: ConfirmationStatus
     asks: int
     late_answers: int
 
@@ -52,7 +52,7 @@
     :param lapsed_s: for how many seconds it was not.
     """
 
-    standing: Standing
+    standing: ConfirmationStatus
     lapsed_s: float
 
 
@@ -65,7 +65,7 @@
     def tick(
         self,
         now: float,
-        standing: Standing,
+        standing: ConfirmationStatus,
         *,
         asks: int,
         late_answers: int,
@@ -92,7 +92,9 @@
             )
         ]
 
-    def _regained(self, now: float, standing: Standing) -> list[typing.Any]:
+    def _regained(
+        self, now: float, standing: ConfirmationStatus
+    ) -> list[typing.Any]:
         if self._lapsed_at is None:
             return []
         lapsed_s, self._lapsed_at = now - self._lapsed_at, None
--- a/dandeliongw/coordination/unfinished_changes.py
+++ b/dandeliongw/coordination/unfinished_changes.py
@@ -6,7 +6,7 @@
 
 from . import ballot as ballots
 from . import confirmation
-from . import knowledge as knowledges
+from . import register_state as state_module
 
 
 class UnfinishedChangeDetector:
@@ -16,9 +16,9 @@
     """
 
     def __init__(
-        self, *, knowledge: knowledges.Knowledge, timeout_s: float
+        self, *, register_state: state_module.RegisterState, timeout_s: float
     ) -> None:
-        self._knowledge = knowledge
+        self._register_state = register_state
         self._timeout_s = timeout_s
         #: The latest ballot that any disk has reported, and when it was
         #: reported first.
@@ -48,7 +48,7 @@
             return False
         if check.started_at < self._latest_at + self._timeout_s:
             return False
-        voters = self._knowledge.voters
+        voters = self._register_state.voters
         return voters.has_quorum(set(check.accepted_by_disk)) and not any(
             voters.has_quorum(check.disks_holding(ballot))
             for ballot in set(check.accepted_by_disk.values())
--- a/dandeliongw/decisions.py
+++ b/dandeliongw/decisions.py
@@ -95,7 +95,7 @@
     age_ms: int
 
 
-class TriedAgain(OfRequest, frozen=True, kw_only=True):
+class AttemptFailed(OfRequest, frozen=True, kw_only=True):
     """An attempt failed; the request is retried or fails.
 
     :param again: whether it is retried.
--- a/dandeliongw/desks.py
+++ b/dandeliongw/desks.py
@@ -74,14 +74,14 @@
         return self._runtime.look(self._read_ready)
 
     def _read_ready(self, now: float) -> bool:
-        is_leaving = self._reducer.shutdown.is_leaving
-        return self._reducer.directory.is_fresh(now) and not is_leaving
+        is_shutting_down = self._reducer.shutdown.is_shutting_down
+        return self._reducer.directory.is_fresh(now) and not is_shutting_down
 
     def entries(self) -> list[membership.Entry]:
         return self._runtime.look(self._reducer.membership.entries)
 
 
-class BackendsDesk:
+class BackendsFacade:
     """Passes announcements, renewals and leaves of backend servers on."""
 
     def __init__(
--- a/dandeliongw/differences.py
+++ b/dandeliongw/differences.py
@@ -38,7 +38,7 @@
     fields: dict[str, tuple[typing.Any, typing.Any]]
 
 
-class CarriedOver(msgspec.Struct, frozen=True, kw_only=True):
+class MergeResult(msgspec.Struct, frozen=True, kw_only=True):
     """The outcome of :func:`carry_over`.
 
     :param tree: the document with the changes that could be carried.
@@ -76,7 +76,7 @@
     return found
 
 
-def carry_over(*, base: Tree, mine: Tree, theirs: Tree) -> CarriedOver:
+def carry_over(*, base: Tree, mine: Tree, theirs: Tree) -> MergeResult:
     """Make my changes again in the document that others have changed.
 
     An item that both changed, and not alike, stays as theirs is and is
@@ -94,7 +94,7 @@
             tree = replace(tree, change.section, change.key, wanted)
         elif wanted != found:
             left_out.append(change)
-    return CarriedOver(tree=tree, left_out=tuple(left_out))
+    return MergeResult(tree=tree, left_out=tuple(left_out))
 
 
 def replace(tree: Tree, section: str, key: str, item: Item | None) -> Tree:
--- a/dandeliongw/directory.py
+++ b/dandeliongw/directory.py
@@ -71,7 +71,7 @@
             return True
         return self._configuration.is_fresh(now)
 
-    def standing(self, now: float) -> standings.Standing:
+    def standing(self, now: float) -> standings.ConfirmationStatus:
         """Return when the document was last confirmed by a majority."""
         return self._configuration.standing(now)
 
@@ -99,7 +99,7 @@
             self._ranks_by_cell[cell] = self._rank(cell)
         return self._ranks_by_cell[cell]
 
-    def forget_ranks(self) -> None:
+    def clear_rankings(self) -> None:
         """Drop cached rankings and counts after a change of the members."""
         self._ranks_by_cell.clear()
         self._entries = None
@@ -172,7 +172,7 @@
         return self._own_id
 
     @property
-    def places_alone(self) -> bool:
+    def places_without_owner(self) -> bool:
         """Whether this entry places work itself if a cell's owner is silent.
 
         With many entries this would only refuse callers with "no backend
--- a/dandeliongw/document.py
+++ b/dandeliongw/document.py
@@ -118,7 +118,7 @@
 
     name: models.Name
     """What routes and accounts refer to."""
-    rank: models.NotNegativeInt
+    rank: models.NonNegativeInt
     """0 is the most urgent."""
     max_wait_s: models.Positive
     """Work that has waited so long goes ahead of more urgent work."""
--- a/dandeliongw/effects.py
+++ b/dandeliongw/effects.py
@@ -114,7 +114,7 @@
     reason: verdict.RetryReason
 
 
-class CountWaste(msgspec.Struct, frozen=True, kw_only=True):
+class CountWastedTokens(msgspec.Struct, frozen=True, kw_only=True):
     """Count prompt tokens whose prefill result was not used."""
 
     reason: waste.WasteReason
@@ -150,7 +150,7 @@
     CALL = 'call'
 
 
-class Took(msgspec.Struct, frozen=True, kw_only=True):
+class PhaseDuration(msgspec.Struct, frozen=True, kw_only=True):
     """Record the duration of a finished phase of a request."""
 
     part: Part
@@ -158,7 +158,7 @@
     seconds: float
 
 
-class PassedStream(msgspec.Struct, frozen=True, kw_only=True):
+class PassThroughStream(msgspec.Struct, frozen=True, kw_only=True):
     """Record a complete stream that was passed on without parsing its tokens.
 
     :param first_token_s: seconds from the request's arrival to the first
@@ -207,7 +207,7 @@
     queue: int
 
 
-class Observed(msgspec.Struct, frozen=True, kw_only=True):
+class GaugeValues(msgspec.Struct, frozen=True, kw_only=True):
     """Set the gauges to these values.
 
     :param confirmed_age_s: seconds since a majority confirmed the revision;
--- a/dandeliongw/engine.py
+++ b/dandeliongw/engine.py
@@ -54,7 +54,7 @@
     known: verdict.Verdict = verdict.Verdict.RAN
 
 
-class Head(msgspec.Struct, frozen=True, kw_only=True):
+class ResponseHead(msgspec.Struct, frozen=True, kw_only=True):
     """Status and headers of an answer that is streamed to the caller."""
 
     status: int
@@ -123,7 +123,7 @@
         max_tokens: int,
         from_offset: int,
         deadline_s: float,
-    ) -> abc.Generator[Piece | Head, None, None]: ...
+    ) -> abc.Generator[Piece | ResponseHead, None, None]: ...
 
     def cancel(self, *, stream_id: str, attempt_id: str) -> None: ...
 
@@ -134,7 +134,7 @@
         ...
 
 
-class PlainCaller(typing.Protocol):
+class PlainServiceAdapter(typing.Protocol):
     """Sends a single call to a plain service."""
 
     def call(
@@ -144,7 +144,7 @@
         path: str,
         body: bytes,
         headers: abc.Mapping[str, str],
-        most_bytes: int,
+        max_bytes: int,
     ) -> Reply: ...
 
     def abort(self) -> None:
--- a/dandeliongw/entry/admission.py
+++ b/dandeliongw/entry/admission.py
@@ -40,7 +40,7 @@
         """Whether a majority confirmed the document recently enough."""
         ...
 
-    def standing(self, now: float) -> standings.Standing:
+    def standing(self, now: float) -> standings.ConfirmationStatus:
         """How current the document is."""
         ...
 
@@ -52,7 +52,7 @@
         ...
 
     @property
-    def places_alone(self) -> bool:
+    def places_without_owner(self) -> bool:
         """Whether it places requests while an owner is unresponsive."""
         ...
 
@@ -75,7 +75,7 @@
     max_runs: int | None = None
     #: Whether the call is forwarded unchanged. Prefill then does not count as
     #: running it, and every send to a decode engine is a run of its own.
-    is_passed_on: bool = False
+    is_pass_through: bool = False
     #: Seconds without a piece after which its client disconnects; ``None`` if
     #: not known.
     patience_s: float | None = None
@@ -192,7 +192,7 @@
             streamed=streamed,
             timeout_s=found.timeout_s,
             max_runs=found.max_runs,
-            is_passed_on=True,
+            is_pass_through=True,
             patience_s=found.patience_s if streamed else None,
             is_resent=(
                 call.deadline_s is not None
--- a/dandeliongw/entry/attempts.py
+++ b/dandeliongw/entry/attempts.py
@@ -37,7 +37,7 @@
         reservations: reservations.Reservations,
         endings: endings.Endings,
         budgets: retries.RetryBudgets,
-        holds: hold_module.Holds,
+        holds: hold_module.QuarantineCheck,
     ) -> None:
         self._holds = holds
         self._reservations = reservations
@@ -191,7 +191,7 @@
     *,
     again: bool,
 ) -> effects.Log:
-    return decisions.TriedAgain(
+    return decisions.AttemptFailed(
         request_id=request.request_id,
         attempt_id=request.attempt_id,
         again=again,
--- a/dandeliongw/entry/holds.py
+++ b/dandeliongw/entry/holds.py
@@ -34,7 +34,7 @@
 MIN_TRIAL_RETRY_S = 2.0
 
 
-class Holds:
+class QuarantineCheck:
     """Checks the calls of this entry against the quarantine.
 
     While the quarantine is empty, no fingerprints are computed for the check.
--- a/dandeliongw/entry/refusals.py
+++ b/dandeliongw/entry/refusals.py
@@ -33,7 +33,7 @@
     if not tokens:
         return []
     named = _WASTE_BY_REASON.get(reason) or waste.WasteReason(reason.value)
-    return [effects.CountWaste(reason=named, tokens=tokens)]
+    return [effects.CountWastedTokens(reason=named, tokens=tokens)]
 
 
 def for_unclaimed_key(refusal: verdict.Refusal) -> verdict.Refusal:
--- a/dandeliongw/entry/relay.py
+++ b/dandeliongw/entry/relay.py
@@ -33,13 +33,14 @@
 PASSED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
-class Work(msgspec.Struct, frozen=True, kw_only=True):
+class RequestPayload(msgspec.Struct, frozen=True, kw_only=True):
     """The parts of a client's request that the reducer does not need.
 
-    :param is_passed_on: the answer is forwarded unchanged, and when a stream
-        is resumed, the engine continues the numbering of its pieces.
-    :param most_bytes: upper bound for the body of a plain service's answer.
-    :param pieces_held: number of stream pieces that the client already has.
+    :param is_pass_through: the answer is forwarded unchanged, and when a
+        stream is resumed, the engine continues the numbering of its pieces.
+    :param max_bytes: upper bound for the body of a plain service's answer.
+    :param pieces_received: number of stream pieces that the client already
+        has.
     """
 
     prompt: str = ''
@@ -47,9 +48,9 @@
     path: str = ''
     body: bytes = b''
     headers: tuple[tuple[str, str], ...] = ()
-    most_bytes: int = 8 << 20
-    is_passed_on: bool = False
-    pieces_held: int = 0
+    max_bytes: int = 8 << 20
+    is_pass_through: bool = False
+    pieces_received: int = 0
 
 
 class Finished(msgspec.Struct, frozen=True, kw_only=True):
@@ -68,18 +69,18 @@
     """Creates the adapters that connect a relay to backend servers."""
 
     def model_engine(
-        self, url: str, backend_id: str, pieces_held: int
+        self, url: str, backend_id: str, pieces_received: int
     ) -> engine.Engine:
         """Return an adapter for an engine.
 
-        :param pieces_held: number of stream pieces that the client already
+        :param pieces_received: number of stream pieces that the client already
             has.
         """
         ...
 
     def plain_service(
         self, url: str, backend_id: str, timeout_s: float
-    ) -> engine.PlainCaller: ...
+    ) -> engine.PlainServiceAdapter: ...
 
 
 class Post(typing.Protocol):
@@ -101,7 +102,7 @@
         *,
         request_id: str,
         call: events.Call,
-        work: Work,
+        work: RequestPayload,
         backends: Backends,
         post: Post,
         clock: abc.Callable[[], float] = clock_module.now,
@@ -117,7 +118,7 @@
         ] = queue.SimpleQueue()
         self._cancellations = cancellations.Cancellations()
         self._text: list[str] = []
-        self._offset = work.pieces_held
+        self._offset = work.pieces_received
         # Offset in the answer at which the current engine starts counting.
         self._base = 0
         self._late_pieces = 0
@@ -136,7 +137,9 @@
 
     def pieces(
         self,
-    ) -> abc.Iterator[engine.Head | engine.Piece | Finished | verdict.Refusal]:
+    ) -> abc.Iterator[
+        engine.ResponseHead | engine.Piece | Finished | verdict.Refusal
+    ]:
         """Yield the pieces of the answer as they arrive, then its end.
 
         A stream that is forwarded unchanged begins with its head. The last
@@ -266,7 +269,7 @@
             # When a decode engine failed mid-stream, the text that the
             # client already has becomes part of the prompt, and the new
             # engine counts tokens from the end of that text.
-            self._base = 0 if self._work.is_passed_on else self._offset
+            self._base = 0 if self._work.is_pass_through else self._offset
             done = adapter.prefill(
                 stream_id=self.request_id,
                 attempt_id=directive.attempt_id,
@@ -297,7 +300,7 @@
             except engine.EngineError as error:
                 # An answer that lacks only its end mark is complete.
                 lacks_more = (
-                    self._work.is_passed_on
+                    self._work.is_pass_through
                     or self._offset < self.call.max_tokens
                 )
                 if directive.kv or lacks_more:
@@ -355,7 +358,7 @@
         )
         with contextlib.closing(pieces):
             for piece in pieces:
-                if isinstance(piece, engine.Head):
+                if isinstance(piece, engine.ResponseHead):
                     yield from self._forward_first_head(piece)
                     continue
                 if piece.attempt_id != directive.attempt_id:
@@ -372,7 +375,7 @@
                 measure.arrived(self._clock())
                 if self._offset == 0:
                     self._first_token_at = measure.first_at
-                if not self._work.is_passed_on:
+                if not self._work.is_pass_through:
                     self._text.append(piece.text)
                 self._offset += 1
                 yield msgspec.structs.replace(piece, offset=offset)
@@ -384,8 +387,8 @@
         )
 
     def _forward_first_head(
-        self, head: engine.Head
-    ) -> abc.Iterator[engine.Head]:
+        self, head: engine.ResponseHead
+    ) -> abc.Iterator[engine.ResponseHead]:
         """Forward the head of the first run and drop those of later runs."""
         if not self._has_sent_head:
             self._has_sent_head = True
@@ -408,9 +411,9 @@
                     'X-Attempt-Id': directive.attempt_id,
                     'X-Deadline-S': f'{left_s:.3f}',
                 },
-                most_bytes=self._work.most_bytes,
+                max_bytes=self._work.max_bytes,
             )
-        if self._work.is_passed_on and reply.status >= FIRST_FAILURE_STATUS:
+        if self._work.is_pass_through and reply.status >= FIRST_FAILURE_STATUS:
             self._failed_reply = reply
             raise engine.EngineError(
                 f'the backend server answered {reply.status}',
--- a/dandeliongw/entry/replies.py
+++ b/dandeliongw/entry/replies.py
@@ -251,7 +251,7 @@
         ]
 
 
-def _wait_time(now: float, request: Request) -> effects.Took:
+def _wait_time(now: float, request: Request) -> effects.PhaseDuration:
     """Return the time that the request spent in booking or in the queue."""
     if request.phase is Phase.QUEUED:
         return request.duration(effects.Part.QUEUE, now - request.phase_at)
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -129,7 +129,7 @@
         A call that is forwarded unchanged runs anew at each engine that it is
         sent to. Other calls run once, even if their KV cache is moved.
         """
-        return not self.admitted.is_passed_on or self.may_run_again
+        return not self.admitted.is_pass_through or self.may_run_again
 
     @property
     def has_used_up_runs(self) -> bool:
@@ -145,7 +145,7 @@
     @property
     def is_running(self) -> bool:
         """Whether a backend server may be running it now."""
-        if self.phase is Phase.PREFILL and self.admitted.is_passed_on:
+        if self.phase is Phase.PREFILL and self.admitted.is_pass_through:
             return False
         return self.phase in WORKING
 
@@ -186,9 +186,13 @@
         )
         return BookedBackend(start=start, url=url)
 
-    def duration(self, part: effects.Part, seconds: float) -> effects.Took:
+    def duration(
+        self, part: effects.Part, seconds: float
+    ) -> effects.PhaseDuration:
         """Return the effect that records the duration of a part."""
-        return effects.Took(part=part, service=self.service, seconds=seconds)
+        return effects.PhaseDuration(
+            part=part, service=self.service, seconds=seconds
+        )
 
     def left_s(self, now: float) -> float:
         """Return the seconds until the deadline, at least 0."""
--- a/dandeliongw/entry/requests.py
+++ b/dandeliongw/entry/requests.py
@@ -58,10 +58,10 @@
     :param gate: admission control.
     :param holds: quarantined calls, which are not sent to backend servers.
     :param budgets: retry budgets by service.
-    :param most_claimed_s: upper bound in seconds for the deadline of a call
+    :param max_claimed_s: upper bound in seconds for the deadline of a call
         with a claim, because claims are retained for a limited time only.
-    :param early_s: seconds after the start during which calls wait for the
-        first configuration; by default they are refused at once.
+    :param startup_wait_s: seconds after the start during which calls wait for
+        the first configuration; by default they are refused at once.
     """
 
     def __init__(
@@ -69,16 +69,16 @@
         *,
         directory: admission.Directory,
         gate: admission.Admission,
-        holds: hold_module.Holds,
+        holds: hold_module.QuarantineCheck,
         budgets: retries.RetryBudgets,
-        most_claimed_s: float = float('inf'),
-        early_s: float = 0.0,
+        max_claimed_s: float = float('inf'),
+        startup_wait_s: float = 0.0,
     ) -> None:
         self._directory = directory
         self._gate = gate
         self.holds = holds
         self._crashes = crash_detection.CrashDetector()
-        self._most_claimed_s = most_claimed_s
+        self._max_claimed_s = max_claimed_s
         self._budgets = budgets
         self._reservations = reservations.Reservations(directory=directory)
         self._endings = endings.Endings(reservations=self._reservations)
@@ -98,7 +98,7 @@
         )
         self.requests_by_id: dict[str, Request] = {}
         self._startup_queue = startup_queue.StartupQueue(
-            directory=directory, startup_s=early_s
+            directory=directory, startup_s=startup_wait_s
         )
         self._trials = trials.Trials(
             holds=holds, attempts=self._attempts, endings=self._endings
@@ -158,7 +158,7 @@
         call = event.call
         limit_s = admitted.timeout_s
         if call.idempotency_key is not None:
-            limit_s = min(limit_s, self._most_claimed_s)
+            limit_s = min(limit_s, self._max_claimed_s)
         if call.deadline_s is not None:
             limit_s = min(limit_s, call.deadline_s)
         return Request(
@@ -475,10 +475,10 @@
                 now, request, refusals.no_owner(request)
             )
         waited_s = now - request.asked_at
-        is_silent = waited_s >= reservations.OWNER_SILENT_S
+        is_silent = waited_s >= reservations.OWNER_TIMEOUT_S
         if is_silent and self._reservations.may_place_without_owner:
             return self._reservations.place_without_owner(now, request)
-        if waited_s < reservations.OWNER_ANSWER_S:
+        if waited_s < reservations.OWNER_RETRY_S:
             return []
         asked = self._reservations.book(now, request)
         return self._attempts.handle_no_owner(now, request, asked)
@@ -535,9 +535,9 @@
         out.append(
             request.duration(effects.Part.TRANSFER, first_at - began_at)
         )
-    if request.admitted.is_passed_on and event.first_token_at is not None:
+    if request.admitted.is_pass_through and event.first_token_at is not None:
         out.append(
-            effects.PassedStream(
+            effects.PassThroughStream(
                 service=request.service,
                 first_token_s=event.first_token_at - request.arrived_at,
                 token_gap_s=event.token_gap_s,
--- a/dandeliongw/entry/reservations.py
+++ b/dandeliongw/entry/reservations.py
@@ -15,12 +15,12 @@
 from . import request as request_module
 
 #: Seconds without an answer after which a booking is sent again.
-OWNER_ANSWER_S = 0.25
+OWNER_RETRY_S = 0.25
 #: Seconds without an answer after which the owner counts as unresponsive and
 #: the entry places requests itself. An answer takes some 5 ms; this timeout
 #: is many times that on a busy machine, and a small part of any latency
 #: target.
-OWNER_SILENT_S = 0.15
+OWNER_TIMEOUT_S = 0.15
 #: Interval in seconds at which one request probes an unresponsive owner while
 #: the entry places requests itself.
 PROBE_S = 0.5
@@ -90,7 +90,7 @@
     @property
     def may_place_without_owner(self) -> bool:
         """Whether this entry may place requests without the cell's owner."""
-        return self._directory.places_alone
+        return self._directory.places_without_owner
 
     def place_without_owner(
         self, now: float, request: request_module.Request
@@ -198,7 +198,7 @@
             expected_tokens=call.expected_tokens,
             unowned=request.is_unowned,
             resent=request.admitted.is_resent,
-            may_read_there=request.admitted.is_passed_on,
+            may_read_there=request.admitted.is_pass_through,
         )
         return parts.Send(to=request.owner, message=book)
 
@@ -287,7 +287,7 @@
         self, now: float, requests: abc.Iterable[request_module.Request]
     ) -> Effects:
         """Renew all bookings, once a second, with one message per cell."""
-        if now - self._progress_at < cells.PROGRESS_EVERY_S:
+        if now - self._progress_at < cells.PROGRESS_INTERVAL_S:
             return []
         self._progress_at = now
         held_by_cell: dict[str, list[request_module.Request]] = {}
--- a/dandeliongw/entry/trials.py
+++ b/dandeliongw/entry/trials.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         *,
-        holds: hold_module.Holds,
+        holds: hold_module.QuarantineCheck,
         attempts: attempts.Attempts,
         endings: endings.Endings,
     ) -> None:
--- a/dandeliongw/exceptions.py
+++ b/dandeliongw/exceptions.py
@@ -133,13 +133,13 @@
         super().__init__(message=f'data folder {path!r}: {reason}')
 
 
-class InstanceBroken(DandeliongwError):
+class InstanceFailed(DandeliongwError):
     """A running instance can't go on: its disk failed, or its id is taken."""
 
     exit_code = ExitCode.UNAVAILABLE
 
 
-class ShutdownCutOff(DandeliongwError):
+class ShutdownTimedOut(DandeliongwError):
     """A graceful shutdown ran out of time.
 
     :param requests: how many were broken off; the log names them.
--- a/dandeliongw/exchange.py
+++ b/dandeliongw/exchange.py
@@ -197,7 +197,7 @@
         )
         return has_end and not closes and self._connection.sock is not None
 
-    def disown(self) -> None:
+    def prevent_reuse(self) -> None:
         """Prevent reuse: an answer on the connection was for another call."""
         self._is_complete = False
 
--- a/dandeliongw/hosts.py
+++ b/dandeliongw/hosts.py
@@ -31,7 +31,7 @@
 
     service: models.Name
     """The service."""
-    weight: models.NotNegativeInt = 1
+    weight: models.NonNegativeInt = 1
     """Its share of the calls, relative to the weights of the other targets."""
 
 
--- a/dandeliongw/http_backends.py
+++ b/dandeliongw/http_backends.py
@@ -275,7 +275,7 @@
         path: str,
         body: bytes,
         headers: abc.Mapping[str, str],
-        most_bytes: int,
+        max_bytes: int,
     ) -> engine.Reply:
         """Return the complete answer.
 
@@ -286,7 +286,7 @@
         try:
             self._exchange.open()
             response = self._exchange.send(method, path, body, headers)
-            content = self._exchange.read(response, most_bytes)
+            content = self._exchange.read(response, max_bytes)
         finally:
             self._exchange.close()
         is_not_run = response.headers.get(NOT_RUN_HEADER, '') == 'true'
@@ -313,7 +313,7 @@
         self._timeouts = timeouts
 
     def model_engine(
-        self, url: str, backend_id: str, pieces_held: int
+        self, url: str, backend_id: str, pieces_received: int
     ) -> HttpEngine:
         return self.engine_at(url, backend_id)
 
--- a/dandeliongw/joining.py
+++ b/dandeliongw/joining.py
@@ -41,7 +41,7 @@
 
     instance_id: models.Name
     """Id of the instance."""
-    host: settings_module.IpNumber
+    host: settings_module.IpAddress
     """IP address that other instances connect to."""
     port: settings_module.Port
     """Its ``peer`` port."""
--- a/dandeliongw/metrics.py
+++ b/dandeliongw/metrics.py
@@ -53,7 +53,7 @@
     MISSED = 'missed'
 
 
-class WatchedGauge(registry_module.Collector):
+class CallbackGauge(registry_module.Collector):
     """A gauge over values that a part keeps, read when it is shown.
 
     :param label: its only label, or ``None``; its values are the keys.
@@ -82,7 +82,7 @@
         yield family
 
 
-class WatchedCounter(registry_module.Collector):
+class CallbackCounter(registry_module.Collector):
     """A counter over counts that a part keeps, read when it is shown.
 
     The part stays free of metrics, and nothing can be counted twice or left
@@ -318,7 +318,7 @@
         """Record the time from a request's arrival to its first token."""
         self.first_token.labels(service).observe(seconds)
 
-    def observe_part(self, took: effects.Took) -> None:
+    def observe_phase(self, took: effects.PhaseDuration) -> None:
         """Record how long a part of a request's way took."""
         self.parts.labels(took.service, took.part.value).observe(took.seconds)
 
@@ -335,7 +335,7 @@
         self.slots_used.labels(pool).set(used)
         self.queue.labels(pool).set(queue)
 
-    def forget_pool(self, pool: str) -> None:
+    def remove_pool(self, pool: str) -> None:
         """Drop a pool's gauges once the document no longer has it.
 
         They would stay at their last values, and look like spare slots.
@@ -367,9 +367,9 @@
         text: str,
         label: str | None,
         values: abc.Sequence[str],
-    ) -> WatchedCounter:
+    ) -> CallbackCounter:
         self._remember(name, (label,) if label else ())
-        counter = WatchedCounter(
+        counter = CallbackCounter(
             name=f'{NAMESPACE}_{name}', text=text, label=label, values=values
         )
         self.registry.register(counter)
@@ -377,9 +377,9 @@
 
     def _watched_gauge(
         self, name: str, text: str, label: str | None
-    ) -> WatchedGauge:
+    ) -> CallbackGauge:
         self._remember(name, (label,) if label else ())
-        gauge = WatchedGauge(
+        gauge = CallbackGauge(
             name=f'{NAMESPACE}_{name}', text=text, label=label
         )
         self.registry.register(gauge)
--- a/dandeliongw/models.py
+++ b/dandeliongw/models.py
@@ -27,9 +27,9 @@
 ]
 Positive = typing.Annotated[float, pydantic.Field(gt=0)]
 #: Messages between instances carry whole numbers in 64 bits with a sign.
-END_OF_INTS = 1 << 63
-PositiveInt = typing.Annotated[int, pydantic.Field(gt=0, lt=END_OF_INTS)]
-NotNegativeInt = typing.Annotated[int, pydantic.Field(ge=0, lt=END_OF_INTS)]
+INT64_END = 1 << 63
+PositiveInt = typing.Annotated[int, pydantic.Field(gt=0, lt=INT64_END)]
+NonNegativeInt = typing.Annotated[int, pydantic.Field(ge=0, lt=INT64_END)]
 
 _MEANINGS_BY_PATTERN = {
     r'^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$': (
--- a/dandeliongw/operations.py
+++ b/dandeliongw/operations.py
@@ -21,7 +21,7 @@
 _EMPTY = document_module.document_bytes(document_module.EMPTY)
 
 
-class OperatorsControl:
+class OperatorsFacade:
     """Operations and data for operators; a ``control.Control``."""
 
     def __init__(
--- a/dandeliongw/reducer.py
+++ b/dandeliongw/reducer.py
@@ -133,7 +133,7 @@
         self.presence = presence.Presence(
             instance_id=settings.instance_id,
             lease_s=settings.timeouts.presence_s,
-            outlasts_silence=settings.unconfirmed == 'serve',
+            suspends_leases_in_outage=settings.unconfirmed == 'serve',
         )
         self.directory = directory_module.Directory(
             settings=settings,
@@ -152,7 +152,7 @@
         self.requests = requests.Requests(
             directory=self.directory,
             gate=self.admission,
-            holds=holds.Holds(
+            holds=holds.QuarantineCheck(
                 quarantine=self.quarantine,
                 fingerprints=fingerprints.Fingerprints(
                     secret=settings.peer_secret.encode()
@@ -167,8 +167,8 @@
             ),
             # The claims part rejects an attempt that could still run when
             # its record has expired.
-            most_claimed_s=settings.timeouts.claim_retention_s / 2,
-            early_s=settings.timeouts.first_configuration_s,
+            max_claimed_s=settings.timeouts.claim_retention_s / 2,
+            startup_wait_s=settings.timeouts.first_configuration_s,
         )
         self.owner = owner_module.Owner(
             directory=self.directory,
@@ -335,7 +335,7 @@
                 self.owner.handle_in_all,
                 (cells.StreamCancelled, cells.StreamsListed),
             ),
-            (self.owner.ordering.answer, (orders.OrderAnswered,)),
+            (self.owner.order_dispatch.answer, (orders.OrderAnswered,)),
             (self._tick, (parts.Ticked,)),
             (self._receive, (parts.Received,)),
             (self._on_persisted, (parts.Persisted,)),
@@ -361,12 +361,12 @@
             (self.membership.handle, membership.MESSAGES),
             (self.presence.handle, presence.MESSAGES),
             (self.quarantine.handle, quarantine.MESSAGES),
-            (self._receive_as_owner, owner_module.TO_OWNER),
+            (self._receive_as_owner, owner_module.OWNER_MESSAGES),
             (self._reclaim, (cells.ReclaimWanted,)),
             (
                 self._receive_as_entry,
                 set(cells.MESSAGES)
-                - {*owner_module.TO_OWNER, cells.ReclaimWanted},
+                - {*owner_module.OWNER_MESSAGES, cells.ReclaimWanted},
             ),
         ]
         return {
@@ -484,7 +484,7 @@
         if isinstance(message, cells.Book) and (
             message.cell not in self.owner.cells_by_id
         ):
-            self.succession.note_asked(event.now, message.cell)
+            self.succession.record_owner_request(event.now, message.cell)
             self._review_at = event.now
         return self.owner.receive(event)
 
@@ -734,7 +734,7 @@
         self, now: float, effect: typing.Any
     ) -> list[typing.Any]:
         self._review_at = now
-        self.directory.forget_ranks()
+        self.directory.clear_rankings()
         if isinstance(effect, membership.MemberForgotten):
             self._membership_log.forget(effect.instance_id)
             return [effects.PeerForgotten(instance_id=effect.instance_id)]
@@ -783,10 +783,10 @@
             *self._membership_log.tick(now),
         ]
 
-    def _observe(self, now: float) -> effects.Observed:
+    def _observe(self, now: float) -> effects.GaugeValues:
         state = self.register
         age = None if state.confirmed_at is None else now - state.confirmed_at
-        return effects.Observed(
+        return effects.GaugeValues(
             revision=state.revision or 0,
             confirmed_age_s=age,
             members=len(self._instance_ids),
@@ -861,7 +861,9 @@
     )
 
 
-def _confirmation_fields(standing: standings.Standing) -> dict[str, str]:
+def _confirmation_fields(
+    standing: standings.ConfirmationStatus,
+) -> dict[str, str]:
     """Return the log fields on a configuration and its confirmation."""
     age_s = standing.confirmed_age_s
     return {
--- a/dandeliongw/repair.py
+++ b/dandeliongw/repair.py
@@ -20,7 +20,7 @@
 #: Seconds for which a voter is not alive before it may be replaced. A restart
 #: takes two. After a longer network partition the voter loses its vote, and
 #: rejoins as a new one.
-GONE_S = 20.0
+ABSENCE_LIMIT_S = 20.0
 #: Ticket prefix of the proposals to change the voters.
 TICKET = 'repair:'
 
@@ -192,7 +192,7 @@
 
     def _is_gone(self, now: float, instance_id: str) -> bool:
         since = self._absent_since_by_id.get(instance_id)
-        return since is not None and now - since >= GONE_S
+        return since is not None and now - since >= ABSENCE_LIMIT_S
 
     def _update_absent(self, now: float) -> None:
         """Update since when each current or joining voter is not alive."""
--- a/dandeliongw/runtime.py
+++ b/dandeliongw/runtime.py
@@ -135,13 +135,13 @@
             membership.Reconnect: self._reconnect,
             effects.CountRefusal: self._count_refusal,
             effects.CountRetry: self._count_retry,
-            effects.CountWaste: self._count_waste,
+            effects.CountWastedTokens: self._count_waste,
             effects.CountLate: self._count_late,
-            effects.Took: self._observe_part,
-            effects.PassedStream: self._observe_stream,
+            effects.PhaseDuration: self._observe_phase,
+            effects.PassThroughStream: self._observe_stream,
             effects.PeerAddress: self._set_address,
             effects.PeerForgotten: self._forget_peer,
-            effects.Observed: self._observe,
+            effects.GaugeValues: self._observe,
             effects.GiveOrder: self._give_order,
             membership.Superseded: self._end_superseded,
             effects.Log: self._log,
@@ -402,22 +402,22 @@
     def _count_retry(self, effect: effects.CountRetry) -> None:
         self._metrics.count_retry(effect.reason)
 
-    def _count_waste(self, effect: effects.CountWaste) -> None:
+    def _count_waste(self, effect: effects.CountWastedTokens) -> None:
         self._metrics.count_wasted_prefill(effect.reason, effect.tokens)
 
     def _count_late(self, effect: effects.CountLate) -> None:
         self._metrics.late_answers.labels(effect.what.value).inc()
 
-    def _observe_part(self, effect: effects.Took) -> None:
-        self._metrics.observe_part(effect)
+    def _observe_phase(self, effect: effects.PhaseDuration) -> None:
+        self._metrics.observe_phase(effect)
 
-    def _observe_stream(self, effect: effects.PassedStream) -> None:
+    def _observe_stream(self, effect: effects.PassThroughStream) -> None:
         metrics = self._metrics
         metrics.observe_first_token(effect.service, effect.first_token_s)
         if effect.token_gap_s > 0.0:
             metrics.observe_token_gap(effect.service, effect.token_gap_s)
 
-    def _observe(self, effect: effects.Observed) -> None:
+    def _observe(self, effect: effects.GaugeValues) -> None:
         gauges = self._metrics
         gauges.configuration_revision.set(effect.revision)
         if effect.confirmed_age_s is not None:
@@ -425,7 +425,7 @@
         gauges.members.set(effect.members)
         pools = {pool.pool for pool in effect.pools}
         for gone in self._reported_pools - pools:
-            gauges.forget_pool(gone)
+            gauges.remove_pool(gone)
         self._reported_pools = pools
         for pool in effect.pools:
             gauges.set_pool(
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -90,14 +90,14 @@
     def wait(self) -> None:
         """Return when a shutdown is complete.
 
-        :raises InstanceBroken: when the instance has failed fatally.
-        :raises ShutdownCutOff: when the shutdown aborted requests.
+        :raises InstanceFailed: when the instance has failed fatally.
+        :raises ShutdownTimedOut: when the shutdown aborted requests.
         """
         while not self._runtime.drained.wait(WAIT_S):
             if self._runtime.broken is not None:
-                raise exceptions.InstanceBroken(message=self._runtime.broken)
+                raise exceptions.InstanceFailed(message=self._runtime.broken)
         if self._runtime.cut_off:
-            raise exceptions.ShutdownCutOff(requests=self._runtime.cut_off)
+            raise exceptions.ShutdownTimedOut(requests=self._runtime.cut_off)
 
 
 @contextlib.contextmanager
@@ -111,7 +111,7 @@
     :raises DataFolderUnusable: when the data folder can't be used.
     :raises PortInUse: when a port is taken; names its field of the settings.
     """
-    web.quiet_cherrypy()
+    web.disable_cherrypy_logs()
     codec = wire.make_codec()
     metrics = metrics_module.Metrics()
     shutdown_s = settings.timeouts.shutdown_s
@@ -140,10 +140,10 @@
             metrics=metrics,
             engine_for=backends.engine_at,
             journal=journal,
-            may_send=reducer.owner.ordering.may_send,
+            may_send=reducer.owner.order_dispatch.may_send,
         )
         stack.callback(runtime.stop)
-        watch_counts(metrics, reducer)
+        export_counts(metrics, reducer)
         _start(
             runtime,
             make_wire(
@@ -204,8 +204,8 @@
     :param adapter: adapter of the platform that it runs on, if any.
     :raises DataFolderUnusable: when the data folder can't be used.
     :raises PortInUse: when a port is taken; names its field of the settings.
-    :raises InstanceBroken: when the instance has failed fatally.
-    :raises ShutdownCutOff: when the shutdown aborted requests.
+    :raises InstanceFailed: when the instance has failed fatally.
+    :raises ShutdownTimedOut: when the shutdown aborted requests.
     """
     common = {
         'instance': settings.instance_id,
@@ -276,11 +276,11 @@
     return f'http://{url_host}:{port}'
 
 
-def watch_counts(
+def export_counts(
     metrics: metrics_module.Metrics, reducer: reducer_module.Reducer
 ) -> None:
     """Export the counters of the reducer's parts as metrics."""
-    counts = reducer.owner.ordering.counts
+    counts = reducer.owner.order_dispatch.counts
     unlabelled = metrics_module.UNLABELLED
     metrics.lease_answers.watch(lambda: reducer.leases.outcomes_by_label)
     metrics.orders_held_back.watch(lambda: counts.holds_by_reason)
@@ -354,9 +354,9 @@
 @contextlib.contextmanager
 def _watching(
     runtime: runtime_module.Runtime,
-) -> abc.Iterator[watch_module.Watch]:
-    watch = watch_module.Watch(
-        on_gone=lambda request_id: runtime.post(
+) -> abc.Iterator[watch_module.DisconnectWatcher]:
+    watch = watch_module.DisconnectWatcher(
+        on_disconnect=lambda request_id: runtime.post(
             functools.partial(events.CallerGone, request_id=request_id)
         )
     )
@@ -399,7 +399,7 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: watch_module.Watch,
+        watch: watch_module.DisconnectWatcher,
         metrics: metrics_module.Metrics,
         adapter: adapter_module.Adapter | None,
     ) -> None:
@@ -427,7 +427,7 @@
                 gate=caller_facades.PassThroughFacade(
                     **parts, adapter=self._adapter
                 ),
-                dialect=self._adapter.dialect,
+                header_parser=self._adapter.header_parser,
                 metrics=self._metrics,
             )
         callers = callers_module.Callers(
@@ -444,8 +444,8 @@
         """
         settings = self._settings
         parts = {'reducer': self._reducer, 'runtime': self._runtime}
-        desk = desks.BackendsDesk(**parts)
-        control = operations.OperatorsControl(settings=settings, **parts)
+        desk = desks.BackendsFacade(**parts)
+        control = operations.OperatorsFacade(settings=settings, **parts)
         members = desks.MembersFacade(settings=settings, **parts)
         backends = backends_module.Backends(
             desk=desk,
--- a/dandeliongw/settings.py
+++ b/dandeliongw/settings.py
@@ -40,13 +40,13 @@
 
 
 #: Instances find each other by IP number; no name service is asked.
-IpNumber = typing.Annotated[str, pydantic.AfterValidator(_check_ip)]
+IpAddress = typing.Annotated[str, pydantic.AfterValidator(_check_ip)]
 
 
 class Address(models.Model):
     """Where to listen; port 0 lets the system choose one."""
 
-    host: IpNumber
+    host: IpAddress
     """The IP number to listen on."""
     port: Port
     """0: the system chooses."""
@@ -64,7 +64,7 @@
     """Requests and streams that are served at one time."""
     queue: models.PositiveInt = 64
     """Connections that wait for a thread; more are refused."""
-    advertised: IpNumber | None = None
+    advertised: IpAddress | None = None
     """The number that others are told, where it isn't ``host``."""
 
 
@@ -80,7 +80,7 @@
 
     instance_id: models.Name
     """The same as in its own settings."""
-    host: IpNumber
+    host: IpAddress
     """The IP number that others connect to."""
     port: Port
     """Its ``peer`` port."""
@@ -110,7 +110,7 @@
     """Requests in hand at one time; less than ``callers.threads``."""
     max_streams: models.PositiveInt = 160
     """Streams from model engines at one time."""
-    reserved_lookups: models.NotNegativeInt = 32
+    reserved_lookups: models.NonNegativeInt = 32
     """Threads that streams never take, so that lookups stay quick."""
     store_loads_per_s: models.Positive = 1.0
     """This instance's share of the weight store's rate."""
--- a/dandeliongw/shutdown.py
+++ b/dandeliongw/shutdown.py
@@ -55,7 +55,7 @@
         self._has_left = False
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether the shutdown has begun; also read by other threads."""
         return self._began_at is not None
 
--- a/specs/register_reads.py
+++ b/specs/register_reads.py
@@ -135,7 +135,7 @@
                 )
 
     def asks(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Yield the steps of Asker.tick and Checker.ask.
+        """Yield the steps of ConfirmationRequester.tick and Checker.ask.
 
         The latest ask replaces one that is in transit or waiting.
         """
@@ -238,7 +238,7 @@
             )
 
     def adopts(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Yield the steps of Knowledge.adopt.
+        """Yield the steps of RegisterState.adopt.
 
         Another instance sends the ballot that it has confirmed. This may be
         any ballot that was ever chosen, however long ago.
--- a/tests/entry_fake.py
+++ b/tests/entry_fake.py
@@ -61,13 +61,13 @@
         self.confirmed = True
         self.owners = (OWNER, NEXT_OWNER)
         self.own_id = 'gw-0'
-        self.places_alone = False
+        self.places_without_owner = False
 
     def is_fresh(self, now):
         return self.fresh
 
     def standing(self, now):
-        return standing.Standing(
+        return standing.ConfirmationStatus(
             revision=1,
             order=1,
             confirmed_age_s=0.5 if self.confirmed else 9.0,
@@ -113,7 +113,7 @@
             directory=self.directory, max_requests=20, max_streams=10
         )
         self.quarantine = quarantine.Quarantine(instance_id='gw-0')
-        self.holds = holds.Holds(
+        self.holds = holds.QuarantineCheck(
             quarantine=self.quarantine,
             fingerprints=fingerprints.Fingerprints(secret=None),
         )
@@ -276,7 +276,7 @@
     def wastes(self):
         return [
             (each.reason, each.tokens)
-            for each in self.found(effects.CountWaste)
+            for each in self.found(effects.CountWastedTokens)
         ]
 
     # Requests at a given stage
--- a/tests/on_platform.py
+++ b/tests/on_platform.py
@@ -81,7 +81,7 @@
     },
 }
 
-BEAT = {
+HEARTBEAT = {
     'service': 'model-a',
     'address': '10.128.0.9:8080',
     'zone': 'hall-a',
--- a/tests/operators_fake.py
+++ b/tests/operators_fake.py
@@ -16,7 +16,7 @@
 from dandeliongw import settings
 
 #: Fingerprint of the only call that the fake control has in quarantine.
-HELD_CALL = '3fa9' * 8
+QUARANTINED_CALL = '3fa9' * 8
 TOKENS_BY_NAME = {'ana': 'token-of-ana', 'bat': 'token-of-bat'}
 
 
@@ -146,7 +146,7 @@
         lift = {'operator': '<i>ben</i>', 'reason': '<b>', 'age_s': 4.0}
         return [
             {
-                'call': HELD_CALL,
+                'call': QUARANTINED_CALL,
                 'held_s': 0.0 if self.lifts else 540.0,
                 'ends': [
                     {'backend_id': 'd1', 'told_by': 'gw-1', 'age_s': 60.0}
@@ -157,7 +157,7 @@
         ]
 
     def lift(self, *, call: str, operator: str, reason: str) -> bool:
-        if call != HELD_CALL:
+        if call != QUARANTINED_CALL:
             return False
         self.lifts.append((operator, reason))
         return True
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -15,7 +15,7 @@
 LIMIT_S = 30.0
 
 
-class Way(enum.StrEnum):
+class Direction(enum.StrEnum):
     """A direction, as seen from the client of the connection."""
 
     THERE = 'there'
@@ -30,7 +30,7 @@
     """
 
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
-    cut: set[Way] = dataclasses.field(default_factory=set)
+    cut: set[Direction] = dataclasses.field(default_factory=set)
     #: Number of dropped bytes; a test waits for it with :meth:`Relay.until`.
     swallowed: int = 0
     #: Number of forwarded bytes.
@@ -48,14 +48,14 @@
         self.port = 0
         self.connections: list[Connection] = []
         #: Directions that are cut in new connections, too.
-        self.cut: set[Way] = set()
+        self.cut: set[Direction] = set()
         #: Delay of the bytes in both directions, in seconds.
         self.delay_s = 0.0
         self._target = (host, port)
         self._changed = asyncio.Condition()
         self._tasks: set[asyncio.Task] = set()
 
-    def cut_all(self, *ways: Way) -> None:
+    def cut_all(self, *ways: Direction) -> None:
         """Cut existing and new connections in one or both directions."""
         self.cut.update(ways)
         self.blackhole(*ways)
@@ -64,10 +64,10 @@
         """Let new connections work; existing ones stay cut."""
         self.cut.clear()
 
-    def blackhole(self, *ways: Way) -> None:
+    def blackhole(self, *ways: Direction) -> None:
         """Drop all bytes of the existing connections; new ones work."""
         for connection in self.connections:
-            connection.cut.update(ways or Way)
+            connection.cut.update(ways or Direction)
 
     async def until(self, condition: abc.Callable[[], bool]) -> None:
         """Wait until the condition is true; it is checked after each read.
@@ -95,15 +95,15 @@
         )
         self.connections.append(connection)
         await asyncio.gather(
-            self._carry(connection, Way.THERE, reader, far_writer),
-            self._carry(connection, Way.BACK, far_reader, writer),
+            self._carry(connection, Direction.THERE, reader, far_writer),
+            self._carry(connection, Direction.BACK, far_reader, writer),
             return_exceptions=True,
         )
 
     async def _carry(
         self,
         connection: Connection,
-        way: Way,
+        way: Direction,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
--- a/tests/test_backend_state.py
+++ b/tests/test_backend_state.py
@@ -22,6 +22,6 @@
             2 * prefixes.BLOCK_TOKENS,
             state.cached_tokens(('first', 'second', 'third')),
         )
-        state.add_blocks(str(n) for n in range(backend_state.MOST_BLOCKS))
+        state.add_blocks(str(n) for n in range(backend_state.MAX_BLOCKS))
         self.assertEqual(0, state.cached_tokens(('first',)))
-        self.assertEqual(backend_state.MOST_BLOCKS, len(state.blocks))
+        self.assertEqual(backend_state.MAX_BLOCKS, len(state.blocks))
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -73,7 +73,7 @@
     """Serve the API in front of a real reducer; yields a client."""
     net = network.Network()
     made = backends.Backends(
-        desk=desks.BackendsDesk(
+        desk=desks.BackendsFacade(
             reducer=net.reducers_by_id['gw-1'],
             runtime=VirtualRuntime(net=net, instance_id='gw-1'),
         ),
@@ -195,17 +195,17 @@
         be "not JSON", or a part of the body would be accepted.
         """
         body = json.dumps(ANNOUNCEMENT).encode()
-        body += b' ' * (bodies.MOST_BYTES + 1 - len(body))
+        body += b' ' * (bodies.MAX_BYTES + 1 - len(body))
         if way == 'chunked':
             body = [body[:100], body[100:]]
         status, answer = self.client.send('announce', body)
         self.assertEqual((413, 'too_large'), (status, answer['reason']))
-        self.assertIn(str(bodies.MOST_BYTES), answer['message'])
+        self.assertIn(str(bodies.MAX_BYTES), answer['message'])
         self.assertEqual(404, self.client.send_valid('renew')[0])
 
     def test_body_at_the_limit_is_accepted(self):
         body = json.dumps(ANNOUNCEMENT).encode()
-        body += b' ' * (bodies.MOST_BYTES - len(body))
+        body += b' ' * (bodies.MAX_BYTES - len(body))
         self.assertEqual((200, TERMS), self.client.send('announce', body))
 
 
--- a/tests/test_body.py
+++ b/tests/test_body.py
@@ -51,22 +51,22 @@
         b'123456789\r\n',
     )
     def test_malformed_body_is_refused(self, data):
-        with self.assertRaises(calls.BadCall):
+        with self.assertRaises(calls.InvalidCall):
             self.read(data)
 
     def test_chunk_over_the_limit_is_refused(self):
-        with self.assertRaises(calls.BadCall) as caught:
+        with self.assertRaises(calls.InvalidCall) as caught:
             self.read(b'65\r\n' + b'x' * 101)
         self.assertIs(caught.exception.reason, verdict.RefusalReason.TOO_LARGE)
 
 
 class KnownLengthTest(unittest.TestCase):
     def test_truncated_body_is_refused(self):
-        with self.assertRaises(calls.BadCall):
+        with self.assertRaises(calls.InvalidCall):
             _forwarded_body.read_known(io.BytesIO(b'ab'), 3, MAX_BYTES)
 
     def test_body_over_the_limit_is_refused_unread(self):
         reader = io.BytesIO(b'x' * 101)
-        with self.assertRaises(calls.BadCall):
+        with self.assertRaises(calls.InvalidCall):
             _forwarded_body.read_known(reader, 101, MAX_BYTES)
         self.assertEqual(reader.tell(), 0)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -43,7 +43,7 @@
 
     def __init__(self, refusal=None):
         self.refusal = refusal
-        self.is_leaving = False
+        self.is_shutting_down = False
         self.opened = []
         self.open_ids = set()
         self.closed = threading.Semaphore(0)
@@ -216,8 +216,8 @@
 
         Unhandled, it would give a 500, after which the call may have run.
         """
-        with self.assertRaises(calls.BadCall):
-            calls.read_completion(b'[' * 100_000, {})
+        with self.assertRaises(calls.InvalidCall):
+            calls.parse_completion(b'[' * 100_000, {})
 
     @params(b'', b'{', b'[]', b'\xff')
     def test_body_that_is_not_a_json_object_is_refused(self, body):
@@ -426,7 +426,7 @@
             metrics=metrics.Metrics(),
             request_id='r',
             call_relay=gate.open_relay(
-                call=call, work=relay.Work(), request_id='r'
+                call=call, work=relay.RequestPayload(), request_id='r'
             ),
         )
         answer.first()
@@ -447,7 +447,7 @@
         perhaps while its caller is sending.
         """
         with serving() as served:
-            served.gate.is_leaving = True
+            served.gate.is_shutting_down = True
             for call in (raw(BOOKING), completion(stream=True)):
                 answer = served.send(call)
                 self.assertEqual(answer.status // 100, 2)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -34,7 +34,7 @@
         'service': 'dieline-llm',
         'epoch': 7,
         'document_part': TERMS,
-        'policy': baselines.InTurn(),
+        'policy': baselines.UnconditionalRoundRobin(),
     }
     cell = cells.Cell(**(values | changes))
     cell.handle(cells.BackendsChanged(now=0.0, backends=backends))
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -134,7 +134,7 @@
         with operators_fake.border() as border:
             rights = ('--url', border.url, '--token-file', self.token)
             reason = ('--reason', 'mended')
-            held = operators_fake.HELD_CALL
+            held = operators_fake.QUARANTINED_CALL
             self.assertEqual(0, Outcome('lift', held, *rights, *reason).code)
             outcome = Outcome('lift', 'bogus', *rights, *reason)
         self.assertEqual([('ana', 'mended')], border.control.lifts)
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -229,7 +229,7 @@
             messages.AcceptedReport(
                 from_disk_id=f'disk-{voter}',
                 check_id=check.check_id,
-                accepted=self.voter._knowledge.known.ballot,
+                accepted=self.voter._register_state.known.ballot,
             ),
         )
 
@@ -289,7 +289,9 @@
 
 class RequesterTest(unittest.TestCase):
     def setUp(self):
-        self.requester = confirmation.Asker(instance_id='entry-1', ttl_s=TTL_S)
+        self.requester = confirmation.ConfirmationRequester(
+            instance_id='entry-1', ttl_s=TTL_S
+        )
         self.requester.start(100)
 
     def send_request(self, now):
@@ -399,10 +401,10 @@
 
     def test_the_answer_confirms_the_version_held(self):
         network = make_network()
-        requested_with = network.part('entry-7')._knowledge.known.ballot
+        requested_with = network.part('entry-7')._register_state.known.ballot
         network.change('voter-1', 2)
         network.run(1.0)
-        held = network.part('entry-7')._knowledge.known.current
+        held = network.part('entry-7')._register_state.known.current
         answer = configuration.VersionUpdate(
             ballot=held.ballot,
             base=requested_with,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -198,7 +198,7 @@
 
     def test_lift_records_operator_and_reason(self):
         self.browser.get('quarantine')
-        self.assertIn(operators_fake.HELD_CALL, self.browser.text)
+        self.assertIn(operators_fake.QUARANTINED_CALL, self.browser.text)
         self.assertIn('for 540 s', self.browser.text)
         self.browser.send('lift', reason=' ')
         self.assertEqual(400, self.browser.status)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -34,7 +34,7 @@
         net.run(10.0)
         found = net.reducers_by_id['gw-5'].directory
         self.assertEqual(count, len(found.all_ids()))
-        self.assertEqual(expected, found.places_alone)
+        self.assertEqual(expected, found.places_without_owner)
 
     def test_a_live_entry_is_counted_until_it_leaves(self):
         net = network.Network(count=4)
--- a/tests/test_fallback.py
+++ b/tests/test_fallback.py
@@ -29,7 +29,7 @@
 
     def setUp(self):
         self.entry = entry_fake.Entry()
-        self.entry.directory.places_alone = True
+        self.entry.directory.places_without_owner = True
 
     def books(self):
         """Return the recipient and the ``unowned`` flag of each ``Book``."""
@@ -38,7 +38,7 @@
     def silence(self):
         """Send a request and wait until its owner counts as silent."""
         request_id = self.entry.arrive('lookup')
-        self.entry.tick(reservations.OWNER_SILENT_S)
+        self.entry.tick(reservations.OWNER_TIMEOUT_S)
         return request_id
 
     def test_an_entry_does_not_wait_for_a_silent_owner(self):
@@ -142,10 +142,10 @@
         self.assertEqual(to, [entry_fake.NEXT_OWNER, OWN])
 
     def test_without_the_setting_the_next_owner_is_asked(self):
-        self.entry.directory.places_alone = False
+        self.entry.directory.places_without_owner = False
         self.entry.arrive('lookup')
         for _ in range(2):
-            self.entry.tick(reservations.OWNER_ANSWER_S)
+            self.entry.tick(reservations.OWNER_RETRY_S)
         self.assertEqual(self.books(), [(entry_fake.NEXT_OWNER, False)])
 
 
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -117,7 +117,7 @@
 
 def announce(body: bytes) -> None:
     """Go all the way of a heartbeat, up to what other instances are sent."""
-    said = control.announcement('i-2', models.parse(wire.Beat, body))
+    said = control.announcement('i-2', models.parse(wire.Heartbeat, body))
     pass_on(said)
 
 
@@ -144,8 +144,8 @@
 
 CODEC = instance_wire.make_codec()
 PARSERS_AND_EXAMPLES = (
-    (announce, on_platform.BEAT),
-    (announce, {**on_platform.BEAT, 'born': 1_790_000_000_000}),
+    (announce, on_platform.HEARTBEAT),
+    (announce, {**on_platform.HEARTBEAT, 'born': 1_790_000_000_000}),
     (announce_to_own_interface, OWN_ANNOUNCEMENT),
     (lambda body: models.parse(wire.Start, body), {'born': 1}),
     (configure, on_platform.CONFIGURATION),
@@ -210,8 +210,8 @@
         )
         def check(given):
             try:
-                headers.Dialect().read_call(tuple(given.items()))
-            except calls.BadCall as error:
+                headers.HeaderParser().read_call(tuple(given.items()))
+            except calls.InvalidCall as error:
                 self.assertTrue(str(error))
 
         check()
@@ -246,12 +246,14 @@
     )
     def test_a_spoilt_heartbeat_is_refused_whole(self, change):
         ((name, value),) = change.items()
-        beat = {**on_platform.BEAT, 'sequence': 9}
+        beat = {**on_platform.HEARTBEAT, 'sequence': 9}
         body = json.dumps({**beat, name: value}).encode()
         part = presence.Presence(instance_id='gw-1')
         part.handle(
             parts.Received(
-                now=0.0, sender='gw-2', message=presented(on_platform.BEAT)
+                now=0.0,
+                sender='gw-2',
+                message=presented(on_platform.HEARTBEAT),
             )
         )
         before = part.usable('model-a', 0.0)
@@ -277,12 +279,12 @@
         directory = types.SimpleNamespace(
             data_centres=('hall-a',), document=described
         )
-        desk = desks.BackendsDesk(
+        desk = desks.BackendsFacade(
             reducer=types.SimpleNamespace(directory=directory), runtime=None
         )
-        beat = on_platform.changed(on_platform.BEAT, ['stage'], None)
+        beat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
         said = control.announcement(
-            'i-1', models.parse(wire.Beat, json.dumps(beat).encode())
+            'i-1', models.parse(wire.Heartbeat, json.dumps(beat).encode())
         )
         with self.assertRaises(exceptions.InvalidInput) as caught:
             desk.announce(said)
@@ -291,7 +293,7 @@
 
 def presented(beat: dict[str, typing.Any]) -> presence.Presented:
     said = control.announcement(
-        'i-1', models.parse(wire.Beat, json.dumps(beat).encode())
+        'i-1', models.parse(wire.Heartbeat, json.dumps(beat).encode())
     )
     fields = {**said.model_dump(), 'role': presence.BackendRole(said.role)}
     return presence.Presented(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -27,20 +27,20 @@
 EVENTS = (b'id: 1\ndata: a\n\n', b'id: 2\ndata: b\n\n')
 
 
-class Dialect:
+class HeaderParser:
     """Reads the request id from X-Name and drops X-Secret."""
 
     def read_call(self, headers):
         by_name = dict(headers)
         if 'X-Name' not in by_name:
-            raise calls.BadCall('X-Name: not given')
-        return gateway.Facts(
+            raise calls.InvalidCall('X-Name: not given')
+        return gateway.CallMetadata(
             request_id=by_name['X-Name'],
             deadline_s=None,
             prompt_tokens=0,
             max_tokens=0,
             expected_tokens=0,
-            pieces_held=0,
+            pieces_received=0,
             prefix=(),
             headers=tuple(each for each in headers if each[0] != 'X-Secret'),
         )
@@ -60,7 +60,7 @@
 
     def decode(self, *, attempt_id, **asked):
         head = (('X-Seal', 's'), ('Connection', 'keep-alive'))
-        yield engine.Head(status=200, headers=head)
+        yield engine.ResponseHead(status=200, headers=head)
         for offset, data in enumerate(EVENTS):
             yield engine.Piece(
                 attempt_id=attempt_id, offset=offset, text='', data=data
@@ -95,14 +95,14 @@
 
     def __init__(self, *script, last=None, reply=None):
         self.script = script
-        self.is_leaving = False
+        self.is_shutting_down = False
         self.border = hosts.BorderLimits(max_body_bytes=100)
         self.opened = []
         self.closed = threading.Semaphore(0)
         self._engine = Engine(last)
         self._reply = reply
 
-    def open_passing(self, *, call, work, facts, caller):
+    def open_pass_through(self, *, call, work, facts, caller):
         self.opened.append((call, work))
         script = iter(self.script)
         call_relay = relay.Relay(
@@ -123,7 +123,7 @@
     def close_relay(self, request_id):
         pass
 
-    def model_engine(self, url, backend_id, pieces_held):
+    def model_engine(self, url, backend_id, pieces_received):
         return self._engine
 
     def plain_service(self, url, backend_id, timeout_s):
@@ -166,7 +166,9 @@
 def serving(gate, counts=None):
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
     application = gateway.Gateway(
-        gate=gate, dialect=Dialect(), metrics=counts or metrics.Metrics()
+        gate=gate,
+        header_parser=HeaderParser(),
+        metrics=counts or metrics.Metrics(),
     )
     with web.bound(listen, 'callers', 1.0) as port:
         port.serve(application)
@@ -332,7 +334,7 @@
 
     def test_connections_are_closed_while_shutting_down(self):
         gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
-        gate.is_leaving = True
+        gate.is_shutting_down = True
         self.assertTrue(send(gate, raw()).closes)
 
 
--- a/tests/test_http_backends.py
+++ b/tests/test_http_backends.py
@@ -45,7 +45,7 @@
     )
 
 
-def book(url, most_bytes=100, timeout_s=20.0):
+def book(url, max_bytes=100, timeout_s=20.0):
     service = http_backends.PlainService(
         url=url, connect_s=20.0, timeout_s=timeout_s
     )
@@ -54,7 +54,7 @@
         path='/bookings',
         body=b'{}',
         headers={'X-Attempt-Id': 'r.1'},
-        most_bytes=most_bytes,
+        max_bytes=max_bytes,
     )
 
 
@@ -133,7 +133,7 @@
                 self.assertEqual(book(server.url).status, 503)
 
     def test_an_answer_that_is_too_long_ran(self):
-        self.assertEqual(self.fails(OK, most_bytes=5).known, RAN)
+        self.assertEqual(self.fails(OK, max_bytes=5).known, RAN)
 
 
 class Engines(unittest.TestCase):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -248,11 +248,15 @@
         part = self.network.nodes_by_id['b'].part
         begun = self.network.clock('b')
         wait_s = LEASE_S + MARGIN_S + 5.0
-        self.assertIsNone(part.may_order(CELL, begun + 0.1, 5.0))
+        self.assertIsNone(
+            part.epoch_for_unfenced_order(CELL, begun + 0.1, 5.0)
+        )
         self.network.run(wait_s)
         now = self.network.clock('b')
-        self.assertGreater(part.may_order(CELL, now, 5.0), epoch)
-        self.assertIsNone(part.may_order(CELL, now, 6.0))
+        self.assertGreater(
+            part.epoch_for_unfenced_order(CELL, now, 5.0), epoch
+        )
+        self.assertIsNone(part.epoch_for_unfenced_order(CELL, now, 6.0))
 
     def test_the_grantors_are_replaced_under_a_held_lease(self):
         """v3 is replaced by v4; an older update of the set arrives late.
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -47,24 +47,26 @@
         writer.start()
         writer.stop()
         lines = stream.getvalue().splitlines()
-        self.assertEqual(len(lines), _lines.MOST_A_SECOND + 3)
+        self.assertEqual(len(lines), _lines.MAX_LINES_PER_SECOND + 3)
         self.assertIn('the cause', lines)
         counts = json.loads(lines[-1])['counts']
-        self.assertEqual(counts, {'flood': 1000 - _lines.MOST_A_SECOND})
-        self.assertEqual(writer.left_out, 1000 - _lines.MOST_A_SECOND)
+        self.assertEqual(counts, {'flood': 1000 - _lines.MAX_LINES_PER_SECOND})
+        self.assertEqual(writer.left_out, 1000 - _lines.MAX_LINES_PER_SECOND)
 
     def test_a_stream_that_takes_nothing_holds_nobody_up(self):
         """Symptom: an instance stands still because its log does."""
         stream = Stuck()
         writer = self.make(stream)
         writer.start()
-        for number in range(2 * _lines.MOST_WAITING):
+        for number in range(2 * _lines.MAX_QUEUED_LINES):
             writer.put(f'kind {number % 50}', 'line')
         self.assertGreater(writer.left_out, 0)
         stream.freed.set()
         writer.stop()
         written = len(stream.getvalue().splitlines())
-        self.assertEqual(written + writer.left_out, 2 * _lines.MOST_WAITING)
+        self.assertEqual(
+            written + writer.left_out, 2 * _lines.MAX_QUEUED_LINES
+        )
 
     def test_a_stream_that_is_closed_ends_nothing(self):
         stream = io.StringIO()
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -29,7 +29,7 @@
         running = local.running(
             folder=self.folder, instances=1, command=command
         )
-        with self.assertRaises(local.InstanceEnded) as raised:
+        with self.assertRaises(local.InstanceExited) as raised:
             self.enterContext(running)
         return raised.exception
 
@@ -61,13 +61,13 @@
             [sys.executable, '-c', 'raise SystemExit(4)']
         )
         system.instances_by_id['gw-3'].log_file.touch()
-        with self.assertRaises(local.InstanceEnded) as raised:
+        with self.assertRaises(local.InstanceExited) as raised:
             system.wait_serving()
         self.assertEqual(4, raised.exception.code)
 
     def test_lost_ports_are_met_a_few_times_only(self):
         self.assertEqual(6, self.run_ending(6).code)
-        self.assertEqual(local.MOST_STARTS, self.starts())
+        self.assertEqual(local.MAX_START_ATTEMPTS, self.starts())
 
     def test_a_lost_port_is_met_by_new_ones(self):
         """Symptom: a run fails now and then, on any test.
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -408,7 +408,7 @@
             lan.run(1 + seed % 17 * TICK_S)
             lost = lan.ids[seed % 12]
             lan.frozen.add(lost)
-            lan.run(membership.MOST_UNSEEN_PERIODS)
+            lan.run(membership.MAX_DETECTION_PERIODS)
             self.assertNotIn('ALIVE', lan.states(lost), f'seed {seed}')
 
     def test_a_loss_is_detected_while_others_are_frozen(self):
@@ -422,7 +422,7 @@
             lan.run(1 + seed % 17 * TICK_S)
             lost, *still = random.Random(seed).sample(lan.ids, 3)
             lan.frozen.update((lost, *still))
-            lan.run(membership.MOST_UNSEEN_PERIODS)
+            lan.run(membership.MAX_DETECTION_PERIODS)
             seen = lan.states(lost, but=still)
             self.assertNotIn('ALIVE', seen, f'seed {seed}')
 
@@ -469,7 +469,7 @@
         lan.handle('gw-2', membership.Leave(now=lan.now))
         lan.frozen.add('gw-2')
         lan.run(10)
-        lan.now += membership.MEMORY_S
+        lan.now += membership.RETENTION_S
         lan.run(1)
         self.assertEqual({'UNKNOWN'}, lan.states('gw-2'))
         forgotten = membership.MemberForgotten(instance_id='gw-2')
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -80,15 +80,15 @@
     def test_a_pool_that_went_leaves_no_slots_behind(self):
         self.metrics.set_pool('a', backends=2, slots=40, used=3, queue=1)
         self.assertEqual(40, self.metrics.value('slots', pool='a'))
-        self.metrics.forget_pool('a')
-        self.metrics.forget_pool('never-set')
+        self.metrics.remove_pool('a')
+        self.metrics.remove_pool('never-set')
         self.assertNotIn('pool="a"', self.metrics.render().decode())
 
     def test_parts_of_the_way_are_told_apart(self):
-        took = effects.Took(
+        took = effects.PhaseDuration(
             part=effects.Part.QUEUE, service='dieline-llm', seconds=0.3
         )
-        self.metrics.observe_part(took)
+        self.metrics.observe_phase(took)
         value = self.metrics.value
         labels = {'service': 'dieline-llm', 'part': 'queue'}
         self.assertEqual(1, value('part_seconds_count', **labels))
@@ -128,7 +128,7 @@
 
     def test_answers_to_claims_of_leases(self):
         net = network.Network()
-        server.watch_counts(self.metrics, net.reducers_by_id['gw-1'])
+        server.export_counts(self.metrics, net.reducers_by_id['gw-1'])
         net.apply_example()
         net.run(5.0)
         name = 'lease_answers_total'
@@ -137,7 +137,7 @@
     def test_what_an_owner_holds(self):
         net = network.Network()
         reducer = net.reducers_by_id['gw-1']
-        server.watch_counts(self.metrics, reducer)
+        server.export_counts(self.metrics, reducer)
         net.apply_example()
         net.run(5.0)
         self.assertEqual(3, self.metrics.value('voters'))
@@ -149,8 +149,8 @@
 
     def test_orders_that_are_held_back(self):
         reducer = network.Network().reducers_by_id['gw-1']
-        server.watch_counts(self.metrics, reducer)
-        counts = reducer.owner.ordering.counts
+        server.export_counts(self.metrics, reducer)
+        counts = reducer.owner.order_dispatch.counts
         counts.holds_by_reason[orders.HoldReason.STORE_BUDGET] += 1
         counts.repeats += 4
         name = 'orders_held_back_total'
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -47,7 +47,9 @@
         answer = self.api.request('GET', f'/v1/{path}', headers=BEARER_ANA)
         self.assertEqual(200, answer.status)
 
-    def lift(self, call=operators_fake.HELD_CALL, reason='mended', **changes):
+    def lift(
+        self, call=operators_fake.QUARANTINED_CALL, reason='mended', **changes
+    ):
         body = {'call': call, 'reason': reason, **changes}
         return self.api.request(
             'POST',
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -23,7 +23,7 @@
     def epoch_if_held(self, name, now):
         return self.held
 
-    def may_order(self, name, now, longest_order_s):
+    def epoch_for_unfenced_order(self, name, now, longest_order_s):
         return self.may
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -384,19 +384,19 @@
 
     # Not by nose2's parameters: it does not await a coroutine.
     async def test_a_reconnect_gets_through_after_a_cut_there(self):
-        await self._recover(relay.Way.THERE)
+        await self._recover(relay.Direction.THERE)
 
     async def test_a_reconnect_gets_through_after_a_cut_back(self):
-        await self._recover(relay.Way.BACK)
+        await self._recover(relay.Direction.BACK)
 
     async def test_a_reconnect_gets_through_after_a_cut_both_ways(self):
-        await self._recover(*relay.Way)
+        await self._recover(*relay.Direction)
 
-    async def _recover(self, *ways: relay.Way) -> None:
+    async def _recover(self, *ways: relay.Direction) -> None:
         async with relayed() as (one, two, between):
             between.blackhole(*ways)
             one.peers.send('gw-2', Received(count=1))
-            if relay.Way.THERE in ways:
+            if relay.Direction.THERE in ways:
                 silent = between.connections[0]
                 await between.until(lambda: silent.swallowed > 0)
                 self.assertTrue(two.inbox.empty())
@@ -450,7 +450,7 @@
         Cause: an accepted connection proves nothing of the process.
         """
         async with relayed() as (one, _, between):
-            between.cut_all(relay.Way.BACK)
+            between.cut_all(relay.Direction.BACK)
             one.peers.limits = peers.Limits(connect_s=0.05)
             one.peers.reconnect('gw-2')
             await one.fault('reconnect_asked')
@@ -468,7 +468,7 @@
             one.peers.limits = peers.Limits(
                 progress_s=0.05, max_queued_bytes=2**24
             )
-            between.blackhole(relay.Way.BACK)
+            between.blackhole(relay.Direction.BACK)
             # More than the 4 MiB that grpclib lets a stream send unread.
             large = Envelope(body=bytes(peers.MAX_ENVELOPE_BYTES - 100))
             for _ in range(5):
--- a/tests/test_platform_backend_calls.py
+++ b/tests/test_platform_backend_calls.py
@@ -22,22 +22,22 @@
 NOT_RUN = verdict.Verdict.NOT_RUN
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 TIMEOUTS = settings.Timeouts(connect_s=20.0, stall_s=20.0)
-FACTS = gateway.Facts(
+FACTS = gateway.CallMetadata(
     request_id='c1',
     deadline_s=9.0,
     prompt_tokens=10,
     max_tokens=10,
     expected_tokens=0,
-    pieces_held=0,
+    pieces_received=0,
     prefix=(),
     headers=(),
 )
-WORK = relay.Work(
+WORK = relay.RequestPayload(
     method='POST',
     path='/a?b',
     body=b'prompt',
     headers=(('X-Request-Id', 'c1'), ('X-Other', 'o')),
-    is_passed_on=True,
+    is_pass_through=True,
 )
 EVENTS = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n'
 
@@ -67,8 +67,8 @@
     )
 
 
-def model_engine(url, pieces_held=0):
-    return backends().model_engine(url, 'i-1', pieces_held)
+def model_engine(url, pieces_received=0):
+    return backends().model_engine(url, 'i-1', pieces_received)
 
 
 def prefill(url, **changes):
@@ -82,9 +82,9 @@
     )
 
 
-def stream(url, pieces_held=0):
+def stream(url, pieces_received=0):
     """Return all that a decode engine sends, head and end included."""
-    made = model_engine(url, pieces_held)
+    made = model_engine(url, pieces_received)
     made.import_kv(
         stream_id='r',
         attempt_id='r.1',
@@ -108,7 +108,7 @@
     return (
         backends(shared)
         .plain_service(url, 'i-1', 2.5)
-        .call(method='', path='', body=b'', headers={}, most_bytes=1000)
+        .call(method='', path='', body=b'', headers={}, max_bytes=1000)
     )
 
 
@@ -130,7 +130,7 @@
     def test_a_broken_stream_is_resumed_after_its_last_event(self):
         body = json.dumps({'handle': 'h1', 'tokens': 10}).encode()
         with raw_server.serving(answer(body=body)) as made:
-            prefill(made.url, pieces_held=7)
+            prefill(made.url, pieces_received=7)
             ((_, headers, _),) = made.calls
         self.assertEqual(headers['last-event-id'], '7')
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -113,7 +113,9 @@
         return request(self.application, method, path, body)
 
     def test_a_heartbeat_announces_a_backend_server(self):
-        status, _ = self.request('PUT', '/instances/i-1', on_platform.BEAT)
+        status, _ = self.request(
+            'PUT', '/instances/i-1', on_platform.HEARTBEAT
+        )
         self.assertEqual(status, 200)
         (message,) = self.desk.messages
         self.assertEqual(
@@ -122,12 +124,15 @@
         )
 
     def test_a_service_without_engines_sends_no_stage(self):
-        beat = on_platform.changed(on_platform.BEAT, ['stage'], None)
+        beat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
         self.request('PUT', '/instances/i-1', beat)
         self.assertEqual(self.desk.messages[0].role, 'plain')
 
     @params(
-        ('PUT', on_platform.changed(on_platform.BEAT, ['state'], 'draining')),
+        (
+            'PUT',
+            on_platform.changed(on_platform.HEARTBEAT, ['state'], 'draining'),
+        ),
         ('DELETE', None),
     )
     def test_a_departure_is_final_for_its_id(self, method, body):
@@ -143,7 +148,11 @@
         self.assertGreater(message.sequence, 10**12)
 
     @params(
-        ('PUT', {**on_platform.BEAT, 'state': 'draining', 'born': 1790}, 1790),
+        (
+            'PUT',
+            {**on_platform.HEARTBEAT, 'state': 'draining', 'born': 1790},
+            1790,
+        ),
         ('DELETE', {'born': 1790}, 1790),
         ('DELETE', None, None),
     )
@@ -152,7 +161,7 @@
         self.assertEqual(self.desk.messages[0].incarnation, incarnation)
 
     def test_a_start_time_is_the_incarnation(self):
-        beat = {**on_platform.BEAT, 'born': 1_790_000_000_000}
+        beat = {**on_platform.HEARTBEAT, 'born': 1_790_000_000_000}
         self.request('PUT', '/instances/i-1', beat)
         self.assertEqual(self.desk.messages[0].incarnation, 1_790_000_000_000)
 
@@ -170,7 +179,7 @@
 
     @params(['address'], ['service'], ['sequence'], ['slots'], ['state'])
     def test_a_heartbeat_that_lacks_a_field_is_refused(self, path):
-        beat = on_platform.changed(on_platform.BEAT, path, None)
+        beat = on_platform.changed(on_platform.HEARTBEAT, path, None)
         status, body = self.request('PUT', '/instances/i-1', beat)
         self.assertEqual(status, 400)
         self.assertIn(path[0], body.decode())
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -24,7 +24,7 @@
 def read(*more, given=GIVEN):
     replaced = {name for name, _ in more}
     kept = tuple(each for each in given if each[0] not in replaced)
-    return headers.Dialect().read_call(
+    return headers.HeaderParser().read_call(
         (*kept, *(each for each in more if each[1] is not None))
     )
 
@@ -37,7 +37,7 @@
         self.assertEqual((facts.prompt_tokens, facts.max_tokens), (1460, 80))
         self.assertEqual(facts.expected_tokens, 64)
         self.assertEqual(facts.prefix, ('5c1e07a2', '91bd3f06'))
-        self.assertEqual(facts.pieces_held, 0)
+        self.assertEqual(facts.pieces_received, 0)
 
     @params(
         ((('X-REQUEST-ID', '9c41d07b'),), '9c41d07b'),
@@ -50,11 +50,11 @@
         The id must be readable even if another header of the call is invalid
         and the call is refused because of it.
         """
-        dialect = headers.Dialect()
-        self.assertEqual(dialect.read_request_id(given), request_id)
+        header_parser = headers.HeaderParser()
+        self.assertEqual(header_parser.read_request_id(given), request_id)
 
     def test_a_caller_that_resumes_a_stream(self):
-        self.assertEqual(read(('Last-Event-Id', '17')).pieces_held, 17)
+        self.assertEqual(read(('Last-Event-Id', '17')).pieces_received, 17)
 
     @params(
         'X-Stage',
@@ -90,7 +90,7 @@
         ('X-Token-Count', '1,-2'),
     )
     def test_an_invalid_header_is_refused_and_named(self, name, value):
-        with self.assertRaises(calls.BadCall) as caught:
+        with self.assertRaises(calls.InvalidCall) as caught:
             read((name, value))
         self.assertIn(name, str(caught.exception))
 
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -265,7 +265,7 @@
     def test_a_stale_announcement_does_not_undo_a_leave(self):
         lan = Lan('gw-1')
         lan.receive('gw-2', 'gw-1', make_departure(5))
-        lan.pass_time(presence.MEMORY_S / 100)
+        lan.pass_time(presence.RETENTION_S / 100)
         lan.receive('gw-2', 'gw-1', present(sequence=4))
         self.assertEqual([], lan.usable('gw-1'))
 
@@ -553,7 +553,9 @@
     def setUp(self):
         self.now = 0.0
         self.part = presence.Presence(
-            instance_id='gw-1', lease_s=self.LEASE_S, outlasts_silence=True
+            instance_id='gw-1',
+            lease_s=self.LEASE_S,
+            suspends_leases_in_outage=True,
         )
         for name in ('be-1', 'be-2'):
             self.receive(name, sequence=1)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -155,7 +155,7 @@
     def test_it_sends_no_order_without_a_lease(self):
         self.lose_voters()
         owner = self.net.reducers_by_id[self.owner].owner
-        self.assertEqual({}, owner.ordering.orders_by_cell)
+        self.assertEqual({}, owner.order_dispatch.orders_by_cell)
         self.assertEqual({}, owner.epochs_by_cell())
 
     def test_it_yields_to_the_next_owner(self):
@@ -488,7 +488,9 @@
         self.assertEqual(self.net.owner_of(cell), holder)
         self.assertEqual('dieline-70b', order.order.value)
         leases = self.net.reducers_by_id[holder].leases
-        self.assertIsNotNone(leases.may_order(cell, self.net.now, 5.0))
+        self.assertIsNotNone(
+            leases.epoch_for_unfenced_order(cell, self.net.now, 5.0)
+        )
 
     def orders(self):
         return [
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -957,7 +957,7 @@
         """
         cluster = formed()
         part = cluster.part('gw-4')
-        old = part._knowledge.confirmed
+        old = part._register_state.confirmed
         cluster.change('gw-1', change_id='c1', expected=0, document=b'one')
         cluster.run(1)
         self.assertEqual([], part._confirm(old, cluster.now, cluster.now))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -27,7 +27,7 @@
 
 
 class Adapters:
-    def model_engine(self, url, backend_id, pieces_held):
+    def model_engine(self, url, backend_id, pieces_received):
         return http_backends.HttpEngine(
             url=url, connect_s=20.0, first_byte_s=20.0, stall_s=20.0
         )
@@ -47,7 +47,9 @@
         self.relay = relay.Relay(
             request_id='r',
             call=entry_fake.call(kind, **changes),
-            work=relay.Work(prompt='p', path='/bookings', body=b'{}'),
+            work=relay.RequestPayload(
+                prompt='p', path='/bookings', body=b'{}'
+            ),
             backends=Adapters(),
             post=lambda make_event: self.events.put(make_event(now=0.0)),
             clock=clock,
@@ -294,11 +296,13 @@
             runner = RelayThread()
 
             class LateAbort(Adapters):
-                def model_engine(self, url, backend_id, pieces_held):
+                def model_engine(self, url, backend_id, pieces_received):
                     runner.relay.give(
                         effects.Abort(request_id='r', attempt_id='r.1')
                     )
-                    return super().model_engine(url, backend_id, pieces_held)
+                    return super().model_engine(
+                        url, backend_id, pieces_received
+                    )
 
             runner.relay._backends = LateAbort()
             with runner:
@@ -366,7 +370,7 @@
         runner = relay.Relay(
             request_id='r',
             call=entry_fake.call('completion'),
-            work=relay.Work(),
+            work=relay.RequestPayload(),
             backends=Adapters(),
             post=lambda make_event: posted.append(make_event(now=0.0)),
         )
@@ -393,7 +397,7 @@
         self.now = 0.0
         self.arrivals = arrivals
 
-    def model_engine(self, url, backend_id, pieces_held):
+    def model_engine(self, url, backend_id, pieces_received):
         return self
 
     def import_kv(self, **_):
@@ -418,7 +422,7 @@
     runner = relay.Relay(
         request_id='r',
         call=entry_fake.call('completion'),
-        work=relay.Work(),
+        work=relay.RequestPayload(),
         backends=paced_engine,
         post=lambda make_event: posted.append(make_event(now=0.0)),
         clock=lambda: paced_engine.now,
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -65,7 +65,11 @@
         began_at = entry.now
         entry.now += 4.0
         entry.decode(request_id, first_piece_at=began_at + 0.125)
-        took = [each for each in entry.all if isinstance(each, effects.Took)]
+        took = [
+            each
+            for each in entry.all
+            if isinstance(each, effects.PhaseDuration)
+        ]
         self.assertEqual(
             {each.part: each.seconds for each in took},
             {
@@ -90,7 +94,7 @@
             retry_after_s=1.0,
         )
         entry.receive(declined)
-        took = entry.one(effects.Took)
+        took = entry.one(effects.PhaseDuration)
         self.assertEqual((effects.Part.QUEUE, 2.0), (took.part, took.seconds))
 
     def test_the_times_of_a_forwarded_stream_are_measured(self):
@@ -103,7 +107,7 @@
         request_id = entry.decoding()
         request = entry.requests.requests_by_id[request_id]
         request.admitted = msgspec.structs.replace(
-            request.admitted, is_passed_on=True
+            request.admitted, is_pass_through=True
         )
         entry.decode(
             request_id,
@@ -111,7 +115,7 @@
             first_token_at=request.arrived_at + 0.75,
             token_gap_s=0.125,
         )
-        stream = entry.one(effects.PassedStream)
+        stream = entry.one(effects.PassThroughStream)
         self.assertEqual(
             (0.75, 0.125), (stream.first_token_s, stream.token_gap_s)
         )
@@ -175,7 +179,7 @@
         request_id = entry.arrive('completion')
         late = entry.booked(request_id)
         for _ in range(2):
-            entry.tick(reservations.OWNER_ANSWER_S)
+            entry.tick(reservations.OWNER_RETRY_S)
         ((to, _),) = entry.sent(cells.Book)
         self.assertEqual(to, NEXT_OWNER)
         entry.book(request_id, NEXT_OWNER, decode_id='d2')
@@ -397,7 +401,7 @@
         If the service's timeout exceeds the retention of claims, the claims
         part raises an exception, and the reducer drops the event.
         """
-        entry = Entry(most_claimed_s=2.0)
+        entry = Entry(max_claimed_s=2.0)
         entry.arrive('booking', 'k')
         (begin,) = entry.dispatched(claims.Begin)
         self.assertEqual(begin.deadline_s, 2.0)
@@ -658,7 +662,7 @@
         entry = Entry()
         request_id = entry.arrive('completion')
         _queue(entry, request_id)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         ((_, book),) = entry.sent(cells.Book)
         self.assertEqual(
             book.attempt_id, entry.ids_of(request_id)['attempt_id']
@@ -688,7 +692,7 @@
         queued = entry.arrive('completion')
         _queue(entry, queued)
         entry.directory.owners = (NEXT_OWNER, OWNER)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         ((to, reclaim),) = entry.sent(cells.Reclaim)
         self.assertEqual(to, NEXT_OWNER)
         reclaimed = {each.request_id: each for each in reclaim.bookings}
@@ -699,7 +703,7 @@
         )
         ((_, progress),) = entry.sent(cells.Progress)
         self.assertEqual(len(progress.bookings), 3)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         self.assertEqual(entry.sent(cells.Reclaim), [])
 
     def test_a_new_owner_gets_all_bookings_and_queued_requests(self):
@@ -749,7 +753,7 @@
         old = entry.ids_of(request_id)['attempt_id']
         if whose == 'next owner':
             entry.directory.owners = (NEXT_OWNER,)
-            entry.tick(cells.PROGRESS_EVERY_S)
+            entry.tick(cells.PROGRESS_INTERVAL_S)
             entry.now += cells.BOOKING_LEASE_S + 1
             entry.cancelled(request_id, epoch=2, sender=NEXT_OWNER)
         else:
@@ -786,7 +790,7 @@
         entry = Entry()
         request_id = entry.decoding()
         entry.directory.owners = (NEXT_OWNER,)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         entry.cancelled(request_id, epoch=1, sender=OWNER)
         self.assertEqual(entry.out, [])
 
--- a/tests/test_standin_service.py
+++ b/tests/test_standin_service.py
@@ -35,7 +35,7 @@
         url=url, connect_s=20.0, timeout_s=20.0
     )
     return adapter.call(
-        method=method, path=path, body=b'{}', headers={}, most_bytes=1 << 20
+        method=method, path=path, body=b'{}', headers={}, max_bytes=1 << 20
     )
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -15,20 +15,22 @@
 
 class StandingTest(unittest.TestCase):
     def test_text_with_the_age_of_the_confirmation(self):
-        status = standing.Standing(revision=3, order=98, confirmed_age_s=0.25)
+        status = standing.ConfirmationStatus(
+            revision=3, order=98, confirmed_age_s=0.25
+        )
         self.assertEqual(
             'revision 3, number 98, confirmed 0.25 s ago', str(status)
         )
 
     def test_text_without_a_confirmation(self):
-        status = standing.Standing(revision=3, order=98)
+        status = standing.ConfirmationStatus(revision=3, order=98)
         self.assertEqual(
             'revision 3, number 98, never confirmed here', str(status)
         )
 
     def test_text_before_the_first_configuration(self):
         self.assertEqual(
-            'no configuration', str(standing.Standing(revision=None))
+            'no configuration', str(standing.ConfirmationStatus(revision=None))
         )
 
 
--- a/tests/test_startup_queue.py
+++ b/tests/test_startup_queue.py
@@ -19,7 +19,7 @@
     """
 
     def setUp(self):
-        self.entry = Entry(early_s=2.0)
+        self.entry = Entry(startup_wait_s=2.0)
         self.entry.directory.fresh = False
         self.entry.tick()
 
--- a/tests/test_voter_repair.py
+++ b/tests/test_voter_repair.py
@@ -100,7 +100,7 @@
         net.run_until(lambda: len(voters(net)) == 5, LIMIT_S)
         net.start('gw-6', disk_id='disk-gw-6')
         net.frozen.add('gw-2')
-        net.run(repair.GONE_S / 2)
+        net.run(repair.ABSENCE_LIMIT_S / 2)
         net.frozen.discard('gw-2')
         net.run(20.0)
         self.assertNotIn('gw-6', voters(net))
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -48,7 +48,7 @@
             reported.append(request_id)
             disconnected.set()
 
-        watching = watch.Watch(on_gone=report)
+        watching = watch.DisconnectWatcher(on_disconnect=report)
         watching.start()
         with connected() as (caller, ours):
             watching.add('r', ours)
@@ -63,7 +63,9 @@
         It would have no effect then, and the request of a caller that
         disconnected immediately would run to its end.
         """
-        watching = watch.Watch(on_gone=lambda request_id: None)
+        watching = watch.DisconnectWatcher(
+            on_disconnect=lambda request_id: None
+        )
         with connected() as (caller, ours):
             watching.add('r', ours)
             caller.close()
@@ -80,14 +82,18 @@
         self.assertEqual(more, [[]] * len(again))
 
     def test_caller_that_sends_more_is_not_reported(self):
-        watching = watch.Watch(on_gone=lambda request_id: None)
+        watching = watch.DisconnectWatcher(
+            on_disconnect=lambda request_id: None
+        )
         with connected() as (caller, ours):
             watching.add('r', ours)
             caller.sendall(b'GET / HTTP/1.1')
             self.assertEqual(watching.poll(), [])
 
     def test_locally_closed_socket_counts_as_disconnected(self):
-        watching = watch.Watch(on_gone=lambda request_id: None)
+        watching = watch.DisconnectWatcher(
+            on_disconnect=lambda request_id: None
+        )
         with connected() as (_, ours):
             watching.add('r', ours)
             ours.close()
@@ -100,7 +106,7 @@
         callers that disconnect.
         """
         reported = []
-        watching = watch.Watch(on_gone=reported.append)
+        watching = watch.DisconnectWatcher(on_disconnect=reported.append)
         watching.start()
         with connected() as (_, ours):
             watching.add('r', ours)
--- a/tools/baselines.py
+++ b/tools/baselines.py
@@ -24,7 +24,7 @@
 WAITING_LIMIT = 16
 
 
-class InTurn:
+class UnconditionalRoundRobin:
     """Selects the backend servers of a role in turn; never queues."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         return []
 
 
-class RoundRobin(InTurn):
+class RoundRobin(UnconditionalRoundRobin):
     """Selects engines in turn, except those that report being full.
 
     :param waiting_limit: waiting prompts from which an engine is full.
--- a/tools/capacity_memory.py
+++ b/tools/capacity_memory.py
@@ -121,7 +121,7 @@
             slots=4,
         )
     )
-    block_count = min(count, backend_state.MOST_BLOCKS)
+    block_count = min(count, backend_state.MAX_BLOCKS)
     state.add_blocks([f'{block:016x}' for block in range(block_count)])
     return state, 1
 
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -279,7 +279,7 @@
                 * (
                     self._slope('memory of presence')
                     + self._at(
-                        'memory of known prefixes', backend_state.MOST_BLOCKS
+                        'memory of known prefixes', backend_state.MAX_BLOCKS
                     )
                 ),
             ),
--- a/tools/load.py
+++ b/tools/load.py
@@ -404,7 +404,7 @@
             self.clock.at(
                 self.clock.now + HOP_S, self._receive, entry, message
             )
-        next_at = self.clock.now + cells.PROGRESS_EVERY_S
+        next_at = self.clock.now + cells.PROGRESS_INTERVAL_S
         self.clock.at(next_at, self._send_progress)
 
     def _book(self, job: Job, stage: vocabulary.Stage) -> None:
--- a/tools/local.py
+++ b/tools/local.py
@@ -34,8 +34,8 @@
 #: How many instances are listed as seeds in the settings of all of them.
 SEEDS = 3
 #: Attempts to start a system when a port was taken by another process.
-MOST_STARTS = 5
-#: Lines of an instance's log that :class:`InstanceEnded` shows.
+MAX_START_ATTEMPTS = 5
+#: Lines of an instance's log that :class:`InstanceExited` shows.
 LOG_TAIL_LINES = 10
 
 
@@ -56,7 +56,7 @@
         return [probe.getsockname()[1] for probe in probes]
 
 
-class InstanceEnded(Exception):
+class InstanceExited(Exception):
     """An instance's process exited without being stopped by this module.
 
     :param code: its exit code; the negated number of the signal that
@@ -359,7 +359,7 @@
     def wait_serving(self, revision: int = 0) -> None:
         """Wait until every instance that wasn't killed serves a revision.
 
-        :raises InstanceEnded: as soon as the process of one has exited.
+        :raises InstanceExited: as soon as the process of one has exited.
         :raises TimeoutError: when one doesn't serve it in time.
         """
         for instance in self._expected_instances():
@@ -386,7 +386,7 @@
         for instance in self._expected_instances():
             code = instance.process.poll()
             if code is not None:
-                raise InstanceEnded(
+                raise InstanceExited(
                     instance_id=instance.instance_id,
                     code=code,
                     log_file=instance.log_file,
@@ -442,14 +442,14 @@
     start. All instances are then started again on other ports.
 
     :param options: those of :class:`LocalSystem`.
-    :raises InstanceEnded: when an instance exits for another reason, or
-        when ports were taken in ``MOST_STARTS`` attempts.
+    :raises InstanceExited: when an instance exits for another reason, or
+        when ports were taken in ``MAX_START_ATTEMPTS`` attempts.
     """
-    for attempts_left in reversed(range(MOST_STARTS)):
+    for attempts_left in reversed(range(MAX_START_ATTEMPTS)):
         system = LocalSystem(**options)
         try:
             _start_all(system)
-        except InstanceEnded as error:
+        except InstanceExited as error:
             is_port_taken = error.code == exceptions.ExitCode.PORT_IN_USE
             system.discard()
             if not is_port_taken or not attempts_left:
