--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -17,7 +17,7 @@
 
 from loguru import logger
 
-from dandeliongw import _lines
+from dandeliongw import _log_writer
 from dandeliongw import decisions
 from dandeliongw import logs
 
@@ -103,10 +103,10 @@
 
 
 def _writing_all(stream: io.TextIOBase) -> contextlib.AbstractContextManager:
-    return _lines.writing(stream, {})
+    return _log_writer.writing(stream, {})
 
 
-def _configure(lines: _lines.LineWriter, level: str) -> None:
+def _configure(lines: _log_writer.LineWriter, level: str) -> None:
     logs.configure(
         instance_id='front-north-1',
         data_centre='north',
@@ -116,7 +116,7 @@
 
 
 def main() -> None:
-    _lines.MAX_LINES_PER_SECOND = _lines.MAX_QUEUED_LINES = NO_BUDGET
+    _log_writer.MAX_LINES_PER_SECOND = _log_writer.MAX_QUEUED_LINES = NO_BUDGET
     for write in (write_good, write_retried):
         for name, level in (('off', 'CRITICAL'), ('on', 'INFO')):
             costs = [cost_of(write, level) for _ in range(RUNS)]
--- a/dandeliongw/adapter.py
+++ b/dandeliongw/adapter.py
@@ -12,9 +12,9 @@
 
 from . import engine
 from . import settings as settings_module
-from .borders import backends
-from .borders import control
-from .borders import gateway
+from .api import backends
+from .api import gateway
+from .api import operator_interface
 from .coordination import membership
 from .entry import relay
 
@@ -53,11 +53,17 @@
 class Operators(typing.Protocol):
     """Returns the document and accepts numbered changes of it."""
 
-    def current(self) -> control.Configuration | control.Unavailable: ...
+    def current(
+        self,
+    ) -> operator_interface.Configuration | operator_interface.Unavailable: ...
 
     def propose_ordered(
         self, *, order: int, author: str, document: bytes
-    ) -> control.Applied | control.Overtaken | control.Unavailable: ...
+    ) -> (
+        operator_interface.Applied
+        | operator_interface.Overtaken
+        | operator_interface.Unavailable
+    ): ...
 
 
 class ExtraPort(msgspec.Struct, frozen=True, kw_only=True):
--- a/dandeliongw/borders/_browser.py
+++ b/dandeliongw/api/_browser.py
@@ -11,7 +11,7 @@
 from .. import document as documents
 from .. import exceptions
 from . import changes
-from . import control as controls
+from . import operator_interface
 from . import sessions
 from .pages import forms
 from .pages import layout
@@ -119,7 +119,7 @@
 def read_call(form: forms.Form) -> str:
     """Return the fingerprint of a call in a form."""
     given = forms.text(form, 'call')
-    if not re.fullmatch(controls.CALL_PATTERN, given):
+    if not re.fullmatch(operator_interface.CALL_PATTERN, given):
         raise cherrypy.HTTPError(400, 'call: give that of the form.')
     return given
 
@@ -127,11 +127,11 @@
 def read_reason(form: forms.Form) -> str:
     """Return the reason that the operator gave for a request."""
     given = forms.text(form, 'reason')
-    if not 0 < len(given) <= controls.MAX_REASON_CHARACTERS:
+    if not 0 < len(given) <= operator_interface.MAX_REASON_CHARACTERS:
         raise cherrypy.HTTPError(
             400,
             f'reason: {len(given)} characters given; must be 1 to '
-            f'{controls.MAX_REASON_CHARACTERS}.',
+            f'{operator_interface.MAX_REASON_CHARACTERS}.',
         )
     return given
 
--- a/dandeliongw/borders/_console_base.py
+++ b/dandeliongw/api/_console_base.py
@@ -13,8 +13,8 @@
 from .. import metrics as metrics_module
 from .. import settings as settings_module
 from . import _browser
-from . import control as controls
 from . import drafts
+from . import operator_interface
 from . import sessions
 from .pages import forms
 from .pages import layout
@@ -73,7 +73,7 @@
     def __init__(
         self,
         *,
-        control: controls.Control,
+        control: operator_interface.Control,
         settings: settings_module.Settings,
         metrics: metrics_module.Metrics,
         clock: abc.Callable[[], float] = time.time,
@@ -94,9 +94,9 @@
             form_token=self._sessions.form_token(cookie),
         )
 
-    def _current(self) -> controls.Configuration:
+    def _current(self) -> operator_interface.Configuration:
         current = self._control.current()
-        if isinstance(current, controls.Unavailable):
+        if isinstance(current, operator_interface.Unavailable):
             raise cherrypy.HTTPError(503, current.message)
         return current
 
--- a/dandeliongw/borders/_console_editing.py
+++ b/dandeliongw/api/_console_editing.py
@@ -12,8 +12,8 @@
 from . import _browser
 from . import _console_base
 from . import changes
-from . import control as controls
 from . import drafts
+from . import operator_interface
 from ._console_base import action
 from ._console_base import ConsoleSession
 from ._console_base import page
@@ -109,10 +109,10 @@
             expected_revision=revision,
             document=document,
         )
-        if isinstance(result, controls.Applied):
+        if isinstance(result, operator_interface.Applied):
             self._drafts.discard(session.operator, change_id)
             raise _browser.see_other('accepted', revision=result.revision)
-        if isinstance(result, controls.Unavailable):
+        if isinstance(result, operator_interface.Unavailable):
             cherrypy.response.status = 503
             retry_form = _apply_form(
                 session, document, change_id, revision, 'Send the change again'
@@ -120,7 +120,7 @@
             content = editing.unknown_result(result.message, retry_form)
             return show(session, 'Result unknown', content)
         cherrypy.response.status = 409
-        if isinstance(result, controls.ChangeIdReused):
+        if isinstance(result, operator_interface.ChangeIdReused):
             alert = editing.change_id_reused(result.change_id)
             return show(session, 'Not applied', alert)
         return self._explain_conflict(session, document, result.current)
@@ -204,7 +204,7 @@
         self,
         session: ConsoleSession,
         document: documents.Document,
-        current: controls.Configuration,
+        current: operator_interface.Configuration,
     ) -> bytes:
         title = 'Another change came first'
         draft = self._drafts.find(session.operator)
@@ -221,7 +221,7 @@
 def _outdated(
     session: ConsoleSession,
     draft: drafts.Draft,
-    current: controls.Configuration,
+    current: operator_interface.Configuration,
 ) -> typing.Any:
     tree = json.loads(current.document)
     return editing.outdated_draft(draft, current, tree, session.form_token)
--- a/dandeliongw/borders/bodies.py
+++ b/dandeliongw/api/bodies.py
@@ -3,7 +3,7 @@
 import cherrypy
 
 from .. import exceptions
-from . import web
+from . import http_ports
 
 #: Longest body that is accepted. Messages of backend servers have some hundred
 #: bytes, those with lists of cache events some thousand.
@@ -45,7 +45,7 @@
     connection that is closed with unread bytes may lose the answer.
     """
     if not _discard_rest():
-        web.close_connection()
+        http_ports.close_connection()
 
 
 def _discard_rest() -> bool:
--- a/dandeliongw/borders/callers.py
+++ b/dandeliongw/api/callers.py
@@ -20,7 +20,7 @@
 from . import answers
 from . import calls
 from ..entry import relay
-from . import web
+from . import http_ports
 
 _REASON = verdict.RefusalReason
 
@@ -204,7 +204,7 @@
         connection would also not switch to another instance.
         """
         if self._gate.is_shutting_down or not _is_body_fully_read():
-            web.close_connection()
+            http_ports.close_connection()
 
     def refuse_call(self, error: calls.InvalidCall) -> bytes:
         """Refuse a call with an invalid request line."""
--- a/dandeliongw/borders/changes.py
+++ b/dandeliongw/api/changes.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from .. import document as documents
-from . import control as controls
+from . import operator_interface
 
 #: Pattern of a change id. The client chooses it; a retry uses the same id.
 CHANGE_ID_PATTERN = r'^[A-Za-z0-9._-]{1,64}$'
@@ -17,13 +17,13 @@
 
 
 def propose(
-    control: controls.Control,
+    control: operator_interface.Control,
     *,
     change_id: str,
     author: str,
     expected_revision: int,
     document: documents.Document,
-) -> controls.ProposeResult:
+) -> operator_interface.ProposeResult:
     """Propose a validated document; log the operator and the result."""
     result = control.propose(
         change_id=change_id,
@@ -42,9 +42,9 @@
     return result
 
 
-def _revision_of(result: controls.ProposeResult) -> int | None:
-    if isinstance(result, controls.Applied):
+def _revision_of(result: operator_interface.ProposeResult) -> int | None:
+    if isinstance(result, operator_interface.Applied):
         return result.revision
-    if isinstance(result, controls.Conflict):
+    if isinstance(result, operator_interface.Conflict):
         return result.current.revision
     return None
--- a/dandeliongw/borders/console.py
+++ b/dandeliongw/api/console.py
@@ -1,7 +1,7 @@
 """The operators' console: pages that show the state and edit the document.
 
 It works without scripts. As in the API, every change of the document goes
-through :mod:`dandeliongw.borders.changes`.
+through :mod:`dandeliongw.api.changes`.
 """
 
 import typing
--- a/dandeliongw/borders/drafts.py
+++ b/dandeliongw/api/drafts.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from .. import differences
-from . import control as controls
+from . import operator_interface
 
 _NONCE_BYTES = 8
 _DIGEST_LENGTH = 32
@@ -30,7 +30,7 @@
     :param nonce: makes this draft's change ids unique.
     """
 
-    base: controls.Configuration
+    base: operator_interface.Configuration
     tree: differences.Tree
     nonce: str
 
@@ -80,7 +80,7 @@
     def edit(
         self,
         operator: str,
-        current: controls.Configuration,
+        current: operator_interface.Configuration,
         revision: int,
         change: abc.Callable[[differences.Tree], differences.Tree],
     ) -> bool:
@@ -106,7 +106,7 @@
             return True
 
     def carry_over(
-        self, operator: str, current: controls.Configuration
+        self, operator: str, current: operator_interface.Configuration
     ) -> tuple[differences.Difference, ...]:
         """Rebase the draft on ``current``.
 
@@ -138,6 +138,6 @@
             if change_id is None or draft.change_id == change_id:
                 del self._drafts_by_operator[operator]
 
-    def _start_draft(self, current: controls.Configuration) -> Draft:
+    def _start_draft(self, current: operator_interface.Configuration) -> Draft:
         tree: typing.Any = json.loads(current.document)
         return Draft(base=current, tree=tree, nonce=self._make_nonce())
--- a/dandeliongw/borders/gateway.py
+++ b/dandeliongw/api/gateway.py
@@ -26,7 +26,7 @@
 from . import _forwarded_body
 from . import calls
 from ..entry import relay
-from . import web
+from . import http_ports
 
 _REASON = verdict.RefusalReason
 
@@ -138,7 +138,7 @@
     def __call__(
         self, environ: dict[str, typing.Any], start_response: abc.Callable
     ) -> abc.Iterable[bytes]:
-        incoming = environ[web.REQUEST_KEY]
+        incoming = environ[http_ports.REQUEST_KEY]
         reply = _Reply(
             start_response=start_response,
             incoming=incoming,
@@ -176,7 +176,7 @@
     def _read(
         self, environ: dict[str, typing.Any], headers: Headers
     ) -> tuple[events.Call, relay.RequestPayload, CallMetadata]:
-        incoming = environ[web.REQUEST_KEY]
+        incoming = environ[http_ports.REQUEST_KEY]
         target = incoming.uri.decode('latin-1')
         if not _TARGET.fullmatch(target):
             raise calls.InvalidCall(
--- a/dandeliongw/borders/operators.py
+++ b/dandeliongw/api/operators.py
@@ -20,7 +20,7 @@
 from . import _application
 from . import changes
 from . import console
-from . import control as controls
+from . import operator_interface
 from . import tokens
 
 MAX_BODY_BYTES = 4 * settings_module.MIB
@@ -83,7 +83,8 @@
     """The body of ``POST /v1/quarantine/lift``."""
 
     call: typing.Annotated[
-        str, pydantic.StringConstraints(pattern=controls.CALL_PATTERN)
+        str,
+        pydantic.StringConstraints(pattern=operator_interface.CALL_PATTERN),
     ]
     """The call's fingerprint, as in logs and ``GET /v1/quarantine``."""
     reason: typing.Annotated[
@@ -91,14 +92,14 @@
         pydantic.StringConstraints(
             strip_whitespace=True,
             min_length=1,
-            max_length=controls.MAX_REASON_CHARACTERS,
+            max_length=operator_interface.MAX_REASON_CHARACTERS,
         ),
     ]
     """Why the call may run again; shown with the operator's name."""
 
 
 def make_application(
-    control: controls.Control,
+    control: operator_interface.Control,
     settings: settings_module.Settings,
     metrics: metrics_module.Metrics,
 ) -> cherrypy.Application:
@@ -158,7 +159,7 @@
     def __init__(
         self,
         *,
-        control: controls.Control,
+        control: operator_interface.Control,
         settings: settings_module.Settings,
     ) -> None:
         self._control = control
@@ -186,7 +187,7 @@
     def GET(self) -> dict[str, typing.Any]:
         self._authorize()
         current = self._control.current()
-        if isinstance(current, controls.Unavailable):
+        if isinstance(current, operator_interface.Unavailable):
             raise _unavailable_error(current.message)
         return _configuration_fields(current)
 
@@ -201,14 +202,14 @@
             expected_revision=change.expected_revision,
             document=_read_document(change.document),
         )
-        if isinstance(result, controls.Applied):
+        if isinstance(result, operator_interface.Applied):
             return {'revision': result.revision, 'repeated': result.repeated}
         raise _proposal_error(result)
 
 
 class _Status(_Resource):
     @_answers_json
-    def GET(self) -> controls.Status:
+    def GET(self) -> operator_interface.Status:
         self._authorize()
         return self._control.status()
 
@@ -258,7 +259,7 @@
     def __init__(
         self,
         *,
-        control: controls.Control,
+        control: operator_interface.Control,
         settings: settings_module.Settings,
     ) -> None:
         self.document = _Document(control=control, settings=settings)
@@ -292,7 +293,7 @@
 
 
 def _configuration_fields(
-    current: controls.Configuration,
+    current: operator_interface.Configuration,
 ) -> dict[str, typing.Any]:
     return {
         'revision': current.revision,
@@ -302,9 +303,11 @@
 
 
 def _proposal_error(
-    result: controls.Conflict | controls.ChangeIdReused | controls.Unavailable,
+    result: operator_interface.Conflict
+    | operator_interface.ChangeIdReused
+    | operator_interface.Unavailable,
 ) -> ApiError:
-    if isinstance(result, controls.Conflict):
+    if isinstance(result, operator_interface.Conflict):
         current = result.current
         return ApiError(
             status=409,
@@ -315,7 +318,7 @@
             ),
             details=_configuration_fields(current),
         )
-    if isinstance(result, controls.ChangeIdReused):
+    if isinstance(result, operator_interface.ChangeIdReused):
         return ApiError(
             status=409,
             reason=ApiReason.CHANGE_ID_REUSED,
--- a/dandeliongw/borders/pages/editing.py
+++ b/dandeliongw/api/pages/editing.py
@@ -7,8 +7,8 @@
 
 from ... import differences
 from ... import exceptions
-from .. import control as controls
 from .. import drafts
+from .. import operator_interface
 from . import forms
 from . import layout
 from . import markup
@@ -156,7 +156,7 @@
 
 def outdated_draft(
     draft: drafts.Draft,
-    current: controls.Configuration,
+    current: operator_interface.Configuration,
     their_tree: differences.Tree,
     form_token: str,
 ) -> markup.Markup:
@@ -176,7 +176,8 @@
 
 
 def conflict(
-    current: controls.Configuration, found: list[differences.Difference]
+    current: operator_interface.Configuration,
+    found: list[differences.Difference],
 ) -> list[markup.Markup]:
     """Return an alert about a conflict when the draft no longer exists.
 
--- a/dandeliongw/borders/pages/status.py
+++ b/dandeliongw/api/pages/status.py
@@ -5,15 +5,15 @@
 
 from ... import metrics as metrics_module
 from ... import verdict as verdicts
-from .. import control as controls
 from ...entry import waste
+from .. import operator_interface
 from . import layout
 from . import markup
 
 NONE = '-'
 
 
-def overview(status: controls.Status) -> list[markup.Markup]:
+def overview(status: operator_interface.Status) -> list[markup.Markup]:
     """Return the revision, its progress, the instances and the leases."""
     instances = [
         (
@@ -46,7 +46,7 @@
     ]
 
 
-def in_force(progress: controls.InForce) -> markup.Markup:
+def in_force(progress: operator_interface.InForce) -> markup.Markup:
     """Return the progress of a revision as a sentence."""
     total = progress['instances']
     finished = progress['confirmed'] + progress['expired']
@@ -65,7 +65,7 @@
 
 
 def backends(
-    found: abc.Iterable[controls.BackendStatus],
+    found: abc.Iterable[operator_interface.BackendStatus],
 ) -> list[markup.Markup]:
     """Return all backend servers that have announced themselves."""
     rows = [
@@ -90,7 +90,7 @@
 
 
 def load(
-    pools: abc.Iterable[controls.PoolStatus],
+    pools: abc.Iterable[operator_interface.PoolStatus],
 ) -> list[markup.Markup]:
     """Return slots and queues by pool."""
     rows = [
@@ -137,7 +137,7 @@
 
 
 def history(
-    changes: abc.Iterable[controls.HistoryEntry],
+    changes: abc.Iterable[operator_interface.HistoryEntry],
 ) -> list[markup.Markup]:
     """Return who changed the document and when."""
     rows = [
@@ -154,7 +154,7 @@
 
 
 def quarantine(
-    suspects: abc.Iterable[controls.SuspectEntry], form_token: str
+    suspects: abc.Iterable[operator_interface.SuspectEntry], form_token: str
 ) -> list[markup.Markup]:
     """Return the calls that are suspected of ending backend servers.
 
@@ -174,7 +174,7 @@
     return [layout.table('Calls suspected of ending servers', headings, rows)]
 
 
-def _lifted(lift: controls.LiftEntry | None) -> str:
+def _lifted(lift: operator_interface.LiftEntry | None) -> str:
     if lift is None:
         return NONE
     return (
@@ -188,7 +188,7 @@
         type='text',
         name='reason',
         required=True,
-        maxlength=controls.MAX_REASON_CHARACTERS,
+        maxlength=operator_interface.MAX_REASON_CHARACTERS,
     )
     return layout.form(
         'lift',
--- a/dandeliongw/caller_facades.py
+++ b/dandeliongw/caller_facades.py
@@ -17,9 +17,9 @@
 from . import reducer as reducer_module
 from . import runtime as runtime_module
 from . import settings as settings_module
-from .borders import gateway
-from .borders import watch as watch_module
-from .borders import web
+from .api import disconnects
+from .api import gateway
+from .api import http_ports
 from .entry import relay
 
 
@@ -32,7 +32,7 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: watch_module.DisconnectWatcher,
+        watch: disconnects.DisconnectWatcher,
     ) -> None:
         self._settings = settings
         self._reducer = reducer
@@ -48,7 +48,7 @@
             work=work,
             request_id=request_id,
             backends=self._backends,
-            caller=cherrypy.request.wsgi_environ.get(web.SOCKET_KEY),
+            caller=cherrypy.request.wsgi_environ.get(http_ports.SOCKET_KEY),
         )
 
     def _open(
@@ -105,7 +105,7 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: watch_module.DisconnectWatcher,
+        watch: disconnects.DisconnectWatcher,
         adapter: adapter_module.Adapter,
     ) -> None:
         super().__init__(
--- a/dandeliongw/cell/backend_state.py
+++ b/dandeliongw/cell/backend_state.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from . import prefixes
+from .cell_types import Booking
+from .cell_types import CellBackend
 from .health import BatchCap
 from .health import Health
-from .vocabulary import Booking
-from .vocabulary import CellBackend
 
 #: Blocks kept for each backend server, about 100 bytes each.
 MAX_BLOCKS = 4_096
--- a/dandeliongw/cell/candidates.py
+++ b/dandeliongw/cell/candidates.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from .backend_state import BackendState
+from .cell_types import Booking
+from .cell_types import Role
+from .cell_types import Stage
 from .cell_view import CellView
-from .vocabulary import Booking
-from .vocabulary import Role
-from .vocabulary import Stage
 
 #: If the mean open fraction of a role's backend servers is below this, ejected
 #: ones are used, too; above it, the others can carry their work.
--- a/dandeliongw/cell/cell_messages.py
+++ b/dandeliongw/cell/cell_messages.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from ..verdict import RefusalReason
-from .vocabulary import CellBackend
-from .vocabulary import CellTerms
-from .vocabulary import Stage
+from .cell_types import CellBackend
+from .cell_types import CellTerms
+from .cell_types import Stage
 
 
 class Outcome(enum.StrEnum):
--- a/dandeliongw/cell/cell_view.py
+++ b/dandeliongw/cell/cell_view.py
@@ -11,10 +11,10 @@
 from . import forecast
 from .backend_state import BackendState
 from .backend_state import FullForecast
-from .vocabulary import Booking
-from .vocabulary import CellTerms
-from .vocabulary import Role
-from .vocabulary import Stage
+from .cell_types import Booking
+from .cell_types import CellTerms
+from .cell_types import Role
+from .cell_types import Stage
 
 #: Weight of a new measurement in a moving average.
 SMOOTHING = 0.1
--- a/dandeliongw/cell/cells.py
+++ b/dandeliongw/cell/cells.py
@@ -37,6 +37,11 @@
 from .cell_messages import StreamCancelled
 from .cell_messages import StreamsListed
 from .cell_messages import TermsChanged
+from .cell_types import Booking
+from .cell_types import CellBackend
+from .cell_types import CellTerms
+from .cell_types import Role
+from .cell_types import Stage
 from .cell_view import CellView
 from .fault_recorder import FaultRecorder
 from .health import Health
@@ -46,11 +51,6 @@
 from .policy import Policy
 from .policy import Wait
 from .roles import RoleBalancer
-from .vocabulary import Booking
-from .vocabulary import CellBackend
-from .vocabulary import CellTerms
-from .vocabulary import Role
-from .vocabulary import Stage
 
 __all__ = [
     'BackendsChanged',
--- a/dandeliongw/cell/declines.py
+++ b/dandeliongw/cell/declines.py
@@ -5,10 +5,10 @@
 import xxhash
 
 from ..verdict import RefusalReason
+from .cell_types import Booking
+from .cell_types import Stage
 from .policy import Decline
 from .policy import DEFAULT_RETRY_AFTER_S
-from .vocabulary import Booking
-from .vocabulary import Stage
 
 #: Shortest Retry-After, in seconds. Bursts last for seconds; a retry within
 #: the same burst is refused again, for good.
--- a/dandeliongw/cell/document_terms.py
+++ b/dandeliongw/cell/document_terms.py
@@ -3,14 +3,14 @@
 import typing
 
 from .. import document as document_module
+from . import cell_types
 from ..coordination import presence
 from . import orders
-from . import vocabulary
 
 
 def terms_of(
     described: document_module.Document, service_name: str
-) -> vocabulary.CellTerms | None:
+) -> cell_types.CellTerms | None:
     """Return a service's settings for its cells; ``None`` if it is unknown."""
     service = described.services_by_name.get(service_name)
     if service is None:
@@ -23,11 +23,11 @@
         if pool.kv_tokens is not None:
             kv_tokens_by_role[pool.role] = pool.kv_tokens
         _add_rates(fields, pool)
-    return vocabulary.CellTerms(
+    return cell_types.CellTerms(
         first_token_s=service.first_token_s or service.timeout_s,
         token_gap_s=service.token_gap_s or service.timeout_s,
         timeout_s=service.timeout_s,
-        weights=vocabulary.Weights(
+        weights=cell_types.Weights(
             goodput=service.weights.goodput,
             wasted_prefill=service.weights.wasted_prefill,
         ),
@@ -48,7 +48,7 @@
 
 def desired_by_role(
     described: document_module.Document, service_name: str
-) -> dict[vocabulary.Role, dict[orders.OrderKind, str]]:
+) -> dict[cell_types.Role, dict[orders.OrderKind, str]]:
     """Return what the engines of each role should load, by kind of order."""
     wanted = {}
     for pool in described.pools_of(service_name):
@@ -57,7 +57,7 @@
             orders.OrderKind.LOAD_VERSION: pool.version,
             orders.OrderKind.LOAD_ADAPTER: pool.adapter,
         }
-        wanted[vocabulary.Role(pool.role)] = {
+        wanted[cell_types.Role(pool.role)] = {
             kind: value for kind, value in values.items() if value
         }
     return wanted
@@ -80,13 +80,13 @@
 def cell_backend(
     announcement: presence.BackendAnnouncement,
     slots_by_role: dict[str, int],
-) -> vocabulary.CellBackend:
+) -> cell_types.CellBackend:
     """Convert the announcement of a backend server.
 
     :param slots_by_role: defaults, used if the announcement has no slots.
     """
-    role = vocabulary.Role(announcement.role)
-    return vocabulary.CellBackend(
+    role = cell_types.Role(announcement.role)
+    return cell_types.CellBackend(
         backend_id=announcement.backend_id,
         incarnation=announcement.incarnation,
         role=role,
--- a/dandeliongw/cell/fallback.py
+++ b/dandeliongw/cell/fallback.py
@@ -15,10 +15,10 @@
 import msgspec
 
 from .. import effects
+from . import cell_types
 from . import cells
 from ..coordination import parts
 from . import policy
-from . import vocabulary
 
 #: Epoch of these cells, below that of any owner.
 EPOCH = 0
@@ -36,9 +36,9 @@
     def __init__(
         self,
         *,
-        terms_of: abc.Callable[[str], vocabulary.CellTerms | None],
+        terms_of: abc.Callable[[str], cell_types.CellTerms | None],
         backends_of: abc.Callable[
-            [float, str], tuple[vocabulary.CellBackend, ...]
+            [float, str], tuple[cell_types.CellBackend, ...]
         ],
         entries: abc.Callable[[], int],
         make_policy: abc.Callable[[], policy.Policy],
@@ -101,7 +101,7 @@
         return cell
 
 
-def _share(terms: vocabulary.CellTerms, entries: int) -> vocabulary.CellTerms:
+def _share(terms: cell_types.CellTerms, entries: int) -> cell_types.CellTerms:
     return msgspec.structs.replace(
         terms,
         kv_tokens_by_role={
--- a/dandeliongw/cell/owner.py
+++ b/dandeliongw/cell/owner.py
@@ -5,6 +5,7 @@
 from .. import directory as directory_module
 from .. import document as document_module
 from .. import effects
+from . import cell_types
 from . import cells
 from ..coordination import lease
 from ..coordination import parts
@@ -15,7 +16,6 @@
 from . import policy
 from . import scheduler
 from . import takeover
-from . import vocabulary
 
 #: Seconds between two reviews of the pools' sizes.
 ROLE_REVIEW_INTERVAL_S = 0.5
@@ -366,7 +366,7 @@
 
     def _backends_of(
         self, now: float, cell_id: str
-    ) -> tuple[vocabulary.CellBackend, ...]:
+    ) -> tuple[cell_types.CellBackend, ...]:
         """Return the backend servers of a cell that may get work."""
         service = cell_id.split('/')[0]
         terms = self._terms(service)
@@ -380,7 +380,7 @@
             == cell_id
         )
 
-    def _terms(self, service: str) -> vocabulary.CellTerms | None:
+    def _terms(self, service: str) -> cell_types.CellTerms | None:
         return document_terms.terms_of(self._directory.document, service)
 
 
--- a/dandeliongw/cell/pairs.py
+++ b/dandeliongw/cell/pairs.py
@@ -8,13 +8,13 @@
 from . import candidates as candidates_module
 from . import prediction
 from .backend_state import BackendState
+from .cell_types import Booking
+from .cell_types import Role
+from .cell_types import Stage
+from .cell_types import Weights
 from .cell_view import CellView
 from .options import Options
 from .policy import Place
-from .vocabulary import Booking
-from .vocabulary import Role
-from .vocabulary import Stage
-from .vocabulary import Weights
 
 #: A prompt is sent to its engine this long before the prefill ahead of it
 #: ends. With 0.02 s, a single prefill engine served 5.5 prompts a second,
--- a/dandeliongw/cell/policy.py
+++ b/dandeliongw/cell/policy.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from ..verdict import RefusalReason
+from .cell_types import Booking
+from .cell_types import Role
 from .cell_view import CellView
-from .vocabulary import Booking
-from .vocabulary import Role
 
 #: Retry-After in seconds, if there is no better estimate.
 DEFAULT_RETRY_AFTER_S = 1.0
--- a/dandeliongw/cell/prediction.py
+++ b/dandeliongw/cell/prediction.py
@@ -4,9 +4,9 @@
 import math
 
 from . import candidates
+from .cell_types import Booking
+from .cell_types import Role
 from .cell_view import CellView
-from .vocabulary import Booking
-from .vocabulary import Role
 
 #: How many times as long a decode engine takes for a prefill as a prefill
 #: engine: it works at half the speed.
--- a/dandeliongw/cell/roles.py
+++ b/dandeliongw/cell/roles.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from . import backend_state
+from . import cell_types
 from . import cell_view
 from . import prediction
-from . import vocabulary
 from .forecast import MAX_FILL
 
 #: Number of requests before their mean is used.
@@ -55,7 +55,7 @@
     """A move of an engine to another role, not yet completed."""
 
     backend_id: str
-    role: vocabulary.Role
+    role: cell_types.Role
     since: float
 
 
@@ -70,12 +70,12 @@
         self._decode_may_prefill = False
         #: Mean engine seconds that a request takes, by role.
         self._work_by_role = {
-            vocabulary.Role.PREFILL: 0.0,
-            vocabulary.Role.DECODE: 0.0,
+            cell_types.Role.PREFILL: 0.0,
+            cell_types.Role.DECODE: 0.0,
         }
 
     def record(
-        self, view: cell_view.CellView, booking: vocabulary.Booking
+        self, view: cell_view.CellView, booking: cell_types.Booking
     ) -> None:
         """Update the means with a new request."""
         self._request_count += 1
@@ -85,9 +85,9 @@
         )
         part = max(SMOOTHING, 1.0 / self._request_count)
         work_by_role = {
-            vocabulary.Role.PREFILL: booking.prompt_tokens
+            cell_types.Role.PREFILL: booking.prompt_tokens
             / view.terms.prefill_tokens_per_s,
-            vocabulary.Role.DECODE: _decode_work_s(view, booking),
+            cell_types.Role.DECODE: _decode_work_s(view, booking),
         }
         for role, work_s in work_by_role.items():
             mean_s = self._work_by_role[role]
@@ -95,7 +95,7 @@
 
     def _counted_by_role(
         self, now: float, view: cell_view.CellView
-    ) -> dict[vocabulary.Role, list[backend_state.BackendState]]:
+    ) -> dict[cell_types.Role, list[backend_state.BackendState]]:
         return {
             role: [
                 state
@@ -178,15 +178,15 @@
             for state in idlest[:moved]
         }
 
-    def _throughput(self, counts: abc.Mapping[vocabulary.Role, int]) -> float:
+    def _throughput(self, counts: abc.Mapping[cell_types.Role, int]) -> float:
         """Return the requests a second that a split of the engines serves."""
         prefill_engines, decode_engines = (
-            counts[vocabulary.Role.PREFILL],
-            counts[vocabulary.Role.DECODE],
+            counts[cell_types.Role.PREFILL],
+            counts[cell_types.Role.DECODE],
         )
         prefill_s, decode_s = (
-            self._work_by_role[vocabulary.Role.PREFILL],
-            self._work_by_role[vocabulary.Role.DECODE],
+            self._work_by_role[cell_types.Role.PREFILL],
+            self._work_by_role[cell_types.Role.DECODE],
         )
         prefilled = prefill_engines / prefill_s if prefill_s else math.inf
         decoded = decode_engines / decode_s if decode_s else math.inf
@@ -224,11 +224,11 @@
 
 
 def _splits(
-    counts: abc.Mapping[vocabulary.Role, int],
+    counts: abc.Mapping[cell_types.Role, int],
     *,
-    giver: vocabulary.Role,
-    to: vocabulary.Role,
-) -> list[dict[vocabulary.Role, int]]:
+    giver: cell_types.Role,
+    to: cell_types.Role,
+) -> list[dict[cell_types.Role, int]]:
     """Return the splits that moves from ``giver`` to ``to`` can lead to."""
     left = MIN_LEFT if counts[to] else 1
     return [
@@ -237,14 +237,14 @@
     ]
 
 
-def _other(role: vocabulary.Role) -> vocabulary.Role:
-    if role is vocabulary.Role.DECODE:
-        return vocabulary.Role.PREFILL
-    return vocabulary.Role.DECODE
+def _other(role: cell_types.Role) -> cell_types.Role:
+    if role is cell_types.Role.DECODE:
+        return cell_types.Role.PREFILL
+    return cell_types.Role.DECODE
 
 
 def _decode_work_s(
-    view: cell_view.CellView, booking: vocabulary.Booking
+    view: cell_view.CellView, booking: cell_types.Booking
 ) -> float:
     """Return the engine seconds that an answer takes.
 
@@ -253,8 +253,8 @@
     """
     answer = view.answer_tokens(booking)
     stream_s = view.decode_s(booking)
-    slots = view.terms.slots_by_role.get(vocabulary.Role.DECODE, 1)
-    capacity = view.terms.kv_tokens_by_role.get(vocabulary.Role.DECODE)
+    slots = view.terms.slots_by_role.get(cell_types.Role.DECODE, 1)
+    capacity = view.terms.kv_tokens_by_role.get(cell_types.Role.DECODE)
     by_slots = 1.0 / slots
     if capacity is None:
         return stream_s * by_slots
--- a/dandeliongw/cell/scheduler.py
+++ b/dandeliongw/cell/scheduler.py
@@ -6,6 +6,10 @@
 from . import declines
 from . import pairs
 from . import prediction
+from .cell_types import Booking
+from .cell_types import Role
+from .cell_types import ROLES_BY_STAGE
+from .cell_types import Stage
 from .cell_view import CellView
 from .options import Options
 from .options import Order
@@ -16,10 +20,6 @@
 from .policy import Wait
 from .shares import DecayingRate
 from .shares import FairShares
-from .vocabulary import Booking
-from .vocabulary import Role
-from .vocabulary import ROLES_BY_STAGE
-from .vocabulary import Stage
 
 #: Rank of a KV cache that waits for a decode engine: before all other work.
 KV_MOVE_RANK = -1
--- a/dandeliongw/command.py
+++ b/dandeliongw/command.py
@@ -18,7 +18,7 @@
 from . import document as documents
 from . import exceptions
 from . import explain as explain_module
-from . import heap
+from . import gc_control
 from . import models
 from . import settings as settings_module
 
@@ -31,7 +31,7 @@
     :param settings: path of this instance's settings file
     """
     found = settings_module.load_settings(settings)
-    heap.pause()
+    gc_control.pause()
     # Imported here, as no other command needs the daemon's parts.
     from . import server
 
--- a/dandeliongw/desks.py
+++ b/dandeliongw/control_facades.py
@@ -13,7 +13,7 @@
 from . import reducer as reducer_module
 from . import runtime as runtime_module
 from . import settings as settings_module
-from .borders import backends as backends_module
+from .api import backends as backends_module
 from .coordination import membership
 from .coordination import presence
 
--- a/dandeliongw/coordination/lease.py
+++ b/dandeliongw/coordination/lease.py
@@ -9,12 +9,12 @@
 from collections import abc
 import typing
 
-from . import catchup
-from . import grantor
-from . import holder
+from . import lease_catchup
+from . import lease_grantor
+from . import lease_holder
 from . import lease_messages as messages
+from . import lease_quorum
 from . import parts
-from . import quorum
 from .lease_messages import GrantorCaughtUp
 from .lease_messages import GrantorsChanged
 from .lease_messages import GrantorsFormed
@@ -58,18 +58,18 @@
     ) -> None:
         self.instance_id = instance_id
         self.is_grantor = is_grantor
-        self._holder = holder.Holder(
+        self._holder = lease_holder.Holder(
             instance_id=instance_id,
             duration_s=duration_s,
             margin_s=margin_s,
             renew_s=renew_s,
         )
-        self._grantor = grantor.Grantor(
+        self._grantor = lease_grantor.Grantor(
             instance_id=instance_id,
             duration_s=duration_s,
             margin_s=margin_s,
         )
-        self._catch_up = catchup.CatchUp(
+        self._catch_up = lease_catchup.CatchUp(
             own_grantor=self._grantor, resend_s=renew_s
         )
 
@@ -158,7 +158,9 @@
         return []
 
     def _on_grantors_changed(self, event: GrantorsChanged) -> list[typing.Any]:
-        changed = quorum.Quorum(grantors=event.grantors, joining=event.joining)
+        changed = lease_quorum.Quorum(
+            grantors=event.grantors, joining=event.joining
+        )
         self._holder.change_quorum(event.version, changed)
         if self.is_grantor:
             self._catch_up.change_grantors(event.now, event.version, changed)
--- a/dandeliongw/coordination/catchup.py
+++ b/dandeliongw/coordination/lease_catchup.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from . import grantor
+from . import lease_grantor
 from . import lease_messages as messages
+from . import lease_quorum
 from . import parts
-from . import quorum
 
 
 class Phase(enum.Enum):
@@ -42,7 +42,7 @@
     """
 
     def __init__(
-        self, *, own_grantor: grantor.Grantor, resend_s: float
+        self, *, own_grantor: lease_grantor.Grantor, resend_s: float
     ) -> None:
         self.resend_s = resend_s
         self.phase = Phase.OFF
@@ -56,7 +56,7 @@
         self._epochs_by_source: dict[str, messages.LeaseEpochs] = {}
 
     def change_grantors(
-        self, now: float, version: int, changed: quorum.Quorum
+        self, now: float, version: int, changed: lease_quorum.Quorum
     ) -> None:
         """Start, restart or stop the catch-up, as the current sets require."""
         if version < self._version:
@@ -73,7 +73,9 @@
             return
         self._version = version
         self._sources = changed.grantors
-        self._sources_needed = quorum.intersecting_size(len(changed.grantors))
+        self._sources_needed = lease_quorum.intersecting_size(
+            len(changed.grantors)
+        )
         self._wait(now, Phase.WAITING)
 
     def stop(self) -> None:
@@ -123,7 +125,7 @@
         )
         for epochs in self._epochs_by_source.values():
             reports.update(epochs.records)
-        needed = quorum.majority(len(self._sources))
+        needed = lease_quorum.majority(len(self._sources))
         for record, count in reports.most_common():
             if count < needed:
                 record = msgspec.structs.replace(record, holder='', life=0)
--- a/dandeliongw/coordination/holder.py
+++ b/dandeliongw/coordination/lease_holder.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from . import lease_messages as messages
+from . import lease_quorum
 from . import parts
-from . import quorum
 
 _NEVER = float('-inf')
 _GRANTED = messages.LeaseOutcome.GRANTED
@@ -103,7 +103,7 @@
         self.duration_s = duration_s
         self.margin_s = margin_s
         self.renew_s = renew_s
-        self.quorum = quorum.Quorum()
+        self.quorum = lease_quorum.Quorum()
         self.version = 0
         self._leases_by_name: dict[str, _Lease] = {}
         self._wanted: frozenset[str] = frozenset()
@@ -146,7 +146,9 @@
             return self.instance_id
         return lease.holder
 
-    def change_quorum(self, version: int, changed: quorum.Quorum) -> None:
+    def change_quorum(
+        self, version: int, changed: lease_quorum.Quorum
+    ) -> None:
         """Use other sets of grantors from now on.
 
         A held lease stays valid for the time granted; the grantors of a new
--- a/dandeliongw/coordination/register.py
+++ b/dandeliongw/coordination/register.py
@@ -17,6 +17,7 @@
 from . import checker as checkers
 from . import configuration as configurations
 from . import confirmation
+from . import confirmation_status as status_module
 from . import enforcement
 from . import formation as formations
 from . import hints as hinting
@@ -25,7 +26,6 @@
 from . import proposer as proposers
 from . import register_messages as messages
 from . import register_state as state_module
-from . import standing as standings
 from . import sync_gate
 from .changes import Applied
 from .changes import ChangeIdReused
@@ -239,7 +239,7 @@
         self._requester = confirmation.ConfirmationRequester(
             instance_id=instance_id, ttl_s=confirm_ttl_s
         )
-        self._monitor = standings.ConfirmationMonitor()
+        self._monitor = status_module.ConfirmationMonitor()
         self._tracker = enforcement.EnforcementTracker(ttl_s=confirm_ttl_s)
         self._learners = learning.Learners(
             instance_id=instance_id, ttl_s=confirm_ttl_s
@@ -352,13 +352,13 @@
         confirmed_at = self.confirmed_at
         return confirmed_at is not None and now - confirmed_at < self._ttl_s
 
-    def standing(self, now: float) -> standings.ConfirmationStatus:
+    def standing(self, now: float) -> status_module.ConfirmationStatus:
         """Return how current the configuration is."""
         configuration = self.configuration
         if configuration is None:
-            return standings.ConfirmationStatus(revision=None)
+            return status_module.ConfirmationStatus(revision=None)
         at = self.confirmed_at
-        return standings.ConfirmationStatus(
+        return status_module.ConfirmationStatus(
             revision=configuration.revision,
             order=configuration.order,
             confirmed_age_s=None if at is None else now - at,
--- a/dandeliongw/directory.py
+++ b/dandeliongw/directory.py
@@ -2,11 +2,11 @@
 
 from . import document as document_module
 from . import settings as settings_module
+from .coordination import confirmation_status as status_module
 from .coordination import lease
 from .coordination import membership
 from .coordination import placement
 from .coordination import register
-from .coordination import standing as standings
 
 
 #: Up to this number of instances, all of them get the messages of every
@@ -71,7 +71,7 @@
             return True
         return self._configuration.is_fresh(now)
 
-    def standing(self, now: float) -> standings.ConfirmationStatus:
+    def standing(self, now: float) -> status_module.ConfirmationStatus:
         """Return when the document was last confirmed by a majority."""
         return self._configuration.standing(now)
 
--- a/dandeliongw/entry/admission.py
+++ b/dandeliongw/entry/admission.py
@@ -7,7 +7,7 @@
 from .. import document
 from .. import events
 from .. import verdict
-from ..coordination import standing as standings
+from ..coordination import confirmation_status as status_module
 
 _REASON = verdict.RefusalReason
 
@@ -40,7 +40,7 @@
         """Whether a majority confirmed the document recently enough."""
         ...
 
-    def standing(self, now: float) -> standings.ConfirmationStatus:
+    def standing(self, now: float) -> status_module.ConfirmationStatus:
         """How current the document is."""
         ...
 
--- a/dandeliongw/entry/attempts.py
+++ b/dandeliongw/entry/attempts.py
@@ -5,10 +5,10 @@
 from .. import decisions
 from .. import effects
 from .. import verdict
+from ..cell import cell_types
 from ..cell import cells
-from ..cell import vocabulary
 from . import endings
-from . import holds as hold_module
+from . import quarantine_check as quarantine_module
 from . import refusals
 from . import reservations
 from . import retries
@@ -37,7 +37,7 @@
         reservations: reservations.Reservations,
         endings: endings.Endings,
         budgets: retries.RetryBudgets,
-        holds: hold_module.QuarantineCheck,
+        holds: quarantine_module.QuarantineCheck,
     ) -> None:
         self._holds = holds
         self._reservations = reservations
@@ -126,7 +126,9 @@
         request.retry_at = now + wait_s
         return [*out, count]
 
-    def held(self, now: float, request: Request) -> hold_module.Held | None:
+    def held(
+        self, now: float, request: Request
+    ) -> quarantine_module.Held | None:
         """Return why a request may not be sent; ``None`` if it may.
 
         A request that is a trial may run once.
@@ -157,8 +159,8 @@
         request.last_resume_offset = -1
         if failed_id:
             request.exclude += (failed_id,)
-        if request.stage is vocabulary.Stage.DECODE:
-            request.stage = vocabulary.Stage.PAIR
+        if request.stage is cell_types.Stage.DECODE:
+            request.stage = cell_types.Stage.PAIR
         return [*release, *refusals.count_waste(failure, wasted)]
 
     def _backoff_s(self, request: Request, entropy: int) -> float:
--- a/dandeliongw/entry/recovery.py
+++ b/dandeliongw/entry/recovery.py
@@ -12,7 +12,7 @@
 from .. import events
 from .. import verdict
 from . import attempts
-from ..cell import vocabulary
+from ..cell import cell_types
 from . import endings
 from . import refusals
 from . import reservations
@@ -113,7 +113,7 @@
             request, booked.decode_id, booked.decode_url
         )
         request.exclude += (booked.decode_id,)
-        request.stage = vocabulary.Stage.DECODE
+        request.stage = cell_types.Stage.DECODE
         request.attempts += 1
         count = effects.CountRetry(reason=event.failure)
         moved = decisions.CacheMoved(
--- a/dandeliongw/entry/replies.py
+++ b/dandeliongw/entry/replies.py
@@ -7,8 +7,8 @@
 from .. import effects
 from .. import verdict
 from . import attempts
+from ..cell import cell_types
 from ..cell import cells
-from ..cell import vocabulary
 from ..coordination import parts
 from . import endings
 from . import reservations
@@ -125,9 +125,9 @@
     def _run_step(self, now: float, request: Request) -> Effects:
         """Direct the request's thread to run the step that was booked."""
         request.search_timeout_s = reservations.OWNER_FAILOVER_S
-        if request.stage is vocabulary.Stage.PLAIN:
+        if request.stage is cell_types.Stage.PLAIN:
             return steps.run_call(now, request)
-        if request.stage is vocabulary.Stage.DECODE:
+        if request.stage is cell_types.Stage.DECODE:
             return steps.run_decode(now, request)
         if not request.booked.prefill_id:
             return steps.run_decode(now, request, reads=True)
@@ -145,7 +145,7 @@
         if request.phase not in UNPLACED or event.sender != request.owner:
             return []
         declined = event.message
-        if request.stage is vocabulary.Stage.DECODE:
+        if request.stage is cell_types.Stage.DECODE:
             return self._attempts.retry(
                 event.now,
                 request,
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -9,8 +9,8 @@
 from .. import events
 from .. import verdict
 from . import admission
+from ..cell import cell_types
 from ..cell import cells
-from ..cell import vocabulary
 from ..coordination import presence
 
 _NOT_RUN = verdict.Verdict.NOT_RUN
@@ -76,7 +76,7 @@
     deadline_at: float
     phase: Phase
     phase_at: float
-    stage: vocabulary.Stage
+    stage: cell_types.Stage
     search_timeout_s: float
     known: verdict.Verdict = _NOT_RUN
     claim_key: str = ''
@@ -214,7 +214,7 @@
 
     def placement_timeout_s(self, now: float) -> float:
         """Return the seconds within which it has to be placed."""
-        if self.stage is not vocabulary.Stage.DECODE or not self.kv:
+        if self.stage is not cell_types.Stage.DECODE or not self.kv:
             return self.remaining_patience_s(now)
         kept_until = self.kv_at + self.kv_life_s
         return max(0.0, min(self.remaining_patience_s(now), kept_until - now))
--- a/dandeliongw/entry/requests.py
+++ b/dandeliongw/entry/requests.py
@@ -15,14 +15,14 @@
 from .. import verdict
 from . import admission
 from . import attempts
+from ..cell import cell_types
 from ..cell import cells
-from ..cell import vocabulary
 from ..coordination import claim_messages as claims
 from ..coordination import parts
 from . import crash_detection
 from . import endings
-from . import holds as hold_module
 from . import idempotency
+from . import quarantine_check as quarantine_module
 from . import recovery
 from . import refusals
 from . import replies
@@ -69,7 +69,7 @@
         *,
         directory: admission.Directory,
         gate: admission.Admission,
-        holds: hold_module.QuarantineCheck,
+        holds: quarantine_module.QuarantineCheck,
         budgets: retries.RetryBudgets,
         max_claimed_s: float = float('inf'),
         startup_wait_s: float = 0.0,
@@ -173,9 +173,9 @@
             phase=Phase.BOOKING,
             phase_at=event.now,
             last_piece_at=event.now,
-            stage=vocabulary.Stage.PAIR
+            stage=cell_types.Stage.PAIR
             if admitted.streamed
-            else vocabulary.Stage.PLAIN,
+            else cell_types.Stage.PLAIN,
             search_timeout_s=reservations.OWNER_SEARCH_S,
         )
 
@@ -514,7 +514,7 @@
     the request was in its queue.
     """
     return (
-        request.stage is vocabulary.Stage.DECODE
+        request.stage is cell_types.Stage.DECODE
         and request.phase in UNPLACED
         and now - request.kv_at >= request.kv_life_s
     )
--- a/dandeliongw/entry/reservations.py
+++ b/dandeliongw/entry/reservations.py
@@ -9,8 +9,8 @@
 
 from .. import decisions
 from . import admission
+from ..cell import cell_types
 from ..cell import cells
-from ..cell import vocabulary
 from ..coordination import parts
 from . import request as request_module
 
@@ -130,7 +130,7 @@
         if (
             not is_due
             or not owners
-            or request.stage is vocabulary.Stage.DECODE
+            or request.stage is cell_types.Stage.DECODE
         ):
             return []
         self._probe_at_by_cell[request.cell] = now + PROBE_S
@@ -161,7 +161,7 @@
         unowned: bool = False,
     ) -> Effects:
         out: Effects = []
-        if request.stage is not vocabulary.Stage.DECODE and (
+        if request.stage is not cell_types.Stage.DECODE and (
             not request.serial
             or holder != request.owner
             or unowned != request.is_unowned
@@ -269,7 +269,7 @@
         meant for has no effect.
         """
         booked = request.booked
-        if request.stage is vocabulary.Stage.PLAIN:
+        if request.stage is cell_types.Stage.PLAIN:
             return ()
         urls_by_id = {request.kv_id: request.kv_source}
         if booked is not None:
--- a/dandeliongw/entry/trials.py
+++ b/dandeliongw/entry/trials.py
@@ -12,7 +12,7 @@
 from . import attempts
 from ..coordination import quarantine
 from . import endings
-from . import holds as hold_module
+from . import quarantine_check as quarantine_module
 from .request import Phase
 from .request import Request
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         *,
-        holds: hold_module.QuarantineCheck,
+        holds: quarantine_module.QuarantineCheck,
         attempts: attempts.Attempts,
         endings: endings.Endings,
     ) -> None:
--- a/dandeliongw/exchange.py
+++ b/dandeliongw/exchange.py
@@ -18,8 +18,8 @@
 import urllib3
 import urllib3.connection
 
+from . import connection_pool
 from . import engine
-from . import pool as pool_module
 from . import verdict
 
 #: Size limit of a line in a stream; its pieces and end mark are short lines.
@@ -41,7 +41,7 @@
         url: str,
         connect_s: float,
         read_s: float,
-        pool: pool_module.Pool | None = None,
+        pool: connection_pool.Pool | None = None,
     ) -> None:
         parts = urllib.parse.urlsplit(url)
         self._pool = pool
--- a/dandeliongw/joining.py
+++ b/dandeliongw/joining.py
@@ -20,7 +20,7 @@
 from . import events
 from . import models
 from . import settings as settings_module
-from .borders import _application
+from .api import _application
 
 PATH = '/v1/members'
 #: Seconds between rounds of queries until this instance has joined. It is
--- a/dandeliongw/logs.py
+++ b/dandeliongw/logs.py
@@ -9,12 +9,12 @@
 
 from loguru import logger
 
-from . import _lines
+from . import _log_writer
 from . import _secrets
 
 HIDDEN = _secrets.HIDDEN
 
-writing = _lines.writing
+writing = _log_writer.writing
 
 #: A shorter one would blank out innocent text.
 _SHORTEST_SECRET = 8
@@ -27,7 +27,7 @@
     level: str = 'INFO',
     secrets: abc.Iterable[str] = (),
     stream: typing.TextIO | None = None,
-    lines: _lines.LineWriter | None = None,
+    lines: _log_writer.LineWriter | None = None,
 ) -> None:
     """Send all logs of this process to one place, as JSON lines.
 
--- a/dandeliongw/operations.py
+++ b/dandeliongw/operators_facade.py
@@ -12,7 +12,7 @@
 from . import reducer as reducer_module
 from . import runtime as runtime_module
 from . import settings as settings_module
-from .borders import control
+from .api import operator_interface
 from .coordination import membership
 from .coordination import quarantine
 from .coordination import register
@@ -22,7 +22,7 @@
 
 
 class OperatorsFacade:
-    """Operations and data for operators; a ``control.Control``."""
+    """Operations and data for operators; a ``operator_interface.Control``."""
 
     def __init__(
         self,
@@ -35,19 +35,21 @@
         self._reducer = reducer
         self._runtime = runtime
 
-    def current(self) -> control.Configuration | control.Unavailable:
+    def current(
+        self,
+    ) -> operator_interface.Configuration | operator_interface.Unavailable:
         return self._runtime.look(self._read_current)
 
     def _read_current(
         self, now: float
-    ) -> control.Configuration | control.Unavailable:
+    ) -> operator_interface.Configuration | operator_interface.Unavailable:
         state = self._reducer.register
         if state.revision is None or not state.is_fresh(now):
-            return control.Unavailable(
+            return operator_interface.Unavailable(
                 message='no majority of the voters has confirmed the '
                 'document lately; ask another instance, or later'
             )
-        return control.Configuration(
+        return operator_interface.Configuration(
             revision=state.revision,
             # Revision 0, with which the voters start, has no document.
             document=state.document or _EMPTY,
@@ -76,20 +78,24 @@
             case register.Applied():
                 return _applied(result)
             case register.Conflict():
-                return control.Conflict(
-                    current=control.Configuration(
+                return operator_interface.Conflict(
+                    current=operator_interface.Configuration(
                         revision=result.revision,
                         document=result.document or _EMPTY,
                         author=result.author,
                     )
                 )
             case register.ChangeIdReused():
-                return control.ChangeIdReused(change_id=change_id)
-        return control.Unavailable(message=result.message)
+                return operator_interface.ChangeIdReused(change_id=change_id)
+        return operator_interface.Unavailable(message=result.message)
 
     def propose_ordered(
         self, *, order: int, author: str, document: bytes
-    ) -> control.Applied | control.Overtaken | control.Unavailable:
+    ) -> (
+        operator_interface.Applied
+        | operator_interface.Overtaken
+        | operator_interface.Unavailable
+    ):
         """Accept a document if its order number is the highest so far."""
         result = self._runtime.ask(
             functools.partial(
@@ -104,31 +110,33 @@
             case register.Applied():
                 return _applied(result)
             case register.Overtaken():
-                return control.Overtaken(order=result.order)
-        return control.Unavailable(message=result.message)
+                return operator_interface.Overtaken(order=result.order)
+        return operator_interface.Unavailable(message=result.message)
 
-    def in_force(self, revision: int) -> control.InForce:
+    def in_force(self, revision: int) -> operator_interface.InForce:
         return self._runtime.look(
             lambda now: self._read_in_force(revision, now)
         )
 
-    def _read_in_force(self, revision: int, now: float) -> control.InForce:
+    def _read_in_force(
+        self, revision: int, now: float
+    ) -> operator_interface.InForce:
         states = self._reducer.register.in_force(revision, now).values()
         kinds = register.Enforcement
-        return control.InForce(
+        return operator_interface.InForce(
             revision=revision,
             confirmed=sum(each is kinds.CONFIRMED for each in states),
             expired=sum(each is kinds.STOPPED for each in states),
             instances=len(states),
         )
 
-    def status(self) -> control.Status:
+    def status(self) -> operator_interface.Status:
         return self._runtime.look(self._read_status)
 
-    def _read_status(self, now: float) -> control.Status:
+    def _read_status(self, now: float) -> operator_interface.Status:
         state = self._reducer.register
         revision = state.revision or 0
-        return control.Status(
+        return operator_interface.Status(
             instance_id=self._settings.instance_id,
             revision=revision,
             author=state.author,
@@ -137,7 +145,7 @@
             disks=state.voters_by_id,
             joining=state.joining_by_id,
             leases=[
-                control.LeaseStatus(
+                operator_interface.LeaseStatus(
                     name=cell_id,
                     holder=self._settings.instance_id,
                     epoch=cell.epoch,
@@ -149,13 +157,13 @@
 
     def _read_instances(
         self, revision: int, now: float
-    ) -> list[control.InstanceStatus]:
+    ) -> list[operator_interface.InstanceStatus]:
         states = self._reducer.register.in_force(revision, now)
         confirmed = register.Enforcement.CONFIRMED
         voters = self._reducer.register.voters_by_id
         alive = set(self._reducer.membership.alive_ids())
         return [
-            control.InstanceStatus(
+            operator_interface.InstanceStatus(
                 instance_id=instance_id,
                 data_centre=member.info.data_centre,
                 region=member.info.region,
@@ -171,10 +179,10 @@
             if member.state is not membership.MemberState.LEFT
         ]
 
-    def _read_pools(self) -> list[control.PoolStatus]:
+    def _read_pools(self) -> list[operator_interface.PoolStatus]:
         pools = self._reducer.directory.document.pools_by_name
         return [
-            control.PoolStatus(
+            operator_interface.PoolStatus(
                 name=load.pool,
                 service=pools[load.pool].service,
                 backends=load.backends,
@@ -185,17 +193,19 @@
             for load in self._reducer.owner.pool_loads()
         ]
 
-    def backends(self) -> list[control.BackendStatus]:
+    def backends(self) -> list[operator_interface.BackendStatus]:
         return self._runtime.look(self._read_backends)
 
-    def _read_backends(self, now: float) -> list[control.BackendStatus]:
+    def _read_backends(
+        self, now: float
+    ) -> list[operator_interface.BackendStatus]:
         out = []
         for backend_id, backend in sorted(
             self._reducer.presence.backends_by_id.items()
         ):
             announcement = backend.announcement
             out.append(
-                control.BackendStatus(
+                operator_interface.BackendStatus(
                     backend_id=backend_id,
                     service=announcement.service,
                     role=announcement.role.value,
@@ -209,10 +219,12 @@
             )
         return out
 
-    def suspects(self) -> list[control.SuspectEntry]:
+    def suspects(self) -> list[operator_interface.SuspectEntry]:
         return self._runtime.look(self._read_suspects)
 
-    def _read_suspects(self, now: float) -> list[control.SuspectEntry]:
+    def _read_suspects(
+        self, now: float
+    ) -> list[operator_interface.SuspectEntry]:
         found = [
             _suspect(now, case) for case in self._reducer.quarantine.cases()
         ]
@@ -228,12 +240,12 @@
             )
         )
 
-    def history(self) -> list[control.HistoryEntry]:
+    def history(self) -> list[operator_interface.HistoryEntry]:
         records = self._runtime.look(
             lambda now: self._reducer.register.history()
         )
         return [
-            control.HistoryEntry(
+            operator_interface.HistoryEntry(
                 revision=record.revision,
                 author=record.author,
                 change_id=record.change_id,
@@ -243,15 +255,17 @@
         ]
 
 
-def _suspect(now: float, case: quarantine.Case) -> control.SuspectEntry:
+def _suspect(
+    now: float, case: quarantine.Case
+) -> operator_interface.SuspectEntry:
     ends = case.counted
     held_until = case.held_until or now
     lifted = case.lifted
-    return control.SuspectEntry(
+    return operator_interface.SuspectEntry(
         call=case.fingerprint,
         held_s=round(max(0.0, held_until - now), 1),
         ends=[
-            control.EndEntry(
+            operator_interface.EndEntry(
                 backend_id=end.start.backend_id,
                 told_by=end.told_by,
                 age_s=round(now - end.ended_at, 1),
@@ -261,7 +275,7 @@
         cleared=len(case.cleared),
         lifted=None
         if lifted is None
-        else control.LiftEntry(
+        else operator_interface.LiftEntry(
             operator=lifted.operator,
             reason=lifted.reason,
             age_s=round(now - lifted.at, 1),
@@ -269,5 +283,7 @@
     )
 
 
-def _applied(result: register.Applied) -> control.Applied:
-    return control.Applied(revision=result.revision, repeated=result.repeated)
+def _applied(result: register.Applied) -> operator_interface.Applied:
+    return operator_interface.Applied(
+        revision=result.revision, repeated=result.repeated
+    )
--- a/dandeliongw/reducer.py
+++ b/dandeliongw/reducer.py
@@ -19,15 +19,16 @@
 from . import events
 from . import exceptions
 from . import membership_log
-from . import repair
 from . import settings as settings_module
 from . import shutdown
+from . import voter_replacement
 from .cell import cells
 from .cell import orders
 from .cell import owner as owner_module
 from .cell import succession
 from .coordination import claim_messages
 from .coordination import claims
+from .coordination import confirmation_status as status_module
 from .coordination import lease
 from .coordination import lease_messages
 from .coordination import membership
@@ -36,10 +37,9 @@
 from .coordination import quarantine
 from .coordination import register
 from .coordination import register_messages
-from .coordination import standing as standings
 from .entry import admission
 from .entry import fingerprints
-from .entry import holds
+from .entry import quarantine_check
 from .entry import requests
 from .entry import retries
 
@@ -152,7 +152,7 @@
         self.requests = requests.Requests(
             directory=self.directory,
             gate=self.admission,
-            holds=holds.QuarantineCheck(
+            holds=quarantine_check.QuarantineCheck(
                 quarantine=self.quarantine,
                 fingerprints=fingerprints.Fingerprints(
                     secret=settings.peer_secret.encode()
@@ -185,7 +185,7 @@
             directory=self.directory,
             owner=self.owner,
         )
-        self.voter_replacement = repair.VoterReplacement(
+        self.voter_replacement = voter_replacement.VoterReplacement(
             instance_id=settings.instance_id,
             configuration=self.register,
             members=self.membership,
@@ -379,8 +379,8 @@
         return {
             register.ConfigurationChanged: self._change_configuration,
             register.VotersChanged: self._change_voters,
-            standings.ConfirmationLapsed: self._on_confirmation_lapsed,
-            standings.ConfirmationRegained: self._on_confirmation_regained,
+            status_module.ConfirmationLapsed: self._on_confirmation_lapsed,
+            status_module.ConfirmationRegained: self._on_confirmation_regained,
             lease.LeaseGained: self._on_lease_gained,
             lease.LeaseLost: self._on_lease_lost,
             lease.GrantorCaughtUp: self._on_leases_caught_up,
@@ -448,7 +448,7 @@
                 for further in answer(now, request_id, effect.result):
                     self._process_effect(now, further, pending, out)
                 return
-        if effect.ticket.startswith(repair.TICKET):
+        if effect.ticket.startswith(voter_replacement.TICKET):
             out.append(
                 effects.log(f'voter replacement result: {effect.result}')
             )
@@ -660,7 +660,7 @@
         ]
 
     def _on_confirmation_lapsed(
-        self, now: float, effect: standings.ConfirmationLapsed
+        self, now: float, effect: status_module.ConfirmationLapsed
     ) -> list[typing.Any]:
         return [
             effects.log(
@@ -673,7 +673,7 @@
         ]
 
     def _on_confirmation_regained(
-        self, now: float, effect: standings.ConfirmationRegained
+        self, now: float, effect: status_module.ConfirmationRegained
     ) -> list[typing.Any]:
         return [
             effects.log(
@@ -698,7 +698,7 @@
     def _on_claims_caught_up(
         self, now: float, effect: claim_messages.CaughtUp
     ) -> list[typing.Any]:
-        number = effect.epoch - repair.FIRST_CLAIMS_EPOCH
+        number = effect.epoch - voter_replacement.FIRST_CLAIMS_EPOCH
         return self.voter_replacement.note_caught_up(
             now, 'claims', number, self._entropy
         )
@@ -862,7 +862,7 @@
 
 
 def _confirmation_fields(
-    standing: standings.ConfirmationStatus,
+    standing: status_module.ConfirmationStatus,
 ) -> dict[str, str]:
     """Return the log fields on a configuration and its confirmation."""
     age_s = standing.confirmed_age_s
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -14,28 +14,28 @@
 from . import __version__
 from . import adapter as adapter_module
 from . import caller_facades
-from . import desks
+from . import control_facades
 from . import events
 from . import exceptions
-from . import heap
+from . import gc_control
 from . import hosts
 from . import http_backends
 from . import joining
 from . import journal as journal_module
 from . import logs
 from . import metrics as metrics_module
-from . import operations
+from . import operators_facade
 from . import peers as peers_module
 from . import reducer as reducer_module
 from . import runtime as runtime_module
 from . import settings as settings_module
 from . import wire
-from .borders import backends as backends_module
-from .borders import callers as callers_module
-from .borders import gateway
-from .borders import operators
-from .borders import watch as watch_module
-from .borders import web
+from .api import backends as backends_module
+from .api import callers as callers_module
+from .api import disconnects
+from .api import gateway
+from .api import http_ports
+from .api import operators
 
 #: Seconds between two checks whether the instance has failed, in the wait for
 #: the end of a shutdown.
@@ -111,17 +111,17 @@
     :raises DataFolderUnusable: when the data folder can't be used.
     :raises PortInUse: when a port is taken; names its field of the settings.
     """
-    web.disable_cherrypy_logs()
+    http_ports.disable_cherrypy_logs()
     codec = wire.make_codec()
     metrics = metrics_module.Metrics()
     shutdown_s = settings.timeouts.shutdown_s
     with contextlib.ExitStack() as stack:
         journal = _open_journal(stack, settings, codec)
         control_port = stack.enter_context(
-            web.bound(settings.control, 'control', shutdown_s)
+            http_ports.bound(settings.control, 'control', shutdown_s)
         )
         callers_port = stack.enter_context(
-            web.bound(settings.callers, 'callers', shutdown_s)
+            http_ports.bound(settings.callers, 'callers', shutdown_s)
         )
         incarnation = time.time_ns()
         reducer = reducer_module.Reducer(
@@ -171,7 +171,7 @@
         callers_port.serve(applications.callers(), applications.read_limits)
         for extra in applications.extra_ports():
             port = stack.enter_context(
-                web.bound(extra.listen, extra.name, shutdown_s)
+                http_ports.bound(extra.listen, extra.name, shutdown_s)
             )
             port.serve(extra.application)
         joiner = None
@@ -216,7 +216,7 @@
         _logged(settings, lines),
         opened(settings, adapter) as server,
     ):
-        heap.settle()
+        gc_control.settle()
         server.watch_lines(lines)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: server.begin_shutdown())
@@ -354,8 +354,8 @@
 @contextlib.contextmanager
 def _watching(
     runtime: runtime_module.Runtime,
-) -> abc.Iterator[watch_module.DisconnectWatcher]:
-    watch = watch_module.DisconnectWatcher(
+) -> abc.Iterator[disconnects.DisconnectWatcher]:
+    watch = disconnects.DisconnectWatcher(
         on_disconnect=lambda request_id: runtime.post(
             functools.partial(events.CallerGone, request_id=request_id)
         )
@@ -399,7 +399,7 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: watch_module.DisconnectWatcher,
+        watch: disconnects.DisconnectWatcher,
         metrics: metrics_module.Metrics,
         adapter: adapter_module.Adapter | None,
     ) -> None:
@@ -444,9 +444,9 @@
         """
         settings = self._settings
         parts = {'reducer': self._reducer, 'runtime': self._runtime}
-        desk = desks.BackendsFacade(**parts)
-        control = operations.OperatorsFacade(settings=settings, **parts)
-        members = desks.MembersFacade(settings=settings, **parts)
+        desk = control_facades.BackendsFacade(**parts)
+        control = operators_facade.OperatorsFacade(settings=settings, **parts)
+        members = control_facades.MembersFacade(settings=settings, **parts)
         backends = backends_module.Backends(
             desk=desk,
             key_sha256=settings.backend_key_sha256,
@@ -468,7 +468,7 @@
         """Return the additional ports of the platform adapter."""
         if self._adapter is None:
             return ()
-        state = desks.State(
+        state = control_facades.State(
             reducer=self._reducer,
             runtime=self._runtime,
             metrics=self._metrics,
--- a/tests/entry_fake.py
+++ b/tests/entry_fake.py
@@ -5,14 +5,14 @@
 
 from dandeliongw.cell import cells
 from dandeliongw.coordination import claim_messages as claims
+from dandeliongw.coordination import confirmation_status
 from dandeliongw.coordination import parts
 from dandeliongw.coordination import quarantine
-from dandeliongw.coordination import standing
 from dandeliongw import document
 from dandeliongw import effects
 from dandeliongw.entry import admission
 from dandeliongw.entry import fingerprints
-from dandeliongw.entry import holds
+from dandeliongw.entry import quarantine_check
 from dandeliongw.entry import requests
 from dandeliongw.entry import retries
 from dandeliongw import events
@@ -67,7 +67,7 @@
         return self.fresh
 
     def standing(self, now):
-        return standing.ConfirmationStatus(
+        return confirmation_status.ConfirmationStatus(
             revision=1,
             order=1,
             confirmed_age_s=0.5 if self.confirmed else 9.0,
@@ -113,7 +113,7 @@
             directory=self.directory, max_requests=20, max_streams=10
         )
         self.quarantine = quarantine.Quarantine(instance_id='gw-0')
-        self.holds = holds.QuarantineCheck(
+        self.holds = quarantine_check.QuarantineCheck(
             quarantine=self.quarantine,
             fingerprints=fingerprints.Fingerprints(secret=None),
         )
--- a/tests/operators_fake.py
+++ b/tests/operators_fake.py
@@ -8,9 +8,9 @@
 from cheroot import wsgi
 import urllib3
 
-from dandeliongw.borders import control
-from dandeliongw.borders import operators
-from dandeliongw.borders import tokens
+from dandeliongw.api import operator_interface
+from dandeliongw.api import operators
+from dandeliongw.api import tokens
 from dandeliongw import document
 from dandeliongw import metrics
 from dandeliongw import settings
@@ -47,13 +47,13 @@
 
     def __init__(self) -> None:
         self.configurations = [
-            control.Configuration(
+            operator_interface.Configuration(
                 revision=0,
                 document=document.document_bytes(document.EMPTY),
                 author='',
             )
         ]
-        self.changes_by_id: dict[str, control.Configuration] = {}
+        self.changes_by_id: dict[str, operator_interface.Configuration] = {}
         #: Operator and reason of each lifted quarantine.
         self.lifts: list[tuple[str, str]] = []
         #: Whether proposals are accepted but their answers are lost.
@@ -61,32 +61,44 @@
         #: Whether no majority answers.
         self.cut_off = False
 
-    def current(self) -> control.Configuration | control.Unavailable:
+    def current(
+        self,
+    ) -> operator_interface.Configuration | operator_interface.Unavailable:
         if self.cut_off:
-            return control.Unavailable(message='no majority answered')
+            return operator_interface.Unavailable(
+                message='no majority answered'
+            )
         return self.configurations[-1]
 
     def propose(self, *, change_id, author, expected_revision, document):
         if self.cut_off:
-            return control.Unavailable(message='no majority answered')
+            return operator_interface.Unavailable(
+                message='no majority answered'
+            )
         known = self.changes_by_id.get(change_id)
         if known is not None:
             if known.document != document:
-                return control.ChangeIdReused(change_id=change_id)
-            return control.Applied(revision=known.revision, repeated=True)
+                return operator_interface.ChangeIdReused(change_id=change_id)
+            return operator_interface.Applied(
+                revision=known.revision, repeated=True
+            )
         last = self.configurations[-1]
         if last.revision != expected_revision:
-            return control.Conflict(current=last)
-        made = control.Configuration(
+            return operator_interface.Conflict(current=last)
+        made = operator_interface.Configuration(
             revision=last.revision + 1, document=document, author=author
         )
         self.configurations.append(made)
         self.changes_by_id[change_id] = made
         if self.answers_lost:
-            return control.Unavailable(message='the answer was lost')
-        return control.Applied(revision=made.revision, repeated=False)
+            return operator_interface.Unavailable(
+                message='the answer was lost'
+            )
+        return operator_interface.Applied(
+            revision=made.revision, repeated=False
+        )
 
-    def status(self) -> control.Status:
+    def status(self) -> operator_interface.Status:
         last = self.configurations[-1]
         return {
             'instance_id': 'gw-1',
@@ -116,7 +128,7 @@
             ],
         }
 
-    def backends(self) -> list[control.BackendStatus]:
+    def backends(self) -> list[operator_interface.BackendStatus]:
         return [
             {
                 'backend_id': '<script>alert(1)</script>',
@@ -131,7 +143,7 @@
             }
         ]
 
-    def history(self) -> list[control.HistoryEntry]:
+    def history(self) -> list[operator_interface.HistoryEntry]:
         return [
             {
                 'revision': made.revision,
@@ -142,7 +154,7 @@
             for change_id, made in reversed(self.changes_by_id.items())
         ]
 
-    def suspects(self) -> list[control.SuspectEntry]:
+    def suspects(self) -> list[operator_interface.SuspectEntry]:
         lift = {'operator': '<i>ben</i>', 'reason': '<b>', 'age_s': 4.0}
         return [
             {
@@ -162,7 +174,7 @@
         self.lifts.append((operator, reason))
         return True
 
-    def in_force(self, revision: int) -> control.InForce:
+    def in_force(self, revision: int) -> operator_interface.InForce:
         return {
             'revision': revision,
             'confirmed': 6,
--- a/tests/test_backend_state.py
+++ b/tests/test_backend_state.py
@@ -3,16 +3,16 @@
 import unittest
 
 from dandeliongw.cell import backend_state
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import prefixes
-from dandeliongw.cell import vocabulary
 
 
 class BlocksTest(unittest.TestCase):
     def test_blocks_are_bounded_and_the_oldest_are_dropped(self):
-        backend = vocabulary.CellBackend(
+        backend = cell_types.CellBackend(
             backend_id='p1',
             incarnation=1,
-            role=vocabulary.Role.PREFILL,
+            role=cell_types.Role.PREFILL,
             url='',
             slots=1,
         )
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -9,11 +9,11 @@
 from nose2.tools import params
 import urllib3
 
-from dandeliongw.borders import backends
-from dandeliongw.borders import bodies
-from dandeliongw.borders import web
+from dandeliongw.api import backends
+from dandeliongw.api import bodies
+from dandeliongw.api import http_ports
+from dandeliongw import control_facades
 from dandeliongw.coordination import parts
-from dandeliongw import desks
 from dandeliongw import settings
 from tests import network
 
@@ -73,7 +73,7 @@
     """Serve the API in front of a real reducer; yields a client."""
     net = network.Network()
     made = backends.Backends(
-        desk=desks.BackendsFacade(
+        desk=control_facades.BackendsFacade(
             reducer=net.reducers_by_id['gw-1'],
             runtime=VirtualRuntime(net=net, instance_id='gw-1'),
         ),
@@ -81,7 +81,7 @@
         **TERMS,
     )
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
-    with web.bound(listen, 'control', 1.0) as port:
+    with http_ports.bound(listen, 'control', 1.0) as port:
         # Seconds between the server's checks whether it has been stopped.
         port._server.expiration_interval = 0.01
         port.serve(backends.make_application(made))
--- a/tests/test_body.py
+++ b/tests/test_body.py
@@ -5,8 +5,8 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import _forwarded_body
-from dandeliongw.borders import calls
+from dandeliongw.api import _forwarded_body
+from dandeliongw.api import calls
 from dandeliongw import verdict
 
 MAX_BYTES = 100
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,10 +9,10 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import answers
-from dandeliongw.borders import callers
-from dandeliongw.borders import calls
-from dandeliongw.borders import web
+from dandeliongw.api import answers
+from dandeliongw.api import callers
+from dandeliongw.api import calls
+from dandeliongw.api import http_ports
 from dandeliongw import effects
 from dandeliongw.entry import outcome
 from dandeliongw.entry import relay
@@ -122,7 +122,7 @@
     gate = ScriptedGate(refusal)
     counters = metrics.Metrics()
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
-    with web.bound(listen, 'callers', 1.0) as port:
+    with http_ports.bound(listen, 'callers', 1.0) as port:
         port.serve(
             callers.make_application(
                 callers.Callers(
--- a/tests/test_cell_properties.py
+++ b/tests/test_cell_properties.py
@@ -5,8 +5,8 @@
 import hypothesis
 from hypothesis import strategies
 
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
-from dandeliongw.cell import vocabulary
 from tests import test_cells
 from tests import test_scheduler
 
@@ -79,7 +79,7 @@
         if name == 'book':
             self.send(book)
         elif name == 'move':
-            stage = vocabulary.Stage.DECODE
+            stage = cell_types.Stage.DECODE
             move = test_cells.make_book(
                 request_id, priority=priority, stage=stage, exclude=('d1',)
             )
@@ -112,7 +112,7 @@
         for name, request_id, priority, after_s in steps:
             simulation.step(name, request_id, priority)
             for state in simulation.cell.view.backends_by_id.values():
-                if state.backend.role is vocabulary.Role.DECODE:
+                if state.backend.role is cell_types.Role.DECODE:
                     self.assertLessEqual(state.slots_used, state.backend.slots)
             simulation.tick(after_s)
         for _ in range(80):
--- a/tests/test_cell_view.py
+++ b/tests/test_cell_view.py
@@ -3,8 +3,8 @@
 import unittest
 
 from dandeliongw.cell import backend_state
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cell_view
-from dandeliongw.cell import vocabulary
 from tests import test_cells
 
 
@@ -18,7 +18,7 @@
     """
 
     def setUp(self):
-        terms = vocabulary.CellTerms(
+        terms = cell_types.CellTerms(
             first_token_s=0.9,
             token_gap_s=0.3,
             timeout_s=14.0,
@@ -32,13 +32,13 @@
         self.view.backends_by_id['d1'] = self.state
 
     def booking(self, request_id='r'):
-        return vocabulary.Booking(
+        return cell_types.Booking(
             request_id=request_id,
             attempt_id='a',
             entry='gw-1',
             account='x',
             priority='y',
-            stage=vocabulary.Stage.PAIR,
+            stage=cell_types.Stage.PAIR,
             prompt_tokens=3000,
             max_tokens=1280,
             prefix=(),
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -6,29 +6,29 @@
 import msgspec
 
 from dandeliongw.cell import cancels
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
 from dandeliongw.cell import roles
-from dandeliongw.cell import vocabulary
 from dandeliongw import codec
 from dandeliongw.coordination import parts
 from dandeliongw.protocol import cells_pb2
 from dandeliongw.verdict import RefusalReason
 from tools import baselines
 
-TERMS = vocabulary.CellTerms(first_token_s=1.0, token_gap_s=0.05, timeout_s=60)
+TERMS = cell_types.CellTerms(first_token_s=1.0, token_gap_s=0.05, timeout_s=60)
 
 
 def make_backend(backend_id: str, role: str, slots: int = 20):
-    return vocabulary.CellBackend(
+    return cell_types.CellBackend(
         backend_id=backend_id,
         incarnation=1,
-        role=vocabulary.Role(role),
+        role=cell_types.Role(role),
         url=f'http://{backend_id}',
         slots=slots,
     )
 
 
-def make_cell(*backends: vocabulary.CellBackend, **changes: typing.Any):
+def make_cell(*backends: cell_types.CellBackend, **changes: typing.Any):
     values = {
         'cell_id': 'dieline-llm/tx-central/0',
         'service': 'dieline-llm',
@@ -117,7 +117,7 @@
         backend = msgspec.structs.replace(
             make_backend('s1', 'plain'), incarnation=5
         )
-        book = make_book(stage=vocabulary.Stage.PLAIN)
+        book = make_book(stage=cell_types.Stage.PLAIN)
         (booked,) = send(make_cell(backend), book)
         self.assertEqual(5, booked.message.plain_incarnation)
 
@@ -139,7 +139,7 @@
         self.failed = (booked.message.decode_id,)
 
     def move(self):
-        book = make_book(stage=vocabulary.Stage.DECODE, exclude=self.failed)
+        book = make_book(stage=cell_types.Stage.DECODE, exclude=self.failed)
         (effect,) = send(self.cell, book)
         return effect.message
 
@@ -275,7 +275,7 @@
 
     def test_a_move_to_another_pool_ends(self):
         switch = roles.Switch(
-            backend_id='d1', role=vocabulary.Role.PREFILL, since=0.5
+            backend_id='d1', role=cell_types.Role.PREFILL, since=0.5
         )
         self.cell.roles.switches_by_id['d1'] = switch
         self.restart()
@@ -311,7 +311,7 @@
             attempt_id='a1',
             account='studio-1',
             priority='urgent',
-            stage=vocabulary.Stage.PAIR,
+            stage=cell_types.Stage.PAIR,
             prompt_tokens=1000,
             max_tokens=100,
             deadline_s=30.0,
@@ -354,5 +354,5 @@
         wire = codec.Codec(
             data_classes=cells.MESSAGES, wire_modules=[cells_pb2]
         )
-        book = make_book(stage=vocabulary.Stage.DECODE, prefix=('x', 'y'))
+        book = make_book(stage=cell_types.Stage.DECODE, prefix=('x', 'y'))
         self.assertEqual(book, wire.decode(*wire.encode(book)))
--- a/tests/test_standing.py
+++ b/tests/test_confirmation_status.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dandeliongw.coordination import standing
+from dandeliongw.coordination import confirmation_status
 from tests import test_register
 
 TTL_S = test_register.TTL_S
@@ -15,7 +15,7 @@
 
 class StandingTest(unittest.TestCase):
     def test_text_with_the_age_of_the_confirmation(self):
-        status = standing.ConfirmationStatus(
+        status = confirmation_status.ConfirmationStatus(
             revision=3, order=98, confirmed_age_s=0.25
         )
         self.assertEqual(
@@ -23,14 +23,15 @@
         )
 
     def test_text_without_a_confirmation(self):
-        status = standing.ConfirmationStatus(revision=3, order=98)
+        status = confirmation_status.ConfirmationStatus(revision=3, order=98)
         self.assertEqual(
             'revision 3, number 98, never confirmed here', str(status)
         )
 
     def test_text_before_the_first_configuration(self):
         self.assertEqual(
-            'no configuration', str(standing.ConfirmationStatus(revision=None))
+            'no configuration',
+            str(confirmation_status.ConfirmationStatus(revision=None)),
         )
 
 
@@ -47,7 +48,7 @@
         self.cluster.run(1.5 * TTL_S)
 
     def test_a_lapse_is_reported_once(self):
-        (lapse,) = found(self.cluster, standing.ConfirmationLapsed)
+        (lapse,) = found(self.cluster, confirmation_status.ConfirmationLapsed)
         self.assertFalse(lapse.standing.is_confirmed)
         self.assertGreater(lapse.asks, 2)
         self.assertEqual(0, lapse.late_answers)
@@ -55,6 +56,8 @@
     def test_the_end_of_a_lapse_is_reported_once(self):
         self.cluster.down.clear()
         self.cluster.run(TTL_S)
-        (regained,) = found(self.cluster, standing.ConfirmationRegained)
+        (regained,) = found(
+            self.cluster, confirmation_status.ConfirmationRegained
+        )
         self.assertTrue(regained.standing.is_confirmed)
         self.assertGreater(regained.lapsed_s, 0.4 * TTL_S)
--- a/tests/test_pool.py
+++ b/tests/test_connection_pool.py
@@ -7,7 +7,7 @@
 import urllib3.connection
 
 from dandeliongw import clock
-from dandeliongw import pool
+from dandeliongw import connection_pool
 
 
 class PoolTest(unittest.TestCase):
@@ -18,7 +18,7 @@
             socket.create_server(('127.0.0.1', 0))
         )
         self.port = self.listener.getsockname()[1]
-        self.pool = pool.Pool()
+        self.pool = connection_pool.Pool()
 
     def connect(self):
         """Return both ends of a new connection."""
@@ -68,10 +68,10 @@
         self.assertIsNone(made.sock)
 
     def test_the_oldest_connection_is_evicted(self):
-        kept = [self.connect()[0] for _ in range(pool.MAX_IDLE + 1)]
+        kept = [self.connect()[0] for _ in range(connection_pool.MAX_IDLE + 1)]
         for each in kept:
             self.pool.give(each, '')
-        taken = [self.take() for _ in range(pool.MAX_IDLE)]
+        taken = [self.take() for _ in range(connection_pool.MAX_IDLE)]
         self.assertNotIn(kept[0], taken)
         self.assertIsNone(self.take())
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,9 +11,9 @@
 from loguru import logger
 from nose2.tools import params
 
-from dandeliongw.borders import control
-from dandeliongw.borders import drafts
-from dandeliongw.borders import sessions
+from dandeliongw.api import drafts
+from dandeliongw.api import operator_interface
+from dandeliongw.api import sessions
 from dandeliongw import differences
 from dandeliongw import document
 from tests import operators_fake
@@ -431,7 +431,7 @@
         result of the first one.
         """
         found = drafts.Drafts(make_nonce=lambda: 'ab')
-        current = control.Configuration(
+        current = operator_interface.Configuration(
             revision=3, document=b'{"version": 1}', author='ana'
         )
         found.edit('ana', current, 3, lambda tree: tree | {'pools': []})
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from dandeliongw.borders import _deadlines
+from dandeliongw.api import _deadlines
 from dandeliongw import clock
 
 
--- a/tests/test_watch.py
+++ b/tests/test_disconnects.py
@@ -8,7 +8,7 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import watch
+from dandeliongw.api import disconnects
 
 TIMEOUT_S = 20
 
@@ -48,7 +48,7 @@
             reported.append(request_id)
             disconnected.set()
 
-        watching = watch.DisconnectWatcher(on_disconnect=report)
+        watching = disconnects.DisconnectWatcher(on_disconnect=report)
         watching.start()
         with connected() as (caller, ours):
             watching.add('r', ours)
@@ -63,7 +63,7 @@
         It would have no effect then, and the request of a caller that
         disconnected immediately would run to its end.
         """
-        watching = watch.DisconnectWatcher(
+        watching = disconnects.DisconnectWatcher(
             on_disconnect=lambda request_id: None
         )
         with connected() as (caller, ours):
@@ -74,7 +74,8 @@
                 # A close takes time to arrive, also on one machine.
                 first = watching.poll()
             again = [
-                watching.poll() for _ in range(watch.POLLS_PER_NOTIFICATION)
+                watching.poll()
+                for _ in range(disconnects.POLLS_PER_NOTIFICATION)
             ]
             self.assertEqual(again, [[]] * (len(again) - 1) + [['r']])
             watching.remove('r')
@@ -82,7 +83,7 @@
         self.assertEqual(more, [[]] * len(again))
 
     def test_caller_that_sends_more_is_not_reported(self):
-        watching = watch.DisconnectWatcher(
+        watching = disconnects.DisconnectWatcher(
             on_disconnect=lambda request_id: None
         )
         with connected() as (caller, ours):
@@ -91,7 +92,7 @@
             self.assertEqual(watching.poll(), [])
 
     def test_locally_closed_socket_counts_as_disconnected(self):
-        watching = watch.DisconnectWatcher(
+        watching = disconnects.DisconnectWatcher(
             on_disconnect=lambda request_id: None
         )
         with connected() as (_, ours):
@@ -106,7 +107,7 @@
         callers that disconnect.
         """
         reported = []
-        watching = watch.DisconnectWatcher(on_disconnect=reported.append)
+        watching = disconnects.DisconnectWatcher(on_disconnect=reported.append)
         watching.start()
         with connected() as (_, ours):
             watching.add('r', ours)
--- a/tests/test_fallback.py
+++ b/tests/test_fallback.py
@@ -5,10 +5,10 @@
 import msgspec
 from nose2.tools import params
 
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
 from dandeliongw.cell import fallback
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw import decisions
 from dandeliongw import effects
@@ -20,7 +20,7 @@
 OWN = 'gw-0'
 CELL = 'dieline-llm/tx-central/0'
 TERMS = msgspec.structs.replace(
-    test_scheduler.TERMS, kv_tokens_by_role={vocabulary.Role.DECODE: 80_000}
+    test_scheduler.TERMS, kv_tokens_by_role={cell_types.Role.DECODE: 80_000}
 )
 
 
@@ -195,7 +195,7 @@
         shared = self.fallback_cells.cells_by_id[
             CELL
         ].view.terms.kv_tokens_by_role
-        self.assertEqual(shared, {vocabulary.Role.DECODE: 80_000 // entries})
+        self.assertEqual(shared, {cell_types.Role.DECODE: 80_000 // entries})
 
     def test_a_release_frees_the_slot(self):
         self.book('r1')
--- a/tests/test_fault_recorder.py
+++ b/tests/test_fault_recorder.py
@@ -2,10 +2,10 @@
 
 import unittest
 
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
 from dandeliongw.cell.fault_recorder import FaultRecorder
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw import effects
 from tests import test_cells
@@ -21,7 +21,7 @@
         )
 
     def end(self, request_id: str, now: float, **changes) -> list:
-        book = test_cells.make_book(request_id, stage=vocabulary.Stage.PLAIN)
+        book = test_cells.make_book(request_id, stage=cell_types.Stage.PLAIN)
         (booked,) = test_cells.send(self.cell, book, now)
         release = cells.Release(
             cell=self.cell.cell_id,
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from dandeliongw.borders import backends
-from dandeliongw.borders import calls
+from dandeliongw.api import backends
+from dandeliongw.api import calls
 from dandeliongw import codec
+from dandeliongw import control_facades
 from dandeliongw.coordination import parts
 from dandeliongw.coordination import presence
-from dandeliongw import desks
 from dandeliongw import document
 from dandeliongw import engine
 from dandeliongw import exceptions
@@ -279,7 +279,7 @@
         directory = types.SimpleNamespace(
             data_centres=('hall-a',), document=described
         )
-        desk = desks.BackendsFacade(
+        desk = control_facades.BackendsFacade(
             reducer=types.SimpleNamespace(directory=directory), runtime=None
         )
         beat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,9 +7,9 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import calls
-from dandeliongw.borders import gateway
-from dandeliongw.borders import web
+from dandeliongw.api import calls
+from dandeliongw.api import gateway
+from dandeliongw.api import http_ports
 from dandeliongw import effects
 from dandeliongw import engine
 from dandeliongw.entry import fingerprints
@@ -170,7 +170,7 @@
         header_parser=HeaderParser(),
         metrics=counts or metrics.Metrics(),
     )
-    with web.bound(listen, 'callers', 1.0) as port:
+    with http_ports.bound(listen, 'callers', 1.0) as port:
         port.serve(application)
         yield port.number
 
--- a/tests/test_headers.py
+++ b/tests/test_headers.py
@@ -5,7 +5,7 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import _headers
+from dandeliongw.api import _headers
 
 
 def read(text):
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -5,7 +5,7 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import web
+from dandeliongw.api import http_ports
 from dandeliongw import joining
 from dandeliongw import settings
 
@@ -35,7 +35,7 @@
     def seed(self, members):
         """Start an instance's control port; return its address."""
         listen = settings.Listen(host='127.0.0.1', port=0, threads=2)
-        port = web.Port(listen=listen, field='control', shutdown_s=1.0)
+        port = http_ports.Port(listen=listen, field='control', shutdown_s=1.0)
         port.bind()
         port.serve(joining.make_application(lambda: members))
         self.addCleanup(port.close)
--- a/tests/test_kv_room.py
+++ b/tests/test_kv_room.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from dandeliongw.cell import backend_state
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cell_view
 from dandeliongw.cell import cells
 from dandeliongw.cell import forecast
 from dandeliongw.cell import pairs
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from tests import test_cells
 from tests import test_scheduler
@@ -25,7 +25,7 @@
     test_scheduler.TERMS,
     prefill_tokens_per_s=33_333.0,
     decode_tokens_per_s=300.0,
-    kv_tokens_by_role={vocabulary.Role.DECODE: CAPACITY},
+    kv_tokens_by_role={cell_types.Role.DECODE: CAPACITY},
     max_wait_s_by_priority={'urgent': 3.0},
 )
 tokens = st.integers(min_value=1, max_value=6_000)
@@ -33,7 +33,7 @@
 
 
 def make_booking(number, prompt, answer, transfer_ends_at):
-    return vocabulary.Booking(
+    return cell_types.Booking(
         request_id=f'r{number}',
         attempt_id='a1',
         entry='gw-1',
@@ -42,7 +42,7 @@
         prompt_tokens=prompt,
         max_tokens=answer,
         prefix=(),
-        stage=vocabulary.Stage.PAIR,
+        stage=cell_types.Stage.PAIR,
         exclude=(),
         arrived_at=0.0,
         deadline_at=30.0,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -11,11 +11,11 @@
 from nose2.tools import params
 
 from dandeliongw import codec
-from dandeliongw.coordination import grantor
 from dandeliongw.coordination import lease
+from dandeliongw.coordination import lease_grantor
 from dandeliongw.coordination import lease_messages as messages
+from dandeliongw.coordination import lease_quorum
 from dandeliongw.coordination import parts
-from dandeliongw.coordination import quorum
 from dandeliongw.protocol import lease_pb2
 from tests import lease_network
 
@@ -311,7 +311,7 @@
 
 def make_grantor(*records):
     """Return a grantor that is restored from records at time 0."""
-    part = grantor.Grantor(
+    part = lease_grantor.Grantor(
         instance_id='v1', duration_s=LEASE_S, margin_s=MARGIN_S
     )
     for each in (*records, messages.LeaseReady(version=0)):
@@ -508,7 +508,9 @@
     def test_a_change_needs_a_majority_of_both_sets(
         self, grantors, joining, agreeing, is_enough
     ):
-        both = quorum.Quorum(grantors=tuple(grantors), joining=tuple(joining))
+        both = lease_quorum.Quorum(
+            grantors=tuple(grantors), joining=tuple(joining)
+        )
         value = both.majority_value(dict.fromkeys(agreeing, 1.0))
         self.assertEqual(is_enough, value == 1.0)
 
--- a/tests/test_lines.py
+++ b/tests/test_log_writer.py
@@ -5,7 +5,7 @@
 import threading
 import unittest
 
-from dandeliongw import _lines
+from dandeliongw import _log_writer
 
 PATIENCE_S = 20
 
@@ -27,7 +27,7 @@
         self.now = 0.0
 
     def make(self, stream):
-        return _lines.LineWriter(
+        return _log_writer.LineWriter(
             stream=stream, common={'instance': 'gw-1'}, clock=lambda: self.now
         )
 
@@ -47,25 +47,29 @@
         writer.start()
         writer.stop()
         lines = stream.getvalue().splitlines()
-        self.assertEqual(len(lines), _lines.MAX_LINES_PER_SECOND + 3)
+        self.assertEqual(len(lines), _log_writer.MAX_LINES_PER_SECOND + 3)
         self.assertIn('the cause', lines)
         counts = json.loads(lines[-1])['counts']
-        self.assertEqual(counts, {'flood': 1000 - _lines.MAX_LINES_PER_SECOND})
-        self.assertEqual(writer.left_out, 1000 - _lines.MAX_LINES_PER_SECOND)
+        self.assertEqual(
+            counts, {'flood': 1000 - _log_writer.MAX_LINES_PER_SECOND}
+        )
+        self.assertEqual(
+            writer.left_out, 1000 - _log_writer.MAX_LINES_PER_SECOND
+        )
 
     def test_a_stream_that_takes_nothing_holds_nobody_up(self):
         """Symptom: an instance stands still because its log does."""
         stream = Stuck()
         writer = self.make(stream)
         writer.start()
-        for number in range(2 * _lines.MAX_QUEUED_LINES):
+        for number in range(2 * _log_writer.MAX_QUEUED_LINES):
             writer.put(f'kind {number % 50}', 'line')
         self.assertGreater(writer.left_out, 0)
         stream.freed.set()
         writer.stop()
         written = len(stream.getvalue().splitlines())
         self.assertEqual(
-            written + writer.left_out, 2 * _lines.MAX_QUEUED_LINES
+            written + writer.left_out, 2 * _log_writer.MAX_QUEUED_LINES
         )
 
     def test_a_stream_that_is_closed_ends_nothing(self):
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -7,10 +7,10 @@
 
 from dandeliongw.cell import backend_state
 from dandeliongw.cell import candidates
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cell_view
 from dandeliongw.cell import options
 from dandeliongw.cell import pairs
-from dandeliongw.cell import vocabulary
 from tests import test_cells
 from tests import test_kv_room
 
@@ -46,7 +46,7 @@
         booking = test_kv_room.make_booking(1, 3_200, 70, 0.0)
         chooser = pairs.PairChooser(options=options.Options(), finder=FINDER)
         found_candidates = FINDER.find(
-            1.0, view, vocabulary.Role.DECODE, booking
+            1.0, view, cell_types.Role.DECODE, booking
         )
         found = [
             (cost, source.number, source.state.backend.backend_id, decode)
--- a/tests/test_platform_backend_calls.py
+++ b/tests/test_platform_backend_calls.py
@@ -5,10 +5,10 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import gateway
+from dandeliongw.api import gateway
+from dandeliongw import connection_pool
 from dandeliongw import engine
 from dandeliongw.entry import relay
-from dandeliongw import pool
 from dandeliongw import settings
 from dandeliongw import verdict
 from tests import on_platform
@@ -62,7 +62,7 @@
     return backend_calls.BackendCalls(
         work=WORK,
         facts=FACTS,
-        pool=shared or pool.Pool(),
+        pool=shared or connection_pool.Pool(),
         timeouts=TIMEOUTS,
     )
 
@@ -257,7 +257,7 @@
                 connection.sendall(answer(body=b'ok', Connection='keep-alive'))
                 connection.recv(65536)
 
-        shared = pool.Pool()
+        shared = connection_pool.Pool()
         with raw_server.serving(twice, answer(body=b'new')) as made:
             bodies = [call(made.url, shared).body for _ in range(2)]
         self.assertEqual(bodies, [b'ok', b'ok'])
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -7,9 +7,9 @@
 from nose2.tools import params
 import urllib3
 
-from dandeliongw.borders import backends
-from dandeliongw.borders import control as operators_control
-from dandeliongw.borders import web
+from dandeliongw.api import backends
+from dandeliongw.api import http_ports
+from dandeliongw.api import operator_interface as operators_control
 from dandeliongw.coordination import membership
 from dandeliongw import document
 from dandeliongw import settings
@@ -74,7 +74,7 @@
 @contextlib.contextmanager
 def serving(application):
     listen = settings.Listen(host='127.0.0.1', port=0, threads=2)
-    with web.bound(listen, 'control', 1.0) as port:
+    with http_ports.bound(listen, 'control', 1.0) as port:
         port.serve(application)
         yield f'http://127.0.0.1:{port.number}'
 
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -4,7 +4,7 @@
 
 from nose2.tools import params
 
-from dandeliongw.borders import calls
+from dandeliongw.api import calls
 from tests import on_platform
 
 from adapter import headers
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -6,13 +6,13 @@
 from nose2.tools import params
 
 from dandeliongw.cell import backend_state
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cell_view
 from dandeliongw.cell import cells
 from dandeliongw.cell import roles
-from dandeliongw.cell import vocabulary
 from tests import test_cells
 
-TERMS = vocabulary.CellTerms(
+TERMS = cell_types.CellTerms(
     first_token_s=0.9,
     token_gap_s=0.3,
     timeout_s=14.0,
@@ -36,13 +36,13 @@
 
 
 def make_booking(prompt_tokens=3200, max_tokens=2720):
-    return vocabulary.Booking(
+    return cell_types.Booking(
         request_id='r',
         attempt_id='a',
         entry='gw-1',
         account='x',
         priority='y',
-        stage=vocabulary.Stage.PAIR,
+        stage=cell_types.Stage.PAIR,
         prompt_tokens=prompt_tokens,
         max_tokens=max_tokens,
         prefix=(),
@@ -125,7 +125,7 @@
         self.assertEqual(sorted(begun), ['p0', 'p1', 'p10'])
         self.assertEqual(
             {switch.role for switch in begun.values()},
-            {vocabulary.Role.DECODE},
+            {cell_types.Role.DECODE},
         )
         del view.backends_by_id['p1']
         self.assertTrue(balance.review(1.0, view))
@@ -135,7 +135,7 @@
         view = make_view(1, 5)
         balance = watched(view, prompt_tokens=30_000, max_tokens=20)
         balance.review(0.0, view)
-        self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
+        self.assertEqual(only_switch(balance).role, cell_types.Role.PREFILL)
 
     def test_a_few_requests_are_not_enough_for_a_move(self):
         view = make_view(5, 1)
@@ -162,7 +162,7 @@
         for name in ('p0', 'p1'):
             view.backends_by_id[name].health.add_connection_failure(2.0)
         self.assertTrue(balance.review(2.0, view))
-        self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
+        self.assertEqual(only_switch(balance).role, cell_types.Role.PREFILL)
 
     def test_engines_that_lose_some_work_still_count(self):
         """Ejected engines on which some work succeeds must be counted.
@@ -190,7 +190,7 @@
         moved = only_switch(balance).backend_id
         state = view.backends_by_id[moved]
         state.backend = msgspec.structs.replace(
-            state.backend, role=vocabulary.Role.DECODE
+            state.backend, role=cell_types.Role.DECODE
         )
         self.assertTrue(balance.review(6.0, view))
         self.assertEqual(balance.switches_by_id, {})
@@ -206,7 +206,7 @@
         view = make_view(2, 4)
         balance = watched(view)
         balance.switches_by_id['d3'] = roles.Switch(
-            backend_id='d3', role=vocabulary.Role.DECODE, since=0.0
+            backend_id='d3', role=cell_types.Role.DECODE, since=0.0
         )
         balance._cooldown_until = roles.COOLDOWN_S
         self.assertTrue(balance.review(5.0, view))
@@ -215,7 +215,7 @@
         self.assertFalse(balance.review(6.0, view))
         self.assertFalse(balance.review(6.0 + roles.EMPTY_POOL_S - 0.1, view))
         self.assertTrue(balance.review(6.0 + roles.EMPTY_POOL_S, view))
-        self.assertEqual(only_switch(balance).role, vocabulary.Role.PREFILL)
+        self.assertEqual(only_switch(balance).role, cell_types.Role.PREFILL)
 
     def test_the_cooldown_holds_if_a_pool_is_only_empty_for_a_moment(self):
         view = make_view(0, 4)
@@ -251,7 +251,7 @@
         later = cells.BOOKING_LEASE_S + 1.0
         self.assertTrue(cell.review_roles(later))
         (moved,) = cell.view.switching_ids
-        role = vocabulary.Role.PREFILL
+        role = cell_types.Role.PREFILL
         ids = [
             state.backend.backend_id
             for state in cell.view.candidates(role, ())
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -5,16 +5,16 @@
 import msgspec
 from nose2.tools import params
 
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
 from dandeliongw.cell import fault_recorder
 from dandeliongw.cell import pairs
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw.verdict import RefusalReason
 from tests import test_cells
 
-TERMS = vocabulary.CellTerms(
+TERMS = cell_types.CellTerms(
     first_token_s=1.0,
     token_gap_s=0.034,
     timeout_s=60.0,
@@ -27,7 +27,7 @@
 )
 
 
-def make_cell(*backends: vocabulary.CellBackend, **changes) -> cells.Cell:
+def make_cell(*backends: cell_types.CellBackend, **changes) -> cells.Cell:
     return test_cells.make_cell(
         *backends,
         document_part=TERMS,
@@ -197,7 +197,7 @@
         )
         for number in range(5):
             test_cells.send(cell, test_cells.make_book(f'r{number}'))
-        book = test_cells.make_book('lookup', stage=vocabulary.Stage.PLAIN)
+        book = test_cells.make_book('lookup', stage=cell_types.Stage.PLAIN)
         (effect,) = test_cells.send(cell, book)
         self.assertEqual('s1', effect.message.plain_id)
 
@@ -209,7 +209,7 @@
     def test_the_weights_decide_how_long_a_link_is_waited_for(
         self, good, wasted, wait_s
     ):
-        weights = vocabulary.Weights(goodput=good, wasted_prefill=wasted)
+        weights = cell_types.Weights(goodput=good, wasted_prefill=wasted)
         self.assertAlmostEqual(wait_s, pairs.link_wait_s(weights))
 
 
@@ -330,7 +330,7 @@
         cache after the prefill.
         """
         cell = make_burst(
-            slots=20, kv_tokens_by_role={vocabulary.Role.DECODE: 2000}
+            slots=20, kv_tokens_by_role={cell_types.Role.DECODE: 2000}
         )
         first = self.book(cell, 'r1', 0.0)
         second = self.book(cell, 'r2', 1.0)
@@ -338,7 +338,7 @@
         self.assertIsInstance(second, cells.Queued)
 
     def test_work_that_is_too_large_is_sent_to_the_engine(self):
-        cell = make_burst(kv_tokens_by_role={vocabulary.Role.DECODE: 500})
+        cell = make_burst(kv_tokens_by_role={cell_types.Role.DECODE: 500})
         self.assertIsInstance(self.book(cell, 'r1', 0.0), cells.Booked)
 
     def test_calls_of_a_plain_service_wait_for_a_slot(self):
@@ -347,7 +347,7 @@
             document_part=TERMS,
             policy=scheduler.Scheduler(),
         )
-        plain = {'stage': vocabulary.Stage.PLAIN, 'deadline_s': 2.0}
+        plain = {'stage': cell_types.Stage.PLAIN, 'deadline_s': 2.0}
         self.book(cell, 'r1', 0.0, **plain)
         most = scheduler.PLAIN_QUEUE_PER_SLOT
         for number in range(2, 2 + most):
@@ -497,7 +497,7 @@
             test_cells.send(
                 cell,
                 test_cells.make_book(
-                    f'r{number}', stage=vocabulary.Stage.PLAIN, deadline_s=2.0
+                    f'r{number}', stage=cell_types.Stage.PLAIN, deadline_s=2.0
                 ),
                 0.5,
             )
@@ -525,7 +525,7 @@
             for effect in test_cells.send(
                 cell,
                 test_cells.make_book(
-                    f'r{number}', stage=vocabulary.Stage.PLAIN, deadline_s=2.0
+                    f'r{number}', stage=cell_types.Stage.PLAIN, deadline_s=2.0
                 ),
                 0.5,
             )
@@ -611,7 +611,7 @@
         return self.book(
             self.moving,
             now,
-            stage=vocabulary.Stage.DECODE,
+            stage=cell_types.Stage.DECODE,
             exclude=('d1',),
             deadline_s=0.4,
         )
--- a/tests/test_voter_repair.py
+++ b/tests/test_voter_replacement.py
@@ -5,7 +5,7 @@
 from nose2.tools import params
 
 from dandeliongw.coordination import register
-from dandeliongw import repair
+from dandeliongw import voter_replacement
 from tests import network
 
 LIMIT_S = 60.0
@@ -100,7 +100,7 @@
         net.run_until(lambda: len(voters(net)) == 5, LIMIT_S)
         net.start('gw-6', disk_id='disk-gw-6')
         net.frozen.add('gw-2')
-        net.run(repair.ABSENCE_LIMIT_S / 2)
+        net.run(voter_replacement.ABSENCE_LIMIT_S / 2)
         net.frozen.discard('gw-2')
         net.run(20.0)
         self.assertNotIn('gw-6', voters(net))
--- a/tools/baselines.py
+++ b/tools/baselines.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from dandeliongw.cell import backend_state
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cell_view
 from dandeliongw.cell import policy
-from dandeliongw.cell import vocabulary
 from dandeliongw.verdict import RefusalReason
 
 #: Waiting prompts from which a plain router considers an engine full. The
@@ -28,16 +28,16 @@
     """Selects the backend servers of a role in turn; never queues."""
 
     def __init__(self) -> None:
-        self._turn_by_role: dict[vocabulary.Role, int] = {}
+        self._turn_by_role: dict[cell_types.Role, int] = {}
 
     def decide(
         self,
         *,
         now: float,
         view: cell_view.CellView,
-        booking: vocabulary.Booking,
+        booking: cell_types.Booking,
     ) -> policy.Decision:
-        roles = vocabulary.ROLES_BY_STAGE[booking.stage]
+        roles = cell_types.ROLES_BY_STAGE[booking.stage]
         ids_by_role = {}
         for role in roles:
             candidates = view.candidates(role, booking.exclude)
@@ -51,7 +51,7 @@
 
     def dispatch(
         self, *, now: float, view: cell_view.CellView
-    ) -> list[tuple[vocabulary.Booking, policy.Decision]]:
+    ) -> list[tuple[cell_types.Booking, policy.Decision]]:
         """Return no decisions, because nothing is queued."""
         return []
 
@@ -71,14 +71,14 @@
         *,
         now: float,
         view: cell_view.CellView,
-        booking: vocabulary.Booking,
+        booking: cell_types.Booking,
     ) -> policy.Decision:
         full = frozenset(
             state.backend.backend_id
             for state in view.backends_by_id.values()
             if reports_full(state, self._waiting_limit)
         )
-        for role in vocabulary.ROLES_BY_STAGE[booking.stage]:
+        for role in cell_types.ROLES_BY_STAGE[booking.stage]:
             open_ids = view.candidates(role, (*booking.exclude, *full))
             if not open_ids:
                 return refuse_full(role)
@@ -99,10 +99,10 @@
         *,
         now: float,
         view: cell_view.CellView,
-        booking: vocabulary.Booking,
+        booking: cell_types.Booking,
     ) -> policy.Decision:
         ids_by_role = {}
-        for role in vocabulary.ROLES_BY_STAGE[booking.stage]:
+        for role in cell_types.ROLES_BY_STAGE[booking.stage]:
             candidates = [
                 state
                 for state in view.candidates(role, booking.exclude)
@@ -116,7 +116,7 @@
 
     def dispatch(
         self, *, now: float, view: cell_view.CellView
-    ) -> list[tuple[vocabulary.Booking, policy.Decision]]:
+    ) -> list[tuple[cell_types.Booking, policy.Decision]]:
         """Return no decisions, because nothing is queued."""
         return []
 
@@ -140,10 +140,10 @@
         *,
         now: float,
         view: cell_view.CellView,
-        booking: vocabulary.Booking,
+        booking: cell_types.Booking,
     ) -> policy.Decision:
         ids_by_role = {}
-        for role in vocabulary.ROLES_BY_STAGE[booking.stage]:
+        for role in cell_types.ROLES_BY_STAGE[booking.stage]:
             counts_by_id = {
                 state.backend.backend_id: self._count(state, booking.entry)
                 for state in view.candidates(role, booking.exclude)
@@ -152,7 +152,7 @@
                 return policy.no_backend(role)
             least = min(counts_by_id, key=counts_by_id.get)
             limit = view.backends_by_id[least].backend.slots
-            if role is vocabulary.Role.PREFILL:
+            if role is cell_types.Role.PREFILL:
                 limit = self._waiting_limit
             if counts_by_id[least] >= math.ceil(limit / self._entries):
                 return refuse_full(role)
@@ -160,7 +160,7 @@
         return _place(ids_by_role)
 
     def _count(self, state: backend_state.BackendState, entry: str) -> int:
-        is_decode = state.backend.role is vocabulary.Role.DECODE
+        is_decode = state.backend.role is cell_types.Role.DECODE
         return sum(
             booking.entry == entry and (booking.prefill_done or not is_decode)
             for booking in state.bookings_by_key.values()
@@ -168,7 +168,7 @@
 
     def dispatch(
         self, *, now: float, view: cell_view.CellView
-    ) -> list[tuple[vocabulary.Booking, policy.Decision]]:
+    ) -> list[tuple[cell_types.Booking, policy.Decision]]:
         """Return no decisions, because nothing is queued."""
         return []
 
@@ -177,19 +177,19 @@
     state: backend_state.BackendState, waiting_limit: int
 ) -> bool:
     """Return whether the engine was full by its last report."""
-    if state.backend.role is vocabulary.Role.PREFILL:
+    if state.backend.role is cell_types.Role.PREFILL:
         return state.reported_waiting >= waiting_limit
     return state.reported_running >= state.backend.slots
 
 
 def reported_load(state: backend_state.BackendState) -> int:
     """Return the reported load: queued prompt tokens or streams."""
-    if state.backend.role is vocabulary.Role.PREFILL:
+    if state.backend.role is cell_types.Role.PREFILL:
         return state.reported_queued_tokens
     return state.reported_running
 
 
-def refuse_full(role: vocabulary.Role) -> policy.Decline:
+def refuse_full(role: cell_types.Role) -> policy.Decline:
     """Return a plain router's refusal when a role has no capacity."""
     return policy.Decline(
         reason=RefusalReason.NO_CAPACITY,
@@ -198,10 +198,10 @@
     )
 
 
-def _place(ids_by_role: dict[vocabulary.Role, str]) -> policy.Place:
+def _place(ids_by_role: dict[cell_types.Role, str]) -> policy.Place:
     """Return the decision for the selected ids."""
     return policy.Place(
-        prefill_id=ids_by_role.get(vocabulary.Role.PREFILL, ''),
-        decode_id=ids_by_role.get(vocabulary.Role.DECODE, ''),
-        plain_id=ids_by_role.get(vocabulary.Role.PLAIN, ''),
+        prefill_id=ids_by_role.get(cell_types.Role.PREFILL, ''),
+        decode_id=ids_by_role.get(cell_types.Role.DECODE, ''),
+        plain_id=ids_by_role.get(cell_types.Role.PLAIN, ''),
     )
--- a/tools/capacity_memory.py
+++ b/tools/capacity_memory.py
@@ -7,7 +7,7 @@
 import typing
 
 from dandeliongw.cell import backend_state
-from dandeliongw.cell import vocabulary
+from dandeliongw.cell import cell_types
 from dandeliongw.coordination import claim_messages
 from dandeliongw.coordination import claims
 from dandeliongw.coordination import presence
@@ -113,10 +113,10 @@
 
 def _blocks(count: int) -> tuple[typing.Any, float]:
     state = backend_state.BackendState(
-        backend=vocabulary.CellBackend(
+        backend=cell_types.CellBackend(
             backend_id='engine-1',
             incarnation=1,
-            role=vocabulary.Role.PREFILL,
+            role=cell_types.Role.PREFILL,
             url='http://10.9.9.9:9000',
             slots=4,
         )
--- a/tools/cost.py
+++ b/tools/cost.py
@@ -10,9 +10,9 @@
 
 import defopt
 
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from tools import workloads
 
@@ -29,11 +29,11 @@
             policy=scheduler.Scheduler(),
         )
         counts = (
-            (vocabulary.Role.PREFILL, prefill),
-            (vocabulary.Role.DECODE, decode),
+            (cell_types.Role.PREFILL, prefill),
+            (cell_types.Role.DECODE, decode),
         )
         backends = tuple(
-            vocabulary.CellBackend(
+            cell_types.CellBackend(
                 backend_id=f'{role.value}-{number}',
                 incarnation=1,
                 role=role,
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -2,7 +2,7 @@
 
 from collections import abc
 
-from dandeliongw.cell import vocabulary
+from dandeliongw.cell import cell_types
 from tools import load
 
 #: When a fault begins, and ends if it is temporary, in virtual seconds.
@@ -84,7 +84,7 @@
 
 def add_engine(run: load.Run) -> None:
     """Add a decode engine to a cell under load."""
-    role = vocabulary.Role.DECODE
+    role = cell_types.Role.DECODE
     run.clock.at(BEGINS_AT, run.join_engine, 'decode-9', role)
 
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -14,9 +14,9 @@
 import random
 import typing
 
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
 from dandeliongw.cell import policy
-from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw import effects
 from dandeliongw.entry import retries
@@ -81,7 +81,7 @@
         self,
         *,
         clock: Clock,
-        backend: vocabulary.CellBackend,
+        backend: cell_types.CellBackend,
         speeds: engine_model.EngineSpeeds,
         on_event: abc.Callable,
     ) -> None:
@@ -121,7 +121,7 @@
     arrived_at: float
     caller_retries: int = 0
     attempt: int = 0
-    stage: vocabulary.Stage = vocabulary.Stage.PAIR
+    stage: cell_types.Stage = cell_types.Stage.PAIR
     exclude: tuple[str, ...] = ()
     booked: cells.Booked | None = None
     #: The engine that holds the KV cache until it has been imported.
@@ -189,22 +189,22 @@
 
     def _add_engines(self) -> None:
         counts = {
-            vocabulary.Role.PREFILL: self.deployment.prefill_engines,
-            vocabulary.Role.DECODE: self.deployment.decode_engines,
+            cell_types.Role.PREFILL: self.deployment.prefill_engines,
+            cell_types.Role.DECODE: self.deployment.decode_engines,
         }
         for role, count in counts.items():
             for number in range(count):
                 self.add_engine(f'{role.value}-{number}', role)
 
-    def add_engine(self, backend_id: str, role: vocabulary.Role) -> None:
+    def add_engine(self, backend_id: str, role: cell_types.Role) -> None:
         """Start an engine; the owner is notified with the next change."""
         speeds = self.deployment.speeds
-        backend = vocabulary.CellBackend(
+        backend = cell_types.CellBackend(
             backend_id=backend_id,
             incarnation=1,
             role=role,
             url=f'http://{backend_id}',
-            slots=speeds.slots if role is vocabulary.Role.DECODE else 1,
+            slots=speeds.slots if role is cell_types.Role.DECODE else 1,
         )
         self.engines_by_id[backend_id] = SimulatedEngine(
             clock=self.clock,
@@ -352,7 +352,7 @@
         if request.leaves_after_s is not None:
             leaves_at = self.clock.now + request.leaves_after_s
             self.clock.at(leaves_at, self._leave, job)
-        self._book(job, vocabulary.Stage.PAIR)
+        self._book(job, cell_types.Stage.PAIR)
 
     def _entries(self) -> list[str]:
         names = [f'entry-{n}' for n in range(self.deployment.entries)]
@@ -407,9 +407,9 @@
         next_at = self.clock.now + cells.PROGRESS_INTERVAL_S
         self.clock.at(next_at, self._send_progress)
 
-    def _book(self, job: Job, stage: vocabulary.Stage) -> None:
+    def _book(self, job: Job, stage: cell_types.Stage) -> None:
         request = job.request
-        if stage is vocabulary.Stage.PAIR:
+        if stage is cell_types.Stage.PAIR:
             job.attempt += 1
             job.prefilled = None
         job.stage = stage
@@ -451,7 +451,7 @@
                 self.clock.at(when, self._start, job, message)
 
     def _handle_declined(self, job: Job, declined: cells.Declined) -> None:
-        if job.stage is vocabulary.Stage.DECODE:
+        if job.stage is cell_types.Stage.DECODE:
             self.clock.at(self.clock.now + MOVE_RETRY_S, self._retry_move, job)
         elif job.first_token_at is not None:
             self._fail(job, declined.reason)
@@ -471,7 +471,7 @@
             self._retry(job, RetryReason.KV_EVICTED, '')
             return
         job.exclude = ()
-        self._book(job, vocabulary.Stage.DECODE)
+        self._book(job, cell_types.Stage.DECODE)
 
     def _is_current(self, job: Job, booked: cells.Booked) -> bool:
         return not job.over and job.booked is booked
@@ -481,7 +481,7 @@
             return
         if job.started_at is None:
             job.started_at = self.clock.now
-        if job.stage is vocabulary.Stage.DECODE:
+        if job.stage is cell_types.Stage.DECODE:
             self._import(job, booked)
             return
         job.prefill_id = booked.prefill_id
@@ -675,7 +675,7 @@
         self.tally.retried(reason)
         failed = job.booked.decode_id
         job.exclude = (*job.exclude, failed)
-        self._book(job, vocabulary.Stage.DECODE)
+        self._book(job, cell_types.Stage.DECODE)
 
     def _retry(self, job: Job, reason: RetryReason, fault: str) -> None:
         """End this attempt as failed and start another after a backoff."""
@@ -702,7 +702,7 @@
     def _start_next_attempt(self, job: Job) -> None:
         if not job.over:
             job.pausing = False
-            self._book(job, vocabulary.Stage.PAIR)
+            self._book(job, cell_types.Stage.PAIR)
 
     def _fail(self, job: Job, reason: RefusalReason) -> None:
         if job.booked is not None or job.prefilled is not None:
@@ -737,7 +737,7 @@
                 self.tally.left(job)
         self._lost_entries.add(entry)
 
-    def join_engine(self, backend_id: str, role: vocabulary.Role) -> None:
+    def join_engine(self, backend_id: str, role: cell_types.Role) -> None:
         """Start an engine and notify the owner at once."""
         self.add_engine(backend_id, role)
         self._send_backends()
@@ -773,7 +773,7 @@
             self._receive(entry, message)
 
     def _book_again(self, job: Job) -> None:
-        if job.stage is vocabulary.Stage.PAIR:
+        if job.stage is cell_types.Stage.PAIR:
             job.attempt -= 1
         self._book(job, job.stage)
 
--- a/tools/tally.py
+++ b/tools/tally.py
@@ -5,7 +5,7 @@
 
 from hdrh import histogram
 
-from dandeliongw.cell import vocabulary
+from dandeliongw.cell import cell_types
 from dandeliongw.verdict import RefusalReason
 from dandeliongw.verdict import RetryReason
 from tools import engine_model
@@ -40,7 +40,7 @@
     neither are those from ``until`` on.
     """
 
-    def __init__(self, *, terms: vocabulary.CellTerms) -> None:
+    def __init__(self, *, terms: cell_types.CellTerms) -> None:
         self.terms = terms
         self.since = 0.0
         self.until = 0.0
--- a/tools/workloads.py
+++ b/tools/workloads.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dandeliongw.cell import vocabulary
+from dandeliongw.cell import cell_types
 from tools import engine_model
 
 
@@ -61,7 +61,7 @@
     accounts: int
     kinds: tuple[Kind, ...]
     speeds: engine_model.EngineSpeeds
-    terms: vocabulary.CellTerms
+    terms: cell_types.CellTerms
 
 
 SPEEDS = engine_model.EngineSpeeds()
@@ -81,10 +81,10 @@
 def make_terms(
     first_token_s: float,
     patient_wait_s: float,
-    weights: vocabulary.Weights,
-) -> vocabulary.CellTerms:
+    weights: cell_types.Weights,
+) -> cell_types.CellTerms:
     """Return the terms as an operator's document would set them."""
-    return vocabulary.CellTerms(
+    return cell_types.CellTerms(
         first_token_s=first_token_s,
         token_gap_s=TOKEN_GAP_S,
         timeout_s=60.0,
@@ -123,7 +123,7 @@
     ),
     speeds=SPEEDS,
     terms=make_terms(
-        0.6, 6.0, vocabulary.Weights(goodput=2.0, wasted_prefill=1.0)
+        0.6, 6.0, cell_types.Weights(goodput=2.0, wasted_prefill=1.0)
     ),
 )
 
@@ -151,7 +151,7 @@
     ),
     speeds=SPEEDS,
     terms=make_terms(
-        1.2, 10.0, vocabulary.Weights(goodput=1.0, wasted_prefill=3.0)
+        1.2, 10.0, cell_types.Weights(goodput=1.0, wasted_prefill=3.0)
     ),
 )
 
