--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -56,7 +56,9 @@
             seconds.append(
                 timed(
                     lambda method=method, path=path, headers=headers: (
-                        system.caller('gw-1', method, path, {}, headers)
+                        system.call_as_account(
+                            'gw-1', method, path, {}, headers
+                        )
                     )
                 )
             )
@@ -84,7 +86,7 @@
 
 
 def is_in_force(system: local.LocalSystem, revision: int) -> bool:
-    _, answer = system.operator('gw-1', 'GET', '/v1/status')
+    _, answer = system.call_as_operator('gw-1', 'GET', '/v1/status')
     in_force = answer['in_force']
     return in_force['revision'] == revision and (
         in_force['confirmed']
@@ -100,15 +102,15 @@
         for instance_id in system.instances_by_id
         if any(
             'studio-portal' in lease['name']
-            for lease in system.operator(instance_id, 'GET', '/v1/status')[1][
-                'leases'
-            ]
+            for lease in system.call_as_operator(
+                instance_id, 'GET', '/v1/status'
+            )[1]['leases']
         )
     )
     other = next(each for each in system.instances_by_id if each != owner)
     system.kill(system.instances_by_id[owner].process)
     began = time.perf_counter()
-    while system.caller(other, 'GET', LOOKUP)[0] != 200:
+    while system.call_as_account(other, 'GET', LOOKUP)[0] != 200:
         time.sleep(0.01)
     seconds = time.perf_counter() - began
     show(measure='failover', seconds=round(seconds, 2))
@@ -155,7 +157,7 @@
     """
     for size in sizes or [3, 5, 9]:
         with tempfile.TemporaryDirectory(prefix='dandeliongw-') as folder:
-            with local.running(
+            with local.run_system(
                 folder=pathlib.Path(folder),
                 instances=size,
                 timeouts={'entries_ttl_s': 0.5},
--- a/dandeliongw/_log_writer.py
+++ b/dandeliongw/_log_writer.py
@@ -52,7 +52,7 @@
             collections.Counter()
         )
         #: All lines that were left out, for the metrics.
-        self.left_out = 0
+        self.dropped = 0
         self._thread = threading.Thread(
             target=self._run, name='log', daemon=True
         )
@@ -77,7 +77,7 @@
             fits = self._counts_by_kind[kind] <= MAX_LINES_PER_SECOND
             if not (fits and self._offer(line)):
                 self._left_out_by_kind[kind] += 1
-                self.left_out += 1
+                self.dropped += 1
             if told is not None:
                 self._offer(told)
 
@@ -115,7 +115,7 @@
             except (OSError, ValueError):
                 # Whoever read the lines is gone; there is nobody to tell.
                 with self._lock:
-                    self.left_out += 1
+                    self.dropped += 1
 
 
 @contextlib.contextmanager
--- a/dandeliongw/adapter.py
+++ b/dandeliongw/adapter.py
@@ -31,7 +31,7 @@
         """Whether callers may be routed to this instance."""
         ...
 
-    def entries(self) -> list[membership.Entry]:
+    def entries(self) -> list[membership.ClientEndpoint]:
         """Return the instances that callers may use."""
         ...
 
@@ -40,7 +40,7 @@
         ...
 
 
-class Desk(typing.Protocol):
+class PresenceFacade(typing.Protocol):
     """Accepts announcements and leaves of backend servers."""
 
     def announce(
@@ -84,7 +84,7 @@
     def header_parser(self) -> gateway.HeaderParser: ...
 
     def backends(
-        self, *, work: relay.RequestPayload, facts: gateway.CallMetadata
+        self, *, payload: relay.RequestPayload, metadata: gateway.CallMetadata
     ) -> relay.Backends:
         """Return the adapters that send one call to backend servers."""
         ...
@@ -94,7 +94,11 @@
         ...
 
     def control(
-        self, *, inner: Application, desk: Desk, operators: Operators
+        self,
+        *,
+        inner: Application,
+        presence_facade: PresenceFacade,
+        operators: Operators,
     ) -> Application:
         """Return the control port's application.
 
--- a/dandeliongw/api/_console_editing.py
+++ b/dandeliongw/api/_console_editing.py
@@ -91,8 +91,8 @@
     @action
     def carry_over(self, session: ConsoleSession, form: forms.Form) -> bytes:
         """Rebase the draft on the current document."""
-        left_out = self._drafts.carry_over(session.operator, self._current())
-        notes = editing.left_out(left_out) if left_out else []
+        conflicts = self._drafts.merge(session.operator, self._current())
+        notes = editing.left_out(conflicts) if conflicts else []
         return self._review(session, *notes)
 
     @cherrypy.expose
--- a/dandeliongw/api/answers.py
+++ b/dandeliongw/api/answers.py
@@ -13,7 +13,7 @@
 from ..entry import relay
 
 
-class Gate(typing.Protocol):
+class Facade(typing.Protocol):
     """The server's interface to an answer."""
 
     def close_relay(self, request_id: str) -> None: ...
@@ -25,12 +25,12 @@
     def __init__(
         self,
         *,
-        gate: Gate,
+        facade: Facade,
         metrics: metrics_module.Metrics,
         request_id: str,
         call_relay: relay.Relay,
     ) -> None:
-        self._gate = gate
+        self._facade = facade
         self._metrics = metrics
         self._request_id = request_id
         self._service = call_relay.call.service
@@ -85,7 +85,7 @@
     def close(self) -> None:
         """Close the relay and notify the reducer of it."""
         self._pieces.close()
-        self._gate.close_relay(self._request_id)
+        self._facade.close_relay(self._request_id)
 
     def _chunk(self, text: str, finish_reason: str | None) -> dict:
         return {
--- a/dandeliongw/api/backends.py
+++ b/dandeliongw/api/backends.py
@@ -117,7 +117,7 @@
 }
 
 
-class Desk(typing.Protocol):
+class PresenceFacade(typing.Protocol):
     """The server's interface to this API."""
 
     def announce(self, announcement: Announcement) -> PresenceAnswer: ...
@@ -139,12 +139,12 @@
     def __init__(
         self,
         *,
-        desk: Desk,
+        presence_facade: PresenceFacade,
         key_sha256: str | None,
         lease_s: float,
         renew_s: float,
     ) -> None:
-        self._desk = desk
+        self._presence_facade = presence_facade
         self._key_sha256 = key_sha256
         self._lease_s = lease_s
         self._renew_s = renew_s
@@ -199,12 +199,14 @@
 
     def _announce(self, body: bytes) -> bytes:
         return self._presence_answer(
-            self._desk.announce(models.parse(Announcement, body, ''))
+            self._presence_facade.announce(
+                models.parse(Announcement, body, '')
+            )
         )
 
     def _renew(self, body: bytes) -> bytes:
         return self._presence_answer(
-            self._desk.renew(models.parse(Renewal, body, ''))
+            self._presence_facade.renew(models.parse(Renewal, body, ''))
         )
 
     def _presence_answer(self, answer: PresenceAnswer) -> bytes:
@@ -222,7 +224,7 @@
         )
 
     def _leave(self, body: bytes) -> bytes:
-        self._desk.leave(models.parse(Leaving, body, ''))
+        self._presence_facade.leave(models.parse(Leaving, body, ''))
         return _answer(200, {})
 
     def _is_allowed(self) -> bool:
--- a/dandeliongw/api/callers.py
+++ b/dandeliongw/api/callers.py
@@ -46,11 +46,15 @@
 DEFAULT_STATUS = 503
 
 
-class Gate(typing.Protocol):
+class Facade(typing.Protocol):
     """The server's interface to this API."""
 
     def open_relay(
-        self, *, call: events.Call, work: relay.RequestPayload, request_id: str
+        self,
+        *,
+        call: events.Call,
+        payload: relay.RequestPayload,
+        request_id: str,
     ) -> relay.Relay:
         """Start a relay for a request and watch the caller's socket."""
         ...
@@ -74,17 +78,17 @@
     def __init__(
         self,
         *,
-        gate: Gate,
+        facade: Facade,
         metrics: metrics_module.Metrics,
         max_body_bytes: int,
     ) -> None:
-        self._gate = gate
+        self._facade = facade
         self._metrics = metrics
         self._max_body_bytes = max_body_bytes
 
     def entries(self) -> bytes:
         """``GET /v1/entries``."""
-        return _json_body(self._gate.entries())
+        return _json_body(self._facade.entries())
 
     def completions(self) -> bytes | abc.Iterator[bytes]:
         """``POST /v1/completions``."""
@@ -94,13 +98,13 @@
             completion = calls.parse_completion(body, cherrypy.request.headers)
         except calls.InvalidCall as error:
             return self._refuse(request_id, error.refusal())
-        work = relay.RequestPayload(prompt=completion.prompt)
+        payload = relay.RequestPayload(prompt=completion.prompt)
         answer = answers.Answer(
-            gate=self._gate,
+            facade=self._facade,
             metrics=self._metrics,
             request_id=request_id,
-            call_relay=self._gate.open_relay(
-                call=completion.call, work=work, request_id=request_id
+            call_relay=self._facade.open_relay(
+                call=completion.call, payload=payload, request_id=request_id
             ),
         )
         first = answer.first()
@@ -139,15 +143,17 @@
         request_id = _new_request_id()
         try:
             body = self._read_body()
-            call, work = calls.parse_plain_call(target, body, cherrypy.request)
+            call, payload = calls.parse_plain_call(
+                target, body, cherrypy.request
+            )
         except calls.InvalidCall as error:
             return self._refuse(request_id, error.refusal())
         answer = answers.Answer(
-            gate=self._gate,
+            facade=self._facade,
             metrics=self._metrics,
             request_id=request_id,
-            call_relay=self._gate.open_relay(
-                call=call, work=work, request_id=request_id
+            call_relay=self._facade.open_relay(
+                call=call, payload=payload, request_id=request_id
             ),
         )
         last = answer.last()
@@ -203,7 +209,7 @@
         could not know whether the call ran. Callers with a persistent
         connection would also not switch to another instance.
         """
-        if self._gate.is_shutting_down or not _is_body_fully_read():
+        if self._facade.is_shutting_down or not _is_body_fully_read():
             http_ports.close_connection()
 
     def refuse_call(self, error: calls.InvalidCall) -> bytes:
--- a/dandeliongw/api/drafts.py
+++ b/dandeliongw/api/drafts.py
@@ -105,7 +105,7 @@
             )
             return True
 
-    def carry_over(
+    def merge(
         self, operator: str, current: operator_interface.Configuration
     ) -> tuple[differences.Difference, ...]:
         """Rebase the draft on ``current``.
@@ -117,13 +117,13 @@
             if draft is None:
                 return ()
             rebased = self._start_draft(current)
-            merged = differences.carry_over(
+            merged = differences.merge(
                 base=draft.base_tree, mine=draft.tree, theirs=rebased.tree
             )
             self._drafts_by_operator[operator] = msgspec.structs.replace(
                 rebased, tree=merged.tree
             )
-            return merged.left_out
+            return merged.conflicts
 
     def discard(self, operator: str, change_id: str | None = None) -> None:
         """Delete the draft.
--- a/dandeliongw/api/gateway.py
+++ b/dandeliongw/api/gateway.py
@@ -96,15 +96,15 @@
         ...
 
 
-class Gate(typing.Protocol):
+class Facade(typing.Protocol):
     """The server's interface to this front end."""
 
     def open_pass_through(
         self,
         *,
         call: events.Call,
-        work: relay.RequestPayload,
-        facts: CallMetadata,
+        payload: relay.RequestPayload,
+        metadata: CallMetadata,
         caller: socket.socket,
     ) -> relay.Relay:
         """Start a relay for a call and watch the caller's socket."""
@@ -127,11 +127,11 @@
     def __init__(
         self,
         *,
-        gate: Gate,
+        facade: Facade,
         header_parser: HeaderParser,
         metrics: metrics_module.Metrics,
     ) -> None:
-        self._gate = gate
+        self._facade = facade
         self._header_parser = header_parser
         self._metrics = metrics
 
@@ -142,11 +142,11 @@
         reply = _Reply(
             start_response=start_response,
             incoming=incoming,
-            closes=self._gate.is_shutting_down,
+            closes=self._facade.is_shutting_down,
         )
         headers = _decode(incoming.inheaders)
         try:
-            call, work, facts = self._read(environ, headers)
+            call, payload, metadata = self._read(environ, headers)
         except calls.InvalidCall as error:
             # Unread bytes of the body would be parsed as another call.
             reply.close_connection()
@@ -161,14 +161,17 @@
                 why=refusal.message,
             )
             return reply.refuse(refusal)
-        call_relay = self._gate.open_pass_through(
-            call=call, work=work, facts=facts, caller=incoming.conn.socket
+        call_relay = self._facade.open_pass_through(
+            call=call,
+            payload=payload,
+            metadata=metadata,
+            caller=incoming.conn.socket,
         )
         forwarded = _ForwardedCall(
             call_relay=call_relay,
-            gate=self._gate,
+            facade=self._facade,
             reply=reply,
-            facts=facts,
+            metadata=metadata,
             metrics=self._metrics,
         )
         return forwarded.answer()
@@ -186,7 +189,7 @@
         method = incoming.method.decode('latin-1')
         host = _read_host(headers)
         body = self._read_body(incoming)
-        facts = self._header_parser.read_call(headers)
+        metadata = self._header_parser.read_call(headers)
         path = target.partition('?')[0]
         call = events.Call(
             service='',
@@ -196,27 +199,27 @@
             key_sha256='',
             idempotency_key=None,
             digest=calls.digest(method, target, body),
-            prompt_tokens=facts.prompt_tokens,
-            max_tokens=facts.max_tokens,
-            expected_tokens=facts.expected_tokens,
-            prefix=facts.prefix,
-            deadline_s=facts.deadline_s,
+            prompt_tokens=metadata.prompt_tokens,
+            max_tokens=metadata.max_tokens,
+            expected_tokens=metadata.expected_tokens,
+            prefix=metadata.prefix,
+            deadline_s=metadata.deadline_s,
             host=host,
             credentials_sha256=_hash_credentials(headers),
             address=environ.get('REMOTE_ADDR', ''),
         )
-        work = relay.RequestPayload(
+        payload = relay.RequestPayload(
             method=method,
             path=target,
             body=body,
-            headers=_without_hop_headers(facts.headers),
+            headers=_without_hop_headers(metadata.headers),
             is_pass_through=True,
-            pieces_received=facts.pieces_received,
+            pieces_received=metadata.pieces_received,
         )
-        return call, work, facts
+        return call, payload, metadata
 
     def _read_body(self, incoming: typing.Any) -> bytes:
-        max_bytes = self._gate.border.max_body_bytes
+        max_bytes = self._facade.border.max_body_bytes
         reader = incoming.conn.rfile
         try:
             if b'Transfer-Encoding' in incoming.inheaders:
@@ -285,12 +288,12 @@
         self,
         *,
         call_relay: relay.Relay,
-        gate: Gate,
+        facade: Facade,
         reply: _Reply,
-        facts: CallMetadata,
+        metadata: CallMetadata,
         metrics: metrics_module.Metrics,
     ) -> None:
-        self._gate = gate
+        self._facade = facade
         self._metrics = metrics
         self._reply = reply
         self._request_id = call_relay.request_id
@@ -300,7 +303,7 @@
         self._pieces = 0
         self._call = call_relay.call
         self._log = logger.bind(
-            request_id=facts.request_id, host=call_relay.call.host
+            request_id=metadata.request_id, host=call_relay.call.host
         )
 
     def answer(self) -> abc.Iterable[bytes]:
@@ -371,7 +374,7 @@
     def close(self) -> None:
         """Close the relay and notify the reducer of it."""
         self._items.close()
-        self._gate.close_relay(self._request_id)
+        self._facade.close_relay(self._request_id)
 
     def _log_end(self, result: str, **fields: typing.Any) -> None:
         took_ms = self._since_begin_ms(clock.now())
--- a/dandeliongw/api/http_ports.py
+++ b/dandeliongw/api/http_ports.py
@@ -198,7 +198,7 @@
 
 
 @contextlib.contextmanager
-def bound(
+def open_port(
     listen: settings_module.Listen, field: str, shutdown_s: float
 ) -> abc.Iterator[Port]:
     """Bind a port, and close it at the end of the context."""
--- a/dandeliongw/caller_facades.py
+++ b/dandeliongw/caller_facades.py
@@ -32,20 +32,24 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: disconnects.DisconnectWatcher,
+        disconnect_watcher: disconnects.DisconnectWatcher,
     ) -> None:
         self._settings = settings
         self._reducer = reducer
         self._runtime = runtime
-        self._watch = watch
+        self._disconnect_watcher = disconnect_watcher
         self._backends = http_backends.HttpBackends(timeouts=settings.timeouts)
 
     def open_relay(
-        self, *, call: events.Call, work: relay.RequestPayload, request_id: str
+        self,
+        *,
+        call: events.Call,
+        payload: relay.RequestPayload,
+        request_id: str,
     ) -> relay.Relay:
         return self._open(
             call=call,
-            work=work,
+            payload=payload,
             request_id=request_id,
             backends=self._backends,
             caller=cherrypy.request.wsgi_environ.get(http_ports.SOCKET_KEY),
@@ -55,7 +59,7 @@
         self,
         *,
         call: events.Call,
-        work: relay.RequestPayload,
+        payload: relay.RequestPayload,
         request_id: str,
         backends: relay.Backends,
         caller: socket.socket | None,
@@ -63,17 +67,17 @@
         opened = relay.Relay(
             request_id=request_id,
             call=call,
-            work=work,
+            payload=payload,
             backends=backends,
             post=self._runtime.post,
         )
         self._runtime.add_relay(opened)
         if caller is not None:
-            self._watch.add(request_id, caller)
+            self._disconnect_watcher.add(request_id, caller)
         return opened
 
     def close_relay(self, request_id: str) -> None:
-        self._watch.remove(request_id)
+        self._disconnect_watcher.remove(request_id)
         self._runtime.remove_relay(request_id)
 
     @property
@@ -81,7 +85,7 @@
         return self._reducer.shutdown.is_shutting_down
 
     def entries(self) -> dict[str, typing.Any]:
-        found = self._runtime.look(self._reducer.membership.entries)
+        found = self._runtime.read_state(self._reducer.membership.entries)
         return {
             'ttl_s': self._settings.timeouts.entries_ttl_s,
             'entries': [
@@ -97,7 +101,7 @@
 
 
 class PassThroughFacade(CallersFacade):
-    """Opens relays for calls passed on unchanged; a ``gateway.Gate``."""
+    """Opens relays for calls passed on unchanged; a ``gateway.Facade``."""
 
     def __init__(
         self,
@@ -105,11 +109,14 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: disconnects.DisconnectWatcher,
+        disconnect_watcher: disconnects.DisconnectWatcher,
         adapter: adapter_module.Adapter,
     ) -> None:
         super().__init__(
-            settings=settings, reducer=reducer, runtime=runtime, watch=watch
+            settings=settings,
+            reducer=reducer,
+            runtime=runtime,
+            disconnect_watcher=disconnect_watcher,
         )
         self._adapter = adapter
 
@@ -117,18 +124,20 @@
         self,
         *,
         call: events.Call,
-        work: relay.RequestPayload,
-        facts: gateway.CallMetadata,
+        payload: relay.RequestPayload,
+        metadata: gateway.CallMetadata,
         caller: socket.socket,
     ) -> relay.Relay:
         # Callers choose request ids freely and may use one twice; the suffix
         # makes them unique.
-        request_id = f'{facts.request_id}.{uuid.uuid4().hex[:8]}'
+        request_id = f'{metadata.request_id}.{uuid.uuid4().hex[:8]}'
         return self._open(
             call=call,
-            work=work,
+            payload=payload,
             request_id=request_id,
-            backends=self._adapter.backends(work=work, facts=facts),
+            backends=self._adapter.backends(
+                payload=payload, metadata=metadata
+            ),
             caller=caller,
         )
 
--- a/dandeliongw/cell/owner.py
+++ b/dandeliongw/cell/owner.py
@@ -110,7 +110,7 @@
         self._epochs_by_cell.pop(cell, None)
         self._drop(cell)
 
-    def keep(self, cell: str) -> bool:
+    def keep_without_lease(self, cell: str) -> bool:
         """Keep a cell whose lease expired while no voter could be reached.
 
         No other instance can get the lease meanwhile. If the cell were
--- a/dandeliongw/command.py
+++ b/dandeliongw/command.py
@@ -31,7 +31,7 @@
     :param settings: path of this instance's settings file
     """
     found = settings_module.load_settings(settings)
-    gc_control.pause()
+    gc_control.disable_gc()
     # Imported here, as no other command needs the daemon's parts.
     from . import server
 
--- a/dandeliongw/connection_pool.py
+++ b/dandeliongw/connection_pool.py
@@ -27,7 +27,7 @@
     expires_at: float
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections by address; thread-safe."""
 
     def __init__(self) -> None:
--- a/dandeliongw/control_facades.py
+++ b/dandeliongw/control_facades.py
@@ -34,7 +34,7 @@
 
     def read(self) -> joining.Members:
         """Return the instances that are alive, including this one."""
-        return self._runtime.look(self._read)
+        return self._runtime.read_state(self._read)
 
     def _read(self, now: float) -> joining.Members:
         by_id = self._reducer.membership.members_by_id
@@ -71,14 +71,14 @@
 
     @property
     def is_ready(self) -> bool:
-        return self._runtime.look(self._read_ready)
+        return self._runtime.read_state(self._read_ready)
 
     def _read_ready(self, now: float) -> bool:
         is_shutting_down = self._reducer.shutdown.is_shutting_down
         return self._reducer.directory.is_fresh(now) and not is_shutting_down
 
-    def entries(self) -> list[membership.Entry]:
-        return self._runtime.look(self._reducer.membership.entries)
+    def entries(self) -> list[membership.ClientEndpoint]:
+        return self._runtime.read_state(self._reducer.membership.entries)
 
 
 class BackendsFacade:
@@ -111,7 +111,7 @@
                 'role': presence.BackendRole(announcement.role),
             }
         )
-        outcome = self._runtime.ask(
+        outcome = self._runtime.post_and_wait(
             functools.partial(presence.Announced, announcement=message)
         )
         return backends_module.PresenceAnswer(outcome.value)
@@ -147,7 +147,7 @@
                 for each in renewal.cache_events.events
             ),
         )
-        outcome = self._runtime.ask(
+        outcome = self._runtime.post_and_wait(
             functools.partial(
                 presence.Renewed,
                 backend_id=renewal.backend_id,
@@ -160,6 +160,6 @@
         return backends_module.PresenceAnswer(outcome.value)
 
     def leave(self, leaving: backends_module.Leaving) -> None:
-        self._runtime.ask(
+        self._runtime.post_and_wait(
             functools.partial(presence.Left, **leaving.model_dump())
         )
--- a/dandeliongw/coordination/checker.py
+++ b/dandeliongw/coordination/checker.py
@@ -71,7 +71,7 @@
         """
         self._check_id = first_id
 
-    def ask(
+    def add_request(
         self, sender: str, request: messages.ConfirmConfiguration, now: float
     ) -> list[typing.Any]:
         """Queue a confirmation request; the next check to begin answers it.
--- a/dandeliongw/coordination/confirmation_status.py
+++ b/dandeliongw/coordination/confirmation_status.py
@@ -33,7 +33,7 @@
 class ConfirmationLapsed(msgspec.Struct, frozen=True, kw_only=True):
     """Effect: the last confirmation has expired.
 
-    :param standing: the status at that moment.
+    :param status: the status at that moment.
     :param asks: number of confirmation requests sent since the last one that
         was answered in time.
     :param late_answers: number of answers to requests that had timed out.
@@ -41,7 +41,7 @@
         slow.
     """
 
-    standing: ConfirmationStatus
+    status: ConfirmationStatus
     asks: int
     late_answers: int
 
@@ -52,7 +52,7 @@
     :param lapsed_s: for how many seconds it was not.
     """
 
-    standing: ConfirmationStatus
+    status: ConfirmationStatus
     lapsed_s: float
 
 
@@ -65,7 +65,7 @@
     def tick(
         self,
         now: float,
-        standing: ConfirmationStatus,
+        status: ConfirmationStatus,
         *,
         asks: int,
         late_answers: int,
@@ -77,25 +77,25 @@
         :param asks: see :class:`ConfirmationLapsed`.
         :param late_answers: likewise.
         """
-        if standing.revision is None:
+        if status.revision is None:
             return []
-        if standing.is_confirmed:
-            return self._regained(now, standing)
+        if status.is_confirmed:
+            return self._regained(now, status)
         if self._lapsed_at is not None:
             return []
         self._lapsed_at = now
         return [
             ConfirmationLapsed(
-                standing=standing,
+                status=status,
                 asks=asks,
                 late_answers=late_answers,
             )
         ]
 
     def _regained(
-        self, now: float, standing: ConfirmationStatus
+        self, now: float, status: ConfirmationStatus
     ) -> list[typing.Any]:
         if self._lapsed_at is None:
             return []
         lapsed_s, self._lapsed_at = now - self._lapsed_at, None
-        return [ConfirmationRegained(standing=standing, lapsed_s=lapsed_s)]
+        return [ConfirmationRegained(status=status, lapsed_s=lapsed_s)]
--- a/dandeliongw/coordination/membership.py
+++ b/dandeliongw/coordination/membership.py
@@ -50,7 +50,7 @@
 
 __all__ = [
     'Discovered',
-    'Entry',
+    'ClientEndpoint',
     'Gossip',
     'IndirectAck',
     'IndirectProbe',
@@ -114,7 +114,7 @@
 RETENTION_S = 24 * 3600.0
 
 
-class Entry(msgspec.Struct, frozen=True, kw_only=True):
+class ClientEndpoint(msgspec.Struct, frozen=True, kw_only=True):
     """An instance that clients may send requests to."""
 
     instance_id: str
@@ -194,7 +194,7 @@
         """Return whether a member is alive and not suspected."""
         return self._view.roster.is_alive(instance_id)
 
-    def entries(self, now: float) -> list[Entry]:
+    def entries(self, now: float) -> list[ClientEndpoint]:
         """Return the instances that clients may send requests to.
 
         A partitioned member is dropped once failure detection has suspected
@@ -204,7 +204,7 @@
         """
         stale = self._is_late(now)
         return [
-            _entry(self.members_by_id[instance_id])
+            _endpoint(self.members_by_id[instance_id])
             for instance_id in self.alive_ids()
             if _accepts_clients(self.members_by_id[instance_id])
             and not (stale and instance_id != self.instance_id)
@@ -507,8 +507,8 @@
         return effects
 
 
-def _entry(member: Member) -> Entry:
-    return Entry(
+def _endpoint(member: Member) -> ClientEndpoint:
+    return ClientEndpoint(
         instance_id=member.instance_id,
         callers_address=member.info.callers_address,
         data_centre=member.info.data_centre,
--- a/dandeliongw/coordination/quarantine.py
+++ b/dandeliongw/coordination/quarantine.py
@@ -115,9 +115,9 @@
         self._has_synced = False
         self._compare_at = 0.0
         #: Crashes under calls forwarded by this instance.
-        self.ends_seen = 0
+        self.crashes_seen = 0
         #: Number of calls in quarantine.
-        self.held = 0
+        self.quarantined_count = 0
 
     # Accessors.
 
@@ -180,7 +180,7 @@
     # Events of this instance.
 
     def _on_ended(self, event: Ended) -> Effects:
-        self.ends_seen += 1
+        self.crashes_seen += 1
         end = ReportedEnd(
             start=event.start,
             age_s=event.now - event.ended_at,
@@ -320,7 +320,7 @@
                 out.append(_quarantined(now, case))
             elif was is not None and case.held_until is None:
                 out.append(_released(case))
-        self.held = sum(
+        self.quarantined_count = sum(
             case.held_until is not None
             for case in self._cases.by_fingerprint.values()
         )
--- a/dandeliongw/coordination/register.py
+++ b/dandeliongw/coordination/register.py
@@ -352,7 +352,9 @@
         confirmed_at = self.confirmed_at
         return confirmed_at is not None and now - confirmed_at < self._ttl_s
 
-    def standing(self, now: float) -> status_module.ConfirmationStatus:
+    def confirmation_status(
+        self, now: float
+    ) -> status_module.ConfirmationStatus:
         """Return how current the configuration is."""
         configuration = self.configuration
         if configuration is None:
@@ -427,7 +429,7 @@
             *self._hints.tick(event.now, self.in_force),
             *self._monitor.tick(
                 event.now,
-                self.standing(event.now),
+                self.confirmation_status(event.now),
                 asks=self._requester.asks,
                 late_answers=self._requester.late_answers,
             ),
@@ -728,7 +730,7 @@
         self, event: parts.Received, message: messages.ConfirmConfiguration
     ) -> list[typing.Any]:
         if self._register_state.is_voter:
-            return self._checker.ask(event.sender, message, event.now)
+            return self._checker.add_request(event.sender, message, event.now)
         refusal = messages.ConfirmRefused(
             ask_id=message.ask_id, voter_ids=self._register_state.voter_ids
         )
--- a/dandeliongw/differences.py
+++ b/dandeliongw/differences.py
@@ -39,14 +39,14 @@
 
 
 class MergeResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The outcome of :func:`carry_over`.
+    """The outcome of :func:`merge`.
 
     :param tree: the document with the changes that could be carried.
-    :param left_out: changes to items that the other side changed too.
+    :param conflicts: changes to items that the other side changed too.
     """
 
     tree: Tree
-    left_out: tuple[Difference, ...]
+    conflicts: tuple[Difference, ...]
 
 
 def key_of(section: str, item: Item) -> str:
@@ -76,7 +76,7 @@
     return found
 
 
-def carry_over(*, base: Tree, mine: Tree, theirs: Tree) -> MergeResult:
+def merge(*, base: Tree, mine: Tree, theirs: Tree) -> MergeResult:
     """Make my changes again in the document that others have changed.
 
     An item that both changed, and not alike, stays as theirs is and is
@@ -86,15 +86,15 @@
     """
     taken = {(each.section, each.key) for each in find(base, theirs)}
     tree = dict(theirs)
-    left_out = []
+    conflicts = []
     for change in find(base, mine):
         wanted = items_by_key(mine, change.section).get(change.key)
         found = items_by_key(theirs, change.section).get(change.key)
         if (change.section, change.key) not in taken:
             tree = replace(tree, change.section, change.key, wanted)
         elif wanted != found:
-            left_out.append(change)
-    return MergeResult(tree=tree, left_out=tuple(left_out))
+            conflicts.append(change)
+    return MergeResult(tree=tree, conflicts=tuple(conflicts))
 
 
 def replace(tree: Tree, section: str, key: str, item: Item | None) -> Tree:
--- a/dandeliongw/directory.py
+++ b/dandeliongw/directory.py
@@ -71,9 +71,11 @@
             return True
         return self._configuration.is_fresh(now)
 
-    def standing(self, now: float) -> status_module.ConfirmationStatus:
+    def confirmation_status(
+        self, now: float
+    ) -> status_module.ConfirmationStatus:
         """Return when the document was last confirmed by a majority."""
-        return self._configuration.standing(now)
+        return self._configuration.confirmation_status(now)
 
     def cell_of(self, service: str, request_id: str) -> str:
         """Return the cell of a service that serves this instance's callers."""
--- a/dandeliongw/document.py
+++ b/dandeliongw/document.py
@@ -253,39 +253,39 @@
     def _find_duplicates(self) -> abc.Iterator[exceptions.Problem]:
         for path in ('services', 'pools', 'priorities', 'accounts'):
             names = [entry.name for entry in getattr(self, path)]
-            yield from models.duplicates(names, path, 'name')
+            yield from models.find_duplicates(names, path, 'name')
         ranks = [priority.rank for priority in self.priorities]
-        yield from models.duplicates(ranks, 'priorities', 'rank')
+        yield from models.find_duplicates(ranks, 'priorities', 'rank')
         calls = [
             f'{route.service} {route.method} {route.path}'
             for route in self.routes
         ]
-        yield from models.duplicates(calls, 'routes', 'path')
+        yield from models.find_duplicates(calls, 'routes', 'path')
         digests = [account.key_sha256 for account in self.accounts]
-        yield from models.duplicates(digests, 'accounts', 'key_sha256')
+        yield from models.find_duplicates(digests, 'accounts', 'key_sha256')
 
     def _find_dangling(self) -> abc.Iterator[exceptions.Problem]:
         services = self.services_by_name.keys()
         priorities = self.priorities_by_name.keys()
         for index, pool in enumerate(self.pools):
             path = f'pools[{index}].service'
-            yield from models.missing(pool.service, services, path)
+            yield from models.find_unknown(pool.service, services, path)
         for index, route in enumerate(self.routes):
             path = f'routes[{index}]'
-            yield from models.missing(
+            yield from models.find_unknown(
                 route.service, services, f'{path}.service'
             )
             if route.priority is not None:
-                yield from models.missing(
+                yield from models.find_unknown(
                     route.priority, priorities, f'{path}.priority'
                 )
         for index, account in enumerate(self.accounts):
             path = f'accounts[{index}]'
             for place, service in enumerate(account.services):
-                yield from models.missing(
+                yield from models.find_unknown(
                     service, services, f'{path}.services[{place}]'
                 )
-            yield from models.missing(
+            yield from models.find_unknown(
                 account.priority, priorities, f'{path}.priority'
             )
 
--- a/dandeliongw/effects.py
+++ b/dandeliongw/effects.py
@@ -121,7 +121,7 @@
     tokens: int
 
 
-class Late(enum.StrEnum):
+class LateKind(enum.StrEnum):
     """What arrived for an attempt that had already ended (a counter label)."""
 
     #: A message from a cell's owner.
@@ -132,7 +132,7 @@
     PIECE = 'piece'
 
 
-class Part(enum.StrEnum):
+class RequestPhase(enum.StrEnum):
     """A phase in the processing of a request (a histogram label)."""
 
     #: From the booking request to a cell's owner until its reply.
@@ -153,7 +153,7 @@
 class PhaseDuration(msgspec.Struct, frozen=True, kw_only=True):
     """Record the duration of a finished phase of a request."""
 
-    part: Part
+    phase: RequestPhase
     service: str
     seconds: float
 
@@ -174,7 +174,7 @@
 class CountLate(msgspec.Struct, frozen=True, kw_only=True):
     """Count something that was dropped because its attempt had ended."""
 
-    what: Late
+    what: LateKind
 
 
 class Log(msgspec.Struct, frozen=True, kw_only=True):
--- a/dandeliongw/entry/admission.py
+++ b/dandeliongw/entry/admission.py
@@ -40,7 +40,9 @@
         """Whether a majority confirmed the document recently enough."""
         ...
 
-    def standing(self, now: float) -> status_module.ConfirmationStatus:
+    def confirmation_status(
+        self, now: float
+    ) -> status_module.ConfirmationStatus:
         """How current the document is."""
         ...
 
@@ -146,9 +148,9 @@
         """
         if refusal.reason not in _FINAL_REASONS:
             return refusal
-        standing = self._directory.standing(now)
-        message = f'{refusal.message} ({standing})'
-        if standing.is_confirmed:
+        status = self._directory.confirmation_status(now)
+        message = f'{refusal.message} ({status})'
+        if status.is_confirmed:
             return msgspec.structs.replace(refusal, message=message)
         return not_run(
             _REASON.CONFIGURATION_STALE,
--- a/dandeliongw/entry/attempts.py
+++ b/dandeliongw/entry/attempts.py
@@ -28,7 +28,7 @@
     """Begins attempts and decides on retries.
 
     :param budgets: retry budgets by service.
-    :param holds: quarantined calls, which are not attempted.
+    :param quarantine_check: quarantined calls, which are not attempted.
     """
 
     def __init__(
@@ -37,9 +37,9 @@
         reservations: reservations.Reservations,
         endings: endings.Endings,
         budgets: retries.RetryBudgets,
-        holds: quarantine_module.QuarantineCheck,
+        quarantine_check: quarantine_module.QuarantineCheck,
     ) -> None:
-        self._holds = holds
+        self._quarantine_check = quarantine_check
         self._reservations = reservations
         self._endings = endings
         self._budgets = budgets
@@ -135,7 +135,7 @@
         """
         if request.is_trial and not request.runs:
             return None
-        return self._holds.refusal(
+        return self._quarantine_check.refusal(
             now, request.request_id, request.call, request.known
         )
 
--- a/dandeliongw/entry/relay.py
+++ b/dandeliongw/entry/relay.py
@@ -102,14 +102,14 @@
         *,
         request_id: str,
         call: events.Call,
-        work: RequestPayload,
+        payload: RequestPayload,
         backends: Backends,
         post: Post,
         clock: abc.Callable[[], float] = clock_module.now,
     ) -> None:
         self.request_id = request_id
         self.call = call
-        self._work = work
+        self._payload = payload
         self._backends = backends
         self._post = post
         self._clock = clock
@@ -118,7 +118,7 @@
         ] = queue.SimpleQueue()
         self._cancellations = cancellations.Cancellations()
         self._text: list[str] = []
-        self._offset = work.pieces_received
+        self._offset = payload.pieces_received
         # Offset in the answer at which the current engine starts counting.
         self._base = 0
         self._late_pieces = 0
@@ -128,7 +128,7 @@
         self._first_token_at: float | None = None
         self._failed_reply: engine.Reply | None = None
 
-    def give(self, directive: effects.Directive) -> None:
+    def put_directive(self, directive: effects.Directive) -> None:
         """Accept a directive; called by the runtime, never blocks."""
         if isinstance(directive, effects.Abort):
             self._cancellations.cancel(directive.attempt_id)
@@ -269,11 +269,11 @@
             # When a decode engine failed mid-stream, the text that the
             # client already has becomes part of the prompt, and the new
             # engine counts tokens from the end of that text.
-            self._base = 0 if self._work.is_pass_through else self._offset
+            self._base = 0 if self._payload.is_pass_through else self._offset
             done = adapter.prefill(
                 stream_id=self.request_id,
                 attempt_id=directive.attempt_id,
-                prompt=self._work.prompt + ''.join(self._text),
+                prompt=self._payload.prompt + ''.join(self._text),
                 priority=directive.priority,
                 fence=directive.fence,
                 deadline_s=left_s,
@@ -300,7 +300,7 @@
             except engine.EngineError as error:
                 # An answer that lacks only its end mark is complete.
                 lacks_more = (
-                    self._work.is_pass_through
+                    self._payload.is_pass_through
                     or self._offset < self.call.max_tokens
                 )
                 if directive.kv or lacks_more:
@@ -375,7 +375,7 @@
                 measure.arrived(self._clock())
                 if self._offset == 0:
                     self._first_token_at = measure.first_at
-                if not self._work.is_pass_through:
+                if not self._payload.is_pass_through:
                     self._text.append(piece.text)
                 self._offset += 1
                 yield msgspec.structs.replace(piece, offset=offset)
@@ -403,17 +403,20 @@
         with self._cancellations.registered(directive.attempt_id, adapter):
             reply = adapter.call(
                 method=self.call.method,
-                path=self._work.path,
-                body=self._work.body,
+                path=self._payload.path,
+                body=self._payload.body,
                 headers={
-                    **dict(self._work.headers),
+                    **dict(self._payload.headers),
                     'X-Request-Id': self.request_id,
                     'X-Attempt-Id': directive.attempt_id,
                     'X-Deadline-S': f'{left_s:.3f}',
                 },
-                max_bytes=self._work.max_bytes,
+                max_bytes=self._payload.max_bytes,
             )
-        if self._work.is_pass_through and reply.status >= FIRST_FAILURE_STATUS:
+        if (
+            self._payload.is_pass_through
+            and reply.status >= FIRST_FAILURE_STATUS
+        ):
             self._failed_reply = reply
             raise engine.EngineError(
                 f'the backend server answered {reply.status}',
--- a/dandeliongw/entry/replies.py
+++ b/dandeliongw/entry/replies.py
@@ -80,7 +80,7 @@
             self._reservations.process_unawaited_answer(
                 event.sender, message.cell
             )
-        late: Effects = [effects.CountLate(what=effects.Late.OWNER)]
+        late: Effects = [effects.CountLate(what=effects.LateKind.OWNER)]
         if not isinstance(message, cells.Booked | cells.Queued):
             return late
         release = cells.Release(
@@ -254,5 +254,9 @@
 def _wait_time(now: float, request: Request) -> effects.PhaseDuration:
     """Return the time that the request spent in booking or in the queue."""
     if request.phase is Phase.QUEUED:
-        return request.duration(effects.Part.QUEUE, now - request.phase_at)
-    return request.duration(effects.Part.BOOKING, now - request.asked_at)
+        return request.duration(
+            effects.RequestPhase.QUEUE, now - request.phase_at
+        )
+    return request.duration(
+        effects.RequestPhase.BOOKING, now - request.asked_at
+    )
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -187,11 +187,11 @@
         return BookedBackend(start=start, url=url)
 
     def duration(
-        self, part: effects.Part, seconds: float
+        self, phase: effects.RequestPhase, seconds: float
     ) -> effects.PhaseDuration:
         """Return the effect that records the duration of a part."""
         return effects.PhaseDuration(
-            part=part, service=self.service, seconds=seconds
+            phase=phase, service=self.service, seconds=seconds
         )
 
     def left_s(self, now: float) -> float:
--- a/dandeliongw/entry/requests.py
+++ b/dandeliongw/entry/requests.py
@@ -56,7 +56,8 @@
 
     :param directory: the instance's view of the system, see ``admission``.
     :param gate: admission control.
-    :param holds: quarantined calls, which are not sent to backend servers.
+    :param quarantine_check: quarantined calls, which are not sent to backend
+        servers.
     :param budgets: retry budgets by service.
     :param max_claimed_s: upper bound in seconds for the deadline of a call
         with a claim, because claims are retained for a limited time only.
@@ -69,14 +70,14 @@
         *,
         directory: admission.Directory,
         gate: admission.Admission,
-        holds: quarantine_module.QuarantineCheck,
+        quarantine_check: quarantine_module.QuarantineCheck,
         budgets: retries.RetryBudgets,
         max_claimed_s: float = float('inf'),
         startup_wait_s: float = 0.0,
     ) -> None:
         self._directory = directory
         self._gate = gate
-        self.holds = holds
+        self.quarantine_check = quarantine_check
         self._crashes = crash_detection.CrashDetector()
         self._max_claimed_s = max_claimed_s
         self._budgets = budgets
@@ -86,7 +87,7 @@
             reservations=self._reservations,
             endings=self._endings,
             budgets=self._budgets,
-            holds=holds,
+            quarantine_check=quarantine_check,
         )
         self._recovery = recovery.Recovery(
             attempts=self._attempts, endings=self._endings
@@ -101,7 +102,9 @@
             directory=directory, startup_s=startup_wait_s
         )
         self._trials = trials.Trials(
-            holds=holds, attempts=self._attempts, endings=self._endings
+            quarantine_check=quarantine_check,
+            attempts=self._attempts,
+            endings=self._endings,
         )
 
     # Events
@@ -139,7 +142,7 @@
             return _refuse_unadmitted(event, admitted)
         # A call that crashes the backend servers it runs on would crash
         # another one with each send, along with that server's other work.
-        held = self.holds.refusal(now, event.request_id, call)
+        held = self.quarantine_check.refusal(now, event.request_id, call)
         if held is not None and not held.may_be_trial:
             return [held.line, *_refuse_unadmitted(event, held.refusal)]
         request = self._make_request(event, admitted)
@@ -212,7 +215,7 @@
         )
         return out
 
-    def hold(self, now: float, fingerprint: str) -> Effects:
+    def stop_quarantined(self, now: float, fingerprint: str) -> Effects:
         """Stop the pending requests of a call that is now quarantined.
 
         Requests that a backend server is already running are not aborted.
@@ -224,7 +227,7 @@
             is_waiting = not request.is_ended and not request.is_running
             if not is_waiting or request.phase is Phase.RECORDING:
                 continue
-            if self.holds.fingerprint(request.call) != fingerprint:
+            if self.quarantine_check.fingerprint(request.call) != fingerprint:
                 continue
             held = self._attempts.held(now, request)
             if held is None:
@@ -239,7 +242,7 @@
         """Return the remaining retry budgets; thread-safe."""
         return self._budgets.left_by_service()
 
-    def cut_off(self, now: float) -> Effects:
+    def abort_all(self, now: float) -> Effects:
         """Abort all remaining requests when the shutdown grace period ends."""
         out: Effects = []
         for request in list(self.requests_by_id.values()):
@@ -324,7 +327,7 @@
         if request is None:
             return []
         out: Effects = [
-            effects.CountLate(what=effects.Late.PIECE)
+            effects.CountLate(what=effects.LateKind.PIECE)
         ] * event.late_pieces
         is_current = (
             not request.is_ended
@@ -356,8 +359,8 @@
         backend = request.booked_backend(event.step)
         return crash_detection.InterruptedRun(
             request_id=request.request_id,
-            fingerprint=self.holds.fingerprint(request.call),
-            content=self.holds.content(request.call),
+            fingerprint=self.quarantine_check.fingerprint(request.call),
+            content=self.quarantine_check.content(request.call),
             service=request.service,
             caller=request.call.address or request.admitted.account.name,
             start=backend.start,
@@ -375,7 +378,7 @@
         was meant for. It is sent again here, since the thread can send
         nothing more for this attempt.
         """
-        late = effects.CountLate(what=effects.Late.STEP)
+        late = effects.CountLate(what=effects.LateKind.STEP)
         cancels = request.cancels_by_attempt.pop(event.attempt_id, ())
         return [
             late,
@@ -400,7 +403,9 @@
             cached_tokens=event.cached_tokens,
         )
         send = parts.Send(to=request.owner, message=done)
-        took = request.duration(effects.Part.PREFILL, request.prefill_s)
+        took = request.duration(
+            effects.RequestPhase.PREFILL, request.prefill_s
+        )
         held = self._attempts.held(event.now, request)
         if held is not None:
             # Prefill alone is harmless; decoding would crash the engine.
@@ -415,7 +420,7 @@
     ) -> Effects:
         release = [
             *_durations(event, request),
-            *self.holds.succeeded(event.now, request),
+            *self.quarantine_check.succeeded(event.now, request),
             *self._reservations.release(
                 request,
                 cells.Outcome.DONE,
@@ -524,16 +529,20 @@
     """Return the durations of the parts of a complete answer."""
     began_at, first_at = request.phase_at, event.first_piece_at
     if event.step is events.Step.CALL:
-        return [request.duration(effects.Part.CALL, event.now - began_at)]
+        return [
+            request.duration(effects.RequestPhase.CALL, event.now - began_at)
+        ]
     if first_at is None:
         # A resumed stream that lacked only its end mark.
         return []
     out: Effects = [
-        request.duration(effects.Part.DECODE, event.now - first_at)
+        request.duration(effects.RequestPhase.DECODE, event.now - first_at)
     ]
     if request.booked.prefill_id:
         out.append(
-            request.duration(effects.Part.TRANSFER, first_at - began_at)
+            request.duration(
+                effects.RequestPhase.TRANSFER, first_at - began_at
+            )
         )
     if request.admitted.is_pass_through and event.first_token_at is not None:
         out.append(
--- a/dandeliongw/entry/retries.py
+++ b/dandeliongw/entry/retries.py
@@ -94,7 +94,7 @@
         return budget
 
 
-def pause_s(attempt: int, entropy: int) -> float:
+def backoff_s(attempt: int, entropy: int) -> float:
     """Return the backoff before an attempt, in seconds.
 
     :param attempt: number of the attempt; 2 for the first retry.
--- a/dandeliongw/entry/trials.py
+++ b/dandeliongw/entry/trials.py
@@ -30,11 +30,11 @@
     def __init__(
         self,
         *,
-        holds: quarantine_module.QuarantineCheck,
+        quarantine_check: quarantine_module.QuarantineCheck,
         attempts: attempts.Attempts,
         endings: endings.Endings,
     ) -> None:
-        self._holds = holds
+        self._quarantine_check = quarantine_check
         self._attempts = attempts
         self._endings = endings
 
@@ -44,7 +44,7 @@
         request.phase_at = now
         asked = quarantine.AskTrial(
             now=now,
-            fingerprint=self._holds.fingerprint(request.call),
+            fingerprint=self._quarantine_check.fingerprint(request.call),
             ticket=TRIAL_TICKET + request.request_id,
         )
         return [effects.Dispatch(event=asked)]
@@ -67,7 +67,7 @@
         line = decisions.CallTried(
             request_id=request.request_id,
             attempt_id=request.attempt_id,
-            call=self._holds.fingerprint(request.call),
+            call=self._quarantine_check.fingerprint(request.call),
         )
         return [line.log(), *begun]
 
--- a/dandeliongw/exchange.py
+++ b/dandeliongw/exchange.py
@@ -41,7 +41,7 @@
         url: str,
         connect_s: float,
         read_s: float,
-        pool: connection_pool.Pool | None = None,
+        pool: connection_pool.ConnectionPool | None = None,
     ) -> None:
         parts = urllib.parse.urlsplit(url)
         self._pool = pool
--- a/dandeliongw/gc_control.py
+++ b/dandeliongw/gc_control.py
@@ -9,7 +9,7 @@
 import gc
 
 
-def pause() -> None:
+def disable_gc() -> None:
     """Let a starting process collect nothing.
 
     Call it before the imports: they take 0.37 s of processor time then, and
@@ -18,7 +18,7 @@
     gc.disable()
 
 
-def settle() -> None:
+def freeze_and_enable_gc() -> None:
     """Leave what there is out of collections, and collect again."""
     gc.freeze()
     gc.enable()
--- a/dandeliongw/hosts.py
+++ b/dandeliongw/hosts.py
@@ -120,15 +120,17 @@
 ) -> abc.Iterator[exceptions.Problem]:
     """Yield inconsistencies of the routes with the rest of the document."""
     locations = [f'{each.host}{each.path_prefix}' for each in routes]
-    yield from models.duplicates(locations, 'host_routes', 'path_prefix')
+    yield from models.find_duplicates(locations, 'host_routes', 'path_prefix')
     for index, route in enumerate(routes):
         path = f'host_routes[{index}]'
-        yield from models.missing(
+        yield from models.find_unknown(
             route.priority, priorities, f'{path}.priority'
         )
         for position, target in enumerate(route.targets):
             target_path = f'{path}.targets[{position}].service'
-            yield from models.missing(target.service, services, target_path)
+            yield from models.find_unknown(
+                target.service, services, target_path
+            )
         if not route.total_weight:
             yield exceptions.Problem(
                 path=f'{path}.targets',
--- a/dandeliongw/metrics.py
+++ b/dandeliongw/metrics.py
@@ -65,7 +65,9 @@
         self._labels = (label,) if label else ()
         self._read: abc.Callable[[], abc.Mapping[str, float]] = dict
 
-    def watch(self, read: abc.Callable[[], abc.Mapping[str, float]]) -> None:
+    def set_callback(
+        self, read: abc.Callable[[], abc.Mapping[str, float]]
+    ) -> None:
         """Show from now on what ``read`` returns by value of the label.
 
         It is called in any thread, so it returns a copy.
@@ -107,7 +109,9 @@
         self._values = values
         self._read: abc.Callable[[], abc.Mapping[str, int]] = dict
 
-    def watch(self, read: abc.Callable[[], abc.Mapping[str, int]]) -> None:
+    def set_callback(
+        self, read: abc.Callable[[], abc.Mapping[str, int]]
+    ) -> None:
         """Show from now on what ``read`` returns by value of the label.
 
         Values that it leaves out are 0; it may be called in any thread.
@@ -179,7 +183,7 @@
             'Replies for attempts that were over, dropped.',
             'what',
         )
-        _start_at_zero(self.late_answers, effects.Late)
+        _start_at_zero(self.late_answers, effects.LateKind)
         _start_at_zero(self.answers, verdicts.Verdict)
         _start_at_zero(self.refusals, verdicts.RefusalReason)
         _start_at_zero(self.retries, verdicts.RetryReason)
@@ -319,8 +323,8 @@
         self.first_token.labels(service).observe(seconds)
 
     def observe_phase(self, took: effects.PhaseDuration) -> None:
-        """Record how long a part of a request's way took."""
-        self.parts.labels(took.service, took.part.value).observe(took.seconds)
+        """Record how long a phase of a request took."""
+        self.parts.labels(took.service, took.phase.value).observe(took.seconds)
 
     def observe_token_gap(self, service: str, seconds: float) -> None:
         """Record the time between two tokens of one stream."""
--- a/dandeliongw/models.py
+++ b/dandeliongw/models.py
@@ -95,7 +95,7 @@
         load_json(body, source)
         return model.model_validate_json(body)
     except pydantic.ValidationError as error:
-        raise invalid(model, error, source) from error
+        raise to_invalid_input(model, error, source) from error
     except exceptions.InvalidInput as error:
         problems = error.problems
     raise exceptions.InvalidInput(problems=problems, source=source)
@@ -129,7 +129,7 @@
                 yield name, inspect.cleandoc(text)
 
 
-def invalid(
+def to_invalid_input(
     model: type[Model], error: pydantic.ValidationError, source: str = ''
 ) -> exceptions.InvalidInput:
     """Return the declared error for what a model refused."""
@@ -158,7 +158,7 @@
         raise exceptions.InvalidInput(problems=(problem,), source=source)
 
 
-def duplicates(
+def find_duplicates(
     values: abc.Iterable[typing.Any], list_path: str, field: str
 ) -> abc.Iterator[exceptions.Problem]:
     """Yield a problem for each value that stood earlier in the list."""
@@ -174,7 +174,7 @@
             )
 
 
-def missing(
+def find_unknown(
     value: str, known: abc.Collection[str], path: str
 ) -> abc.Iterator[exceptions.Problem]:
     """Yield a problem if ``value`` names nothing that is known."""
--- a/dandeliongw/operators_facade.py
+++ b/dandeliongw/operators_facade.py
@@ -38,7 +38,7 @@
     def current(
         self,
     ) -> operator_interface.Configuration | operator_interface.Unavailable:
-        return self._runtime.look(self._read_current)
+        return self._runtime.read_state(self._read_current)
 
     def _read_current(
         self, now: float
@@ -64,7 +64,7 @@
         expected_revision: int,
         document: bytes,
     ) -> typing.Any:
-        result = self._runtime.ask(
+        result = self._runtime.post_and_wait(
             functools.partial(
                 register.Propose,
                 change_id=change_id,
@@ -97,7 +97,7 @@
         | operator_interface.Unavailable
     ):
         """Accept a document if its order number is the highest so far."""
-        result = self._runtime.ask(
+        result = self._runtime.post_and_wait(
             functools.partial(
                 register.ProposeOrdered,
                 order=order,
@@ -114,7 +114,7 @@
         return operator_interface.Unavailable(message=result.message)
 
     def in_force(self, revision: int) -> operator_interface.InForce:
-        return self._runtime.look(
+        return self._runtime.read_state(
             lambda now: self._read_in_force(revision, now)
         )
 
@@ -131,7 +131,7 @@
         )
 
     def status(self) -> operator_interface.Status:
-        return self._runtime.look(self._read_status)
+        return self._runtime.read_state(self._read_status)
 
     def _read_status(self, now: float) -> operator_interface.Status:
         state = self._reducer.register
@@ -194,7 +194,7 @@
         ]
 
     def backends(self) -> list[operator_interface.BackendStatus]:
-        return self._runtime.look(self._read_backends)
+        return self._runtime.read_state(self._read_backends)
 
     def _read_backends(
         self, now: float
@@ -220,7 +220,7 @@
         return out
 
     def suspects(self) -> list[operator_interface.SuspectEntry]:
-        return self._runtime.look(self._read_suspects)
+        return self._runtime.read_state(self._read_suspects)
 
     def _read_suspects(
         self, now: float
@@ -231,7 +231,7 @@
         return sorted(found, key=lambda each: (-each['held_s'], each['call']))
 
     def lift(self, *, call: str, operator: str, reason: str) -> bool:
-        return self._runtime.ask(
+        return self._runtime.post_and_wait(
             functools.partial(
                 quarantine.Lift,
                 fingerprint=call,
@@ -241,7 +241,7 @@
         )
 
     def history(self) -> list[operator_interface.HistoryEntry]:
-        records = self._runtime.look(
+        records = self._runtime.read_state(
             lambda now: self._reducer.register.history()
         )
         return [
--- a/dandeliongw/peers.py
+++ b/dandeliongw/peers.py
@@ -237,7 +237,7 @@
         self.addresses_by_id[to] = address
         self.reconnect(to)
 
-    async def forget(self, to: str) -> None:
+    async def remove_peer(self, to: str) -> None:
         """Close the connection to a peer that is no longer a member."""
         self.addresses_by_id.pop(to, None)
         link = self._links_by_id.pop(to, None)
--- a/dandeliongw/probe.py
+++ b/dandeliongw/probe.py
@@ -6,10 +6,10 @@
 
 #: Seconds for an answer. A machine refuses or takes a connection within a
 #: round trip; one that does neither proves nothing.
-PROBE_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 
 
-def is_refused(url: str, timeout_s: float = PROBE_S) -> bool:
+def is_refused(url: str, timeout_s: float = PROBE_TIMEOUT_S) -> bool:
     """Return whether the machine of ``url`` says that nothing listens there.
 
     Only a refusal counts. A process that is frozen, a machine that has no
--- a/dandeliongw/reducer.py
+++ b/dandeliongw/reducer.py
@@ -152,7 +152,7 @@
         self.requests = requests.Requests(
             directory=self.directory,
             gate=self.admission,
-            holds=quarantine_check.QuarantineCheck(
+            quarantine_check=quarantine_check.QuarantineCheck(
                 quarantine=self.quarantine,
                 fingerprints=fingerprints.Fingerprints(
                     secret=settings.peer_secret.encode()
@@ -535,7 +535,7 @@
             and self.settings.silent_owner == 'place'
             and not has_paused
         )
-        if may_keep and self.owner.keep(effect.name):
+        if may_keep and self.owner.keep_without_lease(effect.name):
             return [
                 effects.log(
                     'keeping a cell without a lease: no voter is reachable',
@@ -617,7 +617,10 @@
             told_by=' '.join(effect.told_by),
             held_s=effect.held_s,
         )
-        return [line.log(), *self.requests.hold(now, effect.fingerprint)]
+        return [
+            line.log(),
+            *self.requests.stop_quarantined(now, effect.fingerprint),
+        ]
 
     def _on_released(
         self, now: float, effect: quarantine.Released
@@ -652,7 +655,7 @@
         return [
             effects.log(
                 'configuration in force',
-                **_confirmation_fields(self.register.standing(now)),
+                **_confirmation_fields(self.register.confirmation_status(now)),
             ),
             *self.owner.change_document(
                 now, frozenset(self.membership.alive_ids())
@@ -665,7 +668,7 @@
         return [
             effects.log(
                 'configuration not confirmed in time',
-                **_confirmation_fields(effect.standing),
+                **_confirmation_fields(effect.status),
                 asks=str(effect.asks),
                 late_answers=str(effect.late_answers),
                 level='WARNING',
@@ -678,7 +681,7 @@
         return [
             effects.log(
                 'configuration confirmed again',
-                **_confirmation_fields(effect.standing),
+                **_confirmation_fields(effect.status),
                 lapsed_s=f'{effect.lapsed_s:.2f}',
             )
         ]
@@ -862,13 +865,13 @@
 
 
 def _confirmation_fields(
-    standing: status_module.ConfirmationStatus,
+    status: status_module.ConfirmationStatus,
 ) -> dict[str, str]:
     """Return the log fields on a configuration and its confirmation."""
-    age_s = standing.confirmed_age_s
+    age_s = status.confirmed_age_s
     return {
-        'revision': str(standing.revision),
-        'order': str(standing.order),
+        'revision': str(status.revision),
+        'order': str(status.order),
         'confirmed_age_s': 'never' if age_s is None else f'{age_s:.2f}',
     }
 
--- a/dandeliongw/runtime.py
+++ b/dandeliongw/runtime.py
@@ -80,7 +80,7 @@
 
     def set_address(self, to: str, address: tuple[str, int]) -> None: ...
 
-    async def forget(self, to: str) -> None: ...
+    async def remove_peer(self, to: str) -> None: ...
 
 
 class Runtime:
@@ -185,7 +185,9 @@
         """Queue the event ``make_event(now=...)`` for the reducer."""
         self._loop.call_soon_threadsafe(self._handle_now, make_event)
 
-    def ask(self, make_event: abc.Callable[..., typing.Any]) -> typing.Any:
+    def post_and_wait(
+        self, make_event: abc.Callable[..., typing.Any]
+    ) -> typing.Any:
         """Queue ``make_event(now=..., ticket=...)``; wait for its result.
 
         :raises TimeoutError: when there is none within :data:`ASK_S`.
@@ -199,7 +201,9 @@
         finally:
             self._futures_by_ticket.pop(ticket, None)
 
-    def look(self, read: abc.Callable[[float], typing.Any]) -> typing.Any:
+    def read_state(
+        self, read: abc.Callable[[float], typing.Any]
+    ) -> typing.Any:
         """Run ``read(now)`` on the control thread and return its result.
 
         :raises TimeoutError: when it takes longer than :data:`ASK_S`.
@@ -244,7 +248,7 @@
         if isinstance(effect, effects.Directive):
             found = self._relays_by_id.get(effect.request_id)
             if found is not None:
-                found.give(effect)
+                found.put_directive(effect)
             return
         performer = self._performers_by_type.get(type(effect))
         if performer is None:
@@ -278,7 +282,7 @@
 
     def _forget_peer(self, effect: effects.PeerForgotten) -> None:
         if self._wire is not None:
-            self._loop.create_task(self._wire.forget(effect.instance_id))
+            self._loop.create_task(self._wire.remove_peer(effect.instance_id))
 
     def _persist(self, effect: parts.Persist) -> None:
         self._writer.put(effect)
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -77,8 +77,8 @@
         :param lines: the log writer, which counts them.
         """
         if self._metrics is not None:
-            self._metrics.log_lines_left_out.watch(
-                lambda: {metrics_module.UNLABELLED: lines.left_out}
+            self._metrics.log_lines_left_out.set_callback(
+                lambda: {metrics_module.UNLABELLED: lines.dropped}
             )
 
     def reload(self) -> None:
@@ -118,10 +118,10 @@
     with contextlib.ExitStack() as stack:
         journal = _open_journal(stack, settings, codec)
         control_port = stack.enter_context(
-            http_ports.bound(settings.control, 'control', shutdown_s)
+            http_ports.open_port(settings.control, 'control', shutdown_s)
         )
         callers_port = stack.enter_context(
-            http_ports.bound(settings.callers, 'callers', shutdown_s)
+            http_ports.open_port(settings.callers, 'callers', shutdown_s)
         )
         incarnation = time.time_ns()
         reducer = reducer_module.Reducer(
@@ -158,12 +158,12 @@
         # for a stopped runtime would delay the exit by its whole timeout.
         stack.callback(control_port.close)
         stack.callback(callers_port.close)
-        watch = stack.enter_context(_watching(runtime))
+        disconnect_watcher = stack.enter_context(_watching(runtime))
         applications = _Applications(
             settings=settings,
             reducer=reducer,
             runtime=runtime,
-            watch=watch,
+            disconnect_watcher=disconnect_watcher,
             metrics=metrics,
             adapter=adapter,
         )
@@ -171,7 +171,7 @@
         callers_port.serve(applications.callers(), applications.read_limits)
         for extra in applications.extra_ports():
             port = stack.enter_context(
-                http_ports.bound(extra.listen, extra.name, shutdown_s)
+                http_ports.open_port(extra.listen, extra.name, shutdown_s)
             )
             port.serve(extra.application)
         joiner = None
@@ -216,7 +216,7 @@
         _logged(settings, lines),
         opened(settings, adapter) as server,
     ):
-        gc_control.settle()
+        gc_control.freeze_and_enable_gc()
         server.watch_lines(lines)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: server.begin_shutdown())
@@ -282,17 +282,23 @@
     """Export the counters of the reducer's parts as metrics."""
     counts = reducer.owner.order_dispatch.counts
     unlabelled = metrics_module.UNLABELLED
-    metrics.lease_answers.watch(lambda: reducer.leases.outcomes_by_label)
-    metrics.orders_held_back.watch(lambda: counts.holds_by_reason)
-    metrics.voters.watch(
+    metrics.lease_answers.set_callback(
+        lambda: reducer.leases.outcomes_by_label
+    )
+    metrics.orders_held_back.set_callback(lambda: counts.holds_by_reason)
+    metrics.voters.set_callback(
         lambda: {unlabelled: len(reducer.register.voters_by_id)}
     )
-    metrics.lease_epoch.watch(reducer.owner.epochs_by_cell)
-    metrics.retry_budget.watch(reducer.requests.retries_left_by_service)
+    metrics.lease_epoch.set_callback(reducer.owner.epochs_by_cell)
+    metrics.retry_budget.set_callback(reducer.requests.retries_left_by_service)
     quarantine = reducer.quarantine
-    metrics.backend_ends.watch(lambda: {unlabelled: quarantine.ends_seen})
-    metrics.quarantined.watch(lambda: {unlabelled: quarantine.held})
-    metrics.order_repeats.watch(lambda: {unlabelled: counts.repeats})
+    metrics.backend_ends.set_callback(
+        lambda: {unlabelled: quarantine.crashes_seen}
+    )
+    metrics.quarantined.set_callback(
+        lambda: {unlabelled: quarantine.quarantined_count}
+    )
+    metrics.order_repeats.set_callback(lambda: {unlabelled: counts.repeats})
 
 
 def make_wire(
@@ -328,8 +334,10 @@
 
     def make_watched() -> peers_module.Peers:
         made = make()
-        metrics.peer_drops.watch(lambda: made.counters.drops_by_reason)
-        metrics.peer_faults.watch(lambda: made.counters.faults_by_reason)
+        metrics.peer_drops.set_callback(lambda: made.counters.drops_by_reason)
+        metrics.peer_faults.set_callback(
+            lambda: made.counters.faults_by_reason
+        )
         return made
 
     return make_watched
@@ -355,16 +363,16 @@
 def _watching(
     runtime: runtime_module.Runtime,
 ) -> abc.Iterator[disconnects.DisconnectWatcher]:
-    watch = disconnects.DisconnectWatcher(
+    disconnect_watcher = disconnects.DisconnectWatcher(
         on_disconnect=lambda request_id: runtime.post(
             functools.partial(events.CallerGone, request_id=request_id)
         )
     )
-    watch.start()
+    disconnect_watcher.start()
     try:
-        yield watch
+        yield disconnect_watcher
     finally:
-        watch.stop()
+        disconnect_watcher.stop()
 
 
 @contextlib.contextmanager
@@ -399,14 +407,14 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: disconnects.DisconnectWatcher,
+        disconnect_watcher: disconnects.DisconnectWatcher,
         metrics: metrics_module.Metrics,
         adapter: adapter_module.Adapter | None,
     ) -> None:
         self._settings = settings
         self._reducer = reducer
         self._runtime = runtime
-        self._watch = watch
+        self._disconnect_watcher = disconnect_watcher
         self._metrics = metrics
         self._adapter = adapter
 
@@ -420,18 +428,18 @@
             'settings': self._settings,
             'reducer': self._reducer,
             'runtime': self._runtime,
-            'watch': self._watch,
+            'disconnect_watcher': self._disconnect_watcher,
         }
         if self._adapter is not None:
             return gateway.Gateway(
-                gate=caller_facades.PassThroughFacade(
+                facade=caller_facades.PassThroughFacade(
                     **parts, adapter=self._adapter
                 ),
                 header_parser=self._adapter.header_parser,
                 metrics=self._metrics,
             )
         callers = callers_module.Callers(
-            gate=caller_facades.CallersFacade(**parts),
+            facade=caller_facades.CallersFacade(**parts),
             metrics=self._metrics,
             max_body_bytes=self._settings.limits.max_body_bytes,
         )
@@ -444,11 +452,11 @@
         """
         settings = self._settings
         parts = {'reducer': self._reducer, 'runtime': self._runtime}
-        desk = control_facades.BackendsFacade(**parts)
+        presence_facade = control_facades.BackendsFacade(**parts)
         control = operators_facade.OperatorsFacade(settings=settings, **parts)
         members = control_facades.MembersFacade(settings=settings, **parts)
         backends = backends_module.Backends(
-            desk=desk,
+            presence_facade=presence_facade,
             key_sha256=settings.backend_key_sha256,
             lease_s=settings.timeouts.presence_s,
             renew_s=settings.timeouts.renew_s,
@@ -462,7 +470,9 @@
         )
         if self._adapter is None:
             return inner
-        return self._adapter.control(inner=inner, desk=desk, operators=control)
+        return self._adapter.control(
+            inner=inner, presence_facade=presence_facade, operators=control
+        )
 
     def extra_ports(self) -> abc.Sequence[adapter_module.ExtraPort]:
         """Return the additional ports of the platform adapter."""
--- a/dandeliongw/settings.py
+++ b/dandeliongw/settings.py
@@ -270,7 +270,7 @@
 
     def _find_duplicates(self) -> abc.Iterator[exceptions.Problem]:
         ids = [peer.instance_id for peer in self.peers]
-        yield from models.duplicates(ids, 'peers', 'instance_id')
+        yield from models.find_duplicates(ids, 'peers', 'instance_id')
         # Port 0 is no address yet, so each of them counts as its own.
         addresses = [
             Address(host=peer.host, port=peer.port).show()
@@ -278,11 +278,11 @@
             else object()
             for peer in self.peers
         ]
-        yield from models.duplicates(addresses, 'peers', 'port')
+        yield from models.find_duplicates(addresses, 'peers', 'port')
         names = [entry.name for entry in self.operators]
-        yield from models.duplicates(names, 'operators', 'name')
+        yield from models.find_duplicates(names, 'operators', 'name')
         digests = [entry.token_sha256 for entry in self.operators]
-        yield from models.duplicates(digests, 'operators', 'token_sha256')
+        yield from models.find_duplicates(digests, 'operators', 'token_sha256')
 
     def _check_seeds(self) -> abc.Iterator[exceptions.Problem]:
         if self.peers:
@@ -302,7 +302,7 @@
     def _check_own_entry(self) -> abc.Iterator[exceptions.Problem]:
         own = self.peers_by_id.get(self.instance_id)
         if own is None:
-            yield from models.missing(
+            yield from models.find_unknown(
                 self.instance_id, self.peers_by_id.keys(), 'instance_id'
             )
             return
--- a/dandeliongw/shutdown.py
+++ b/dandeliongw/shutdown.py
@@ -93,7 +93,7 @@
             # Without this limit, a caller that never reads its answer would
             # keep the process running forever.
             self._cut_off = self._gate.in_flight
-            out = self._requests.cut_off(now)
+            out = self._requests.abort_all(now)
         if self._gate.in_flight and past_ttl_s < limit_s + CUT_OFF_S:
             return out
         self._has_left = True
--- a/specs/register_reads.py
+++ b/specs/register_reads.py
@@ -135,7 +135,7 @@
                 )
 
     def asks(self, state: State) -> abc.Iterator[tuple[str, State]]:
-        """Yield the steps of ConfirmationRequester.tick and Checker.ask.
+        """Yield the steps of ConfirmationRequester.tick, Checker.add_request.
 
         The latest ask replaces one that is in transit or waiting.
         """
--- a/tests/entry_fake.py
+++ b/tests/entry_fake.py
@@ -66,7 +66,7 @@
     def is_fresh(self, now):
         return self.fresh
 
-    def standing(self, now):
+    def confirmation_status(self, now):
         return confirmation_status.ConfirmationStatus(
             revision=1,
             order=1,
@@ -113,14 +113,14 @@
             directory=self.directory, max_requests=20, max_streams=10
         )
         self.quarantine = quarantine.Quarantine(instance_id='gw-0')
-        self.holds = quarantine_check.QuarantineCheck(
+        self.quarantine_check = quarantine_check.QuarantineCheck(
             quarantine=self.quarantine,
             fingerprints=fingerprints.Fingerprints(secret=None),
         )
         self.requests = requests.Requests(
             directory=self.directory,
             gate=self.gate,
-            holds=self.holds,
+            quarantine_check=self.quarantine_check,
             budgets=make_budgets(1),
             **options,
         )
--- a/tests/operators_fake.py
+++ b/tests/operators_fake.py
@@ -214,7 +214,7 @@
 
 
 @contextlib.contextmanager
-def border() -> abc.Iterator[Api]:
+def serving_api() -> abc.Iterator[Api]:
     """Serve the operators' API in front of a new fake control."""
     fake = FakeControl()
     application = operators.make_application(
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -32,7 +32,7 @@
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
     cut: set[Direction] = dataclasses.field(default_factory=set)
     #: Number of dropped bytes; a test waits for it with :meth:`Relay.until`.
-    swallowed: int = 0
+    dropped: int = 0
     #: Number of forwarded bytes.
     passed: int = 0
 
@@ -55,19 +55,19 @@
         self._changed = asyncio.Condition()
         self._tasks: set[asyncio.Task] = set()
 
-    def cut_all(self, *ways: Direction) -> None:
+    def cut_all(self, *directions: Direction) -> None:
         """Cut existing and new connections in one or both directions."""
-        self.cut.update(ways)
-        self.blackhole(*ways)
+        self.cut.update(directions)
+        self.blackhole(*directions)
 
     def heal(self) -> None:
         """Let new connections work; existing ones stay cut."""
         self.cut.clear()
 
-    def blackhole(self, *ways: Direction) -> None:
+    def blackhole(self, *directions: Direction) -> None:
         """Drop all bytes of the existing connections; new ones work."""
         for connection in self.connections:
-            connection.cut.update(ways or Direction)
+            connection.cut.update(directions or Direction)
 
     async def until(self, condition: abc.Callable[[], bool]) -> None:
         """Wait until the condition is true; it is checked after each read.
@@ -103,21 +103,21 @@
     async def _carry(
         self,
         connection: Connection,
-        way: Direction,
+        direction: Direction,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         while data := await reader.read(65536):
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            if way in connection.cut:
-                connection.swallowed += len(data)
+            if direction in connection.cut:
+                connection.dropped += len(data)
             else:
                 connection.passed += len(data)
                 writer.write(data)
             async with self._changed:
                 self._changed.notify_all()
-        if way not in connection.cut:
+        if direction not in connection.cut:
             # A cut connection does not forward its end either.
             writer.close()
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 from dandeliongw.entry import admission
 from dandeliongw import verdict
 from tests import entry_fake
-from tests import test_passed_on
+from tests import test_pass_through
 
 REASON = verdict.RefusalReason
 NOT_RUN = verdict.Verdict.NOT_RUN
@@ -90,7 +90,7 @@
 
     def setUp(self):
         self.directory = entry_fake.Directory()
-        self.directory.document = test_passed_on.described()
+        self.directory.document = test_pass_through.described()
         self.directory.confirmed = False
         self.gate = admission.Admission(
             directory=self.directory, max_requests=5, max_streams=3
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -36,7 +36,7 @@
         self._net = net
         self._instance_id = instance_id
 
-    def ask(self, make_event):
+    def post_and_wait(self, make_event):
         event = make_event(now=self._net.now, ticket='ask')
         done = self._net.post(self._instance_id, event)
         (result,) = [
@@ -73,7 +73,7 @@
     """Serve the API in front of a real reducer; yields a client."""
     net = network.Network()
     made = backends.Backends(
-        desk=control_facades.BackendsFacade(
+        presence_facade=control_facades.BackendsFacade(
             reducer=net.reducers_by_id['gw-1'],
             runtime=VirtualRuntime(net=net, instance_id='gw-1'),
         ),
@@ -81,7 +81,7 @@
         **TERMS,
     )
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
-    with http_ports.bound(listen, 'control', 1.0) as port:
+    with http_ports.open_port(listen, 'control', 1.0) as port:
         # Seconds between the server's checks whether it has been stopped.
         port._server.expiration_interval = 0.01
         port.serve(backends.make_application(made))
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -68,7 +68,7 @@
         environment = {'PATH': PATH, 'SHIV_ROOT': str(self.folder / 'u')}
         with (
             mock.patch.dict(os.environ, environment),
-            local.running(
+            local.run_system(
                 folder=self.folder,
                 instances=1,
                 command=(str(self.file),),
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -35,7 +35,7 @@
 )
 
 
-class ScriptedGate:
+class ScriptedFacade:
     """Answers every request immediately, with a replay or a refusal.
 
     :param refusal: the answer; ``None`` for a recorded outcome.
@@ -53,13 +53,13 @@
         self.call_relays = []
         self.held = threading.Semaphore(0)
 
-    def open_relay(self, *, call, work, request_id):
-        self.opened.append((call, work))
+    def open_relay(self, *, call, payload, request_id):
+        self.opened.append((call, payload))
         self.open_ids.add(request_id)
         call_relay = relay.Relay(
             request_id=request_id,
             call=call,
-            work=work,
+            payload=payload,
             backends=None,
             post=lambda make_event: self._post(call_relay, make_event),
         )
@@ -79,12 +79,12 @@
         if self.refusal is not None:
             self.refuse(call_relay)
             return
-        call_relay.give(
+        call_relay.put_directive(
             effects.Replay(request_id=event.request_id, outcome=RECORDED)
         )
 
     def refuse(self, call_relay):
-        call_relay.give(
+        call_relay.put_directive(
             effects.Refuse(
                 request_id=call_relay.request_id, refusal=self.refusal
             )
@@ -98,10 +98,10 @@
 
 
 class ServedApi:
-    """The API on a port, with its gate and its metrics."""
+    """The API on a port, with its facade and its metrics."""
 
-    def __init__(self, gate, port, counters):
-        self.gate = gate
+    def __init__(self, facade, port, counters):
+        self.facade = facade
         self.metrics = counters
         self._port = port
 
@@ -119,18 +119,18 @@
 
 @contextlib.contextmanager
 def serving(refusal=None):
-    gate = ScriptedGate(refusal)
+    facade = ScriptedFacade(refusal)
     counters = metrics.Metrics()
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
-    with http_ports.bound(listen, 'callers', 1.0) as port:
+    with http_ports.open_port(listen, 'callers', 1.0) as port:
         port.serve(
             callers.make_application(
                 callers.Callers(
-                    gate=gate, metrics=counters, max_body_bytes=MAX_BODY
+                    facade=facade, metrics=counters, max_body_bytes=MAX_BODY
                 )
             )
         )
-        yield ServedApi(gate, port, counters)
+        yield ServedApi(facade, port, counters)
 
 
 class Answer:
@@ -207,7 +207,7 @@
         self.assertEqual(answer.status, 400)
         self.assertEqual(answer.error['verdict'], 'not_run')
         self.assertIn(expected, answer.error['message'])
-        self.assertEqual(served.gate.opened, [])
+        self.assertEqual(served.facade.opened, [])
         counted = served.metrics.value('refusals_total', reason='bad_request')
         self.assertEqual(counted, 1)
 
@@ -255,7 +255,7 @@
             answer = served.send(raw(BOOKING, body, header))
         self.assertEqual(answer.status, status)
         self.assertTrue(answer.closes)
-        self.assertEqual(served.gate.opened, [])
+        self.assertEqual(served.facade.opened, [])
 
     def test_truncated_body_is_not_forwarded(self):
         """Otherwise a service would get half a booking as a complete one.
@@ -268,7 +268,7 @@
             caller.shutdown(socket.SHUT_WR)
             answer = read_answer(caller)
         self.assertEqual(answer.status, 400)
-        self.assertEqual(served.gate.opened, [])
+        self.assertEqual(served.facade.opened, [])
 
     @params('POST /v1/nothing', 'GET /v1/entries', 'DELETE /v1/completions')
     def test_unread_body_is_not_parsed_as_the_next_call(self, line):
@@ -285,7 +285,7 @@
             caller.sendall(raw(BOOKING))
             with contextlib.suppress(ConnectionError):
                 self.assertEqual(caller.recv(1), b'')
-        self.assertEqual(served.gate.opened, [])
+        self.assertEqual(served.facade.opened, [])
 
     @params(
         'GET /services/portal/lookup/../bookings',
@@ -304,7 +304,7 @@
         with serving() as served:
             answer = served.send(raw(line))
         self.assertEqual(answer.status, 400)
-        self.assertEqual(served.gate.opened, [])
+        self.assertEqual(served.facade.opened, [])
 
     @params(
         b'nonsense\r\n\r\n',
@@ -361,8 +361,8 @@
         with serving() as served:
             answer = served.send(raw(f'GET /services/portal{sent}'))
         self.assertEqual((answer.status, answer.body), (201, b'booked'))
-        ((call, work),) = served.gate.opened
-        self.assertEqual(work.path, sent)
+        ((call, payload),) = served.facade.opened
+        self.assertEqual(payload.path, sent)
         self.assertNotIn('?', call.path)
 
     def test_several_calls_on_one_connection(self):
@@ -370,7 +370,7 @@
             for number in range(3):
                 caller.sendall(raw(BOOKING, b'%d' % number))
                 self.assertEqual(read_answer(caller).status, 201)
-        bodies = [work.body for _, work in served.gate.opened]
+        bodies = [payload.body for _, payload in served.facade.opened]
         self.assertEqual(bodies, [b'0', b'1', b'2'])
 
     def test_chunked_body(self):
@@ -380,13 +380,13 @@
                 raw(BOOKING, body, 'Transfer-Encoding: chunked')
             )
         self.assertEqual(answer.status, 201)
-        self.assertEqual(served.gate.opened[0][1].body, b'abcde')
+        self.assertEqual(served.facade.opened[0][1].body, b'abcde')
 
     def test_digest_covers_the_body(self):
         with serving() as served:
             for body in (b'a', b'b', b'b'):
                 served.send(raw(BOOKING, body))
-        digests = [call.digest for call, _ in served.gate.opened]
+        digests = [call.digest for call, _ in served.facade.opened]
         self.assertNotEqual(digests[0], digests[1])
         self.assertEqual(digests[1], digests[2])
 
@@ -402,8 +402,8 @@
             answer = served.send(call)
             self.assertEqual(answer.status, 503)
             self.assertEqual(answer.headers['retry-after'], '1')
-            self.assertTrue(served.gate.closed.acquire(timeout=TIMEOUT_S))
-            self.assertEqual(served.gate.open_ids, set())
+            self.assertTrue(served.facade.closed.acquire(timeout=TIMEOUT_S))
+            self.assertEqual(served.facade.open_ids, set())
 
     def test_answer_that_was_not_started_is_closed(self):
         """Without this, an answer that nobody reads would keep its slot.
@@ -411,7 +411,7 @@
         The caller disconnects between the first token and the headers. A
         generator that was never started runs no ``finally``.
         """
-        gate = ScriptedGate()
+        facade = ScriptedFacade()
         call = events.Call(
             service='m',
             method='POST',
@@ -422,17 +422,17 @@
             digest=b'',
         )
         answer = answers.Answer(
-            gate=gate,
+            facade=facade,
             metrics=metrics.Metrics(),
             request_id='r',
-            call_relay=gate.open_relay(
-                call=call, work=relay.RequestPayload(), request_id='r'
+            call_relay=facade.open_relay(
+                call=call, payload=relay.RequestPayload(), request_id='r'
             ),
         )
         answer.first()
         answers.EventStream(answer).close()
-        self.assertEqual(gate.open_ids, set())
-        self.assertTrue(gate.closed.acquire(blocking=False))
+        self.assertEqual(facade.open_ids, set())
+        self.assertTrue(facade.closed.acquire(blocking=False))
 
     def test_replayed_stream_has_text_and_done_event(self):
         with serving() as served:
@@ -447,7 +447,7 @@
         perhaps while its caller is sending.
         """
         with serving() as served:
-            served.gate.is_shutting_down = True
+            served.facade.is_shutting_down = True
             for call in (raw(BOOKING), completion(stream=True)):
                 answer = served.send(call)
                 self.assertEqual(answer.status // 100, 2)
@@ -460,15 +460,15 @@
         no thread left, it would wait in the port's queue.
         """
         with serving(REFUSED) as served, contextlib.ExitStack() as stack:
-            served.gate.calls_to_hold = 3
+            served.facade.calls_to_hold = 3
             for _ in range(3):
                 caller = stack.enter_context(served.connect())
                 caller.sendall(raw(BOOKING))
-                self.assertTrue(served.gate.held.acquire(timeout=TIMEOUT_S))
+                self.assertTrue(served.facade.held.acquire(timeout=TIMEOUT_S))
             answer = served.send(raw(BOOKING))
             self.assertEqual(answer.error['reason'], 'instance_full')
-            for call_relay in served.gate.call_relays:
-                served.gate.refuse(call_relay)
+            for call_relay in served.facade.call_relays:
+                served.facade.refuse(call_relay)
 
 
 class CallersPageTest(unittest.TestCase):
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -120,9 +120,9 @@
         self.assertEqual('gw-1', served[0].instance_id)
 
     def test_apply_then_show(self):
-        with operators_fake.border() as border:
-            rights = ('--url', border.url, '--token-file', self.token)
-            outcome = self.apply(border.url, priorities=[PRIORITY])
+        with operators_fake.serving_api() as api:
+            rights = ('--url', api.url, '--token-file', self.token)
+            outcome = self.apply(api.url, priorities=[PRIORITY])
             self.assertEqual(1, json.loads(outcome.output)['revision'])
             shown = json.loads(Outcome('show', *rights).output)
             for name in ('status', 'backends', 'quarantine'):
@@ -131,19 +131,19 @@
         self.assertEqual('ana', shown['author'])
 
     def test_lift(self):
-        with operators_fake.border() as border:
-            rights = ('--url', border.url, '--token-file', self.token)
+        with operators_fake.serving_api() as api:
+            rights = ('--url', api.url, '--token-file', self.token)
             reason = ('--reason', 'mended')
             held = operators_fake.QUARANTINED_CALL
             self.assertEqual(0, Outcome('lift', held, *rights, *reason).code)
             outcome = Outcome('lift', 'bogus', *rights, *reason)
-        self.assertEqual([('ana', 'mended')], border.control.lifts)
+        self.assertEqual([('ana', 'mended')], api.control.lifts)
         self.assertEqual(exceptions.ExitCode.BAD_INPUT, outcome.code)
 
     def test_apply_after_another_change(self):
-        with operators_fake.border() as border:
-            self.apply(border.url)
-            outcome = self.apply(border.url, priorities=[PRIORITY])
+        with operators_fake.serving_api() as api:
+            self.apply(api.url)
+            outcome = self.apply(api.url, priorities=[PRIORITY])
         self.assertEqual(exceptions.ExitCode.CONFLICT, outcome.code)
         self.assertIn('revision 0', outcome.errors)
         self.assertIn("'ana' has since made revision 1", outcome.errors)
@@ -154,19 +154,19 @@
         Sequence: the change is accepted, its answer is lost, the command
         fails. Cause: nothing tells how to learn what became of it.
         """
-        with operators_fake.border() as border:
-            border.control.answers_lost = True
-            outcome = self.apply(border.url)
+        with operators_fake.serving_api() as api:
+            api.control.answers_lost = True
+            outcome = self.apply(api.url)
             self.assertEqual(exceptions.ExitCode.UNAVAILABLE, outcome.code)
             words = outcome.errors.split()
             change_id = words[words.index('--change-id') + 1]
-            outcome = self.apply(border.url, '--change-id', change_id)
+            outcome = self.apply(api.url, '--change-id', change_id)
         self.assertEqual(0, outcome.code)
         self.assertTrue(json.loads(outcome.output)['repeated'])
 
     def test_an_instance_that_does_not_answer(self):
-        with operators_fake.border() as border:
-            gone = border.url
+        with operators_fake.serving_api() as api:
+            gone = api.url
         outcome = Outcome('entries', '--url', gone)
         self.assertEqual(exceptions.ExitCode.UNAVAILABLE, outcome.code)
         self.assertIn(gone, outcome.errors)
@@ -189,9 +189,7 @@
 
     def test_a_wrong_token(self):
         token = self.write('token', 'token-of-nobody')
-        with operators_fake.border() as border:
-            outcome = Outcome(
-                'show', '--url', border.url, '--token-file', token
-            )
+        with operators_fake.serving_api() as api:
+            outcome = Outcome('show', '--url', api.url, '--token-file', token)
         self.assertEqual(exceptions.ExitCode.UNAUTHORIZED, outcome.code)
         self.assertNotIn('token-of-nobody', outcome.errors)
--- a/tests/test_confirmation_status.py
+++ b/tests/test_confirmation_status.py
@@ -49,7 +49,7 @@
 
     def test_a_lapse_is_reported_once(self):
         (lapse,) = found(self.cluster, confirmation_status.ConfirmationLapsed)
-        self.assertFalse(lapse.standing.is_confirmed)
+        self.assertFalse(lapse.status.is_confirmed)
         self.assertGreater(lapse.asks, 2)
         self.assertEqual(0, lapse.late_answers)
 
@@ -59,5 +59,5 @@
         (regained,) = found(
             self.cluster, confirmation_status.ConfirmationRegained
         )
-        self.assertTrue(regained.standing.is_confirmed)
+        self.assertTrue(regained.status.is_confirmed)
         self.assertGreater(regained.lapsed_s, 0.4 * TTL_S)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -18,7 +18,7 @@
             socket.create_server(('127.0.0.1', 0))
         )
         self.port = self.listener.getsockname()[1]
-        self.pool = connection_pool.Pool()
+        self.pool = connection_pool.ConnectionPool()
 
     def connect(self):
         """Return both ends of a new connection."""
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -115,7 +115,7 @@
 class ConsoleTest(unittest.TestCase):
     def setUp(self):
         logger.remove()
-        self.api = self.enterContext(operators_fake.border())
+        self.api = self.enterContext(operators_fake.serving_api())
         self.browser = self.signed_in_browser('token-of-ana')
 
     def signed_in_browser(self, token: str) -> Browser:
@@ -360,7 +360,7 @@
     def test_form_is_valid_after_a_restart_of_the_instance(self):
         self.put(self.browser, 'priorities', **URGENT)
         self.browser.get('draft')
-        restarted = self.enterContext(operators_fake.border())
+        restarted = self.enterContext(operators_fake.serving_api())
         self.browser._api = restarted
         self.browser.send('apply')
         current = restarted.control.current()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -156,13 +156,13 @@
     folder = tempfile.TemporaryDirectory(prefix='dandeliongw-docs-')
     Local.folder = pathlib.Path(Local.cleanup.enter_context(folder))
     Local.system = Local.cleanup.enter_context(
-        local.running(
+        local.run_system(
             folder=Local.folder,
             timeouts={'entries_ttl_s': 0.2},
         )
     )
     with contextlib.redirect_stdout(io.StringIO()):
-        Local.demo_is_good = demo.show(Local.system)
+        Local.demo_is_good = demo.run_demo(Local.system)
     for name in ('examples', 'docs', 'scripts'):
         (Local.folder / name).symlink_to(ROOT / name)
     (Local.folder / 'token').write_text(local.OPERATOR_TOKEN)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -118,7 +118,7 @@
     def setUp(self):
         folder = self.enterContext(tempfile.TemporaryDirectory())
         self.system = self.enterContext(
-            local.running(folder=pathlib.Path(folder))
+            local.run_system(folder=pathlib.Path(folder))
         )
         revision = self.system.apply('gw-1', local.example_document(), 'first')
         self.system.wait_serving(revision)
@@ -146,7 +146,7 @@
             ('GET', '/services/nothing/at-all', None),
         ]
         answers = [
-            self.system.caller(instance_id, *call)
+            self.system.call_as_account(instance_id, *call)
             for instance_id in self.system.instances_by_id
             for call in calls
         ]
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -246,8 +246,8 @@
     )
     def test_a_spoilt_heartbeat_is_refused_whole(self, change):
         ((name, value),) = change.items()
-        beat = {**on_platform.HEARTBEAT, 'sequence': 9}
-        body = json.dumps({**beat, name: value}).encode()
+        heartbeat = {**on_platform.HEARTBEAT, 'sequence': 9}
+        body = json.dumps({**heartbeat, name: value}).encode()
         part = presence.Presence(instance_id='gw-1')
         part.handle(
             parts.Received(
@@ -279,21 +279,21 @@
         directory = types.SimpleNamespace(
             data_centres=('hall-a',), document=described
         )
-        desk = control_facades.BackendsFacade(
+        presence_facade = control_facades.BackendsFacade(
             reducer=types.SimpleNamespace(directory=directory), runtime=None
         )
-        beat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
+        heartbeat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
         said = control.announcement(
-            'i-1', models.parse(wire.Heartbeat, json.dumps(beat).encode())
+            'i-1', models.parse(wire.Heartbeat, json.dumps(heartbeat).encode())
         )
         with self.assertRaises(exceptions.InvalidInput) as caught:
-            desk.announce(said)
+            presence_facade.announce(said)
         self.assertIn('decode, prefill', str(caught.exception.problems[0]))
 
 
-def presented(beat: dict[str, typing.Any]) -> presence.Presented:
+def presented(heartbeat: dict[str, typing.Any]) -> presence.Presented:
     said = control.announcement(
-        'i-1', models.parse(wire.Heartbeat, json.dumps(beat).encode())
+        'i-1', models.parse(wire.Heartbeat, json.dumps(heartbeat).encode())
     )
     fields = {**said.model_dump(), 'role': presence.BackendRole(said.role)}
     return presence.Presented(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -86,7 +86,7 @@
         pass
 
 
-class Gate:
+class ScriptedFacade:
     """Scripted reducer and backend servers.
 
     :param script: the directives for each call: the first on its arrival,
@@ -102,13 +102,13 @@
         self._engine = Engine(last)
         self._reply = reply
 
-    def open_pass_through(self, *, call, work, facts, caller):
-        self.opened.append((call, work))
+    def open_pass_through(self, *, call, payload, metadata, caller):
+        self.opened.append((call, payload))
         script = iter(self.script)
         call_relay = relay.Relay(
             request_id='r',
             call=call,
-            work=work,
+            payload=payload,
             backends=self,
             post=lambda make: self._post(call_relay, script, make(now=0.0)),
         )
@@ -116,7 +116,7 @@
 
     def _post(self, call_relay, script, event):
         if isinstance(event, events.RequestArrived | events.StepEnded):
-            call_relay.give(next(script))
+            call_relay.put_directive(next(script))
         if isinstance(event, events.RequestClosed):
             self.closed.release()
 
@@ -163,14 +163,14 @@
 
 
 @contextlib.contextmanager
-def serving(gate, counts=None):
+def serving(facade, counts=None):
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
     application = gateway.Gateway(
-        gate=gate,
+        facade=facade,
         header_parser=HeaderParser(),
         metrics=counts or metrics.Metrics(),
     )
-    with http_ports.bound(listen, 'callers', 1.0) as port:
+    with http_ports.open_port(listen, 'callers', 1.0) as port:
         port.serve(application)
         yield port.number
 
@@ -185,15 +185,15 @@
     return test_callers.raw(line, body, 'X-Name: n1', *headers)
 
 
-def send(gate, sent):
-    with serving(gate) as port, connect(port) as caller:
+def send(facade, sent):
+    with serving(facade) as port, connect(port) as caller:
         caller.sendall(sent)
         return test_callers.read_answer(caller)
 
 
 class ForwardingTest(unittest.TestCase):
     def test_call_is_forwarded_unchanged(self):
-        gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
+        facade = ScriptedFacade(refuse(REASON.NO_BACKEND, NOT_RUN))
         sent = test_callers.raw(
             'POST /a//b/?x=1&y=%2f',
             b'body',
@@ -204,15 +204,15 @@
             'X-Hop: h',
             'Keep-Alive: timeout=3',
         )
-        send(gate, sent)
-        ((call, work),) = gate.opened
+        send(facade, sent)
+        ((call, payload),) = facade.opened
         self.assertEqual((call.host, call.path), ('here', '/a//b/'))
         self.assertEqual(
-            (work.method, work.path, work.body),
+            (payload.method, payload.path, payload.body),
             ('POST', '/a//b/?x=1&y=%2f', b'body'),
         )
         self.assertEqual(
-            dict(work.headers),
+            dict(payload.headers),
             {'Host': 'here', 'X-Name': 'n1', 'X-Other': 'o'},
         )
 
@@ -233,9 +233,9 @@
         refused = refuse(REASON.NO_BACKEND, NOT_RUN)
         made = []
         for each in sent:
-            gate = Gate(refused)
-            send(gate, each)
-            ((call, _),) = gate.opened
+            facade = ScriptedFacade(refused)
+            send(facade, each)
+            ((call, _),) = facade.opened
             self.assertEqual('127.0.0.1', call.address)
             made.append(fingerprints.Fingerprints(secret=None).of(call))
         self.assertEqual(is_same, made[0] == made[1])
@@ -244,16 +244,16 @@
     def test_fingerprint_covers_credentials(self, other, is_same):
         made = []
         for value in ('Basic YTpi', other):
-            gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
+            facade = ScriptedFacade(refuse(REASON.NO_BACKEND, NOT_RUN))
             header = (f'Authorization: {value}',) if value else ()
             line = test_callers.raw('GET /a', b'', 'X-Name: n1', *header)
-            send(gate, line)
-            ((call, _),) = gate.opened
+            send(facade, line)
+            ((call, _),) = facade.opened
             made.append(fingerprints.Fingerprints(secret=None).of(call))
         self.assertEqual(is_same, made[0] == made[1])
 
     def test_stream_is_forwarded_unchanged(self):
-        answer = send(Gate(DECODE, COMPLETE), raw())
+        answer = send(ScriptedFacade(DECODE, COMPLETE), raw())
         self.assertEqual((answer.status, answer.body), (200, b''.join(EVENTS)))
         self.assertEqual(answer.headers['x-seal'], 's')
         self.assertNotIn('connection', answer.headers)
@@ -261,12 +261,12 @@
     def test_answers_are_counted(self):
         counts = metrics.Metrics()
         reply = engine.Reply(status=200, content_type='', body=b'')
-        called = Gate(CALL, COMPLETE, reply=reply)
-        for gate in (Gate(DECODE, COMPLETE), called):
-            with serving(gate, counts) as port, connect(port) as caller:
+        called = ScriptedFacade(CALL, COMPLETE, reply=reply)
+        for facade in (ScriptedFacade(DECODE, COMPLETE), called):
+            with serving(facade, counts) as port, connect(port) as caller:
                 caller.sendall(raw())
                 test_callers.read_answer(caller)
-                gate.closed.acquire(timeout=test_callers.TIMEOUT_S)
+                facade.closed.acquire(timeout=test_callers.TIMEOUT_S)
         self.assertEqual(2, counts.value('answers_total', verdict='ran'))
 
     def test_broken_stream_has_no_last_chunk(self):
@@ -276,17 +276,17 @@
         retried; the body must end without its last chunk.
         """
         broken = engine.EngineError('gone', known=MAY_HAVE_RUN)
-        gate = Gate(
+        facade = ScriptedFacade(
             DECODE, refuse(REASON.BACKEND_FAILED, MAY_HAVE_RUN), last=broken
         )
-        with serving(gate) as port, connect(port) as caller:
+        with serving(facade) as port, connect(port) as caller:
             caller.sendall(raw())
             got = b''
             while more := caller.recv(65536):
                 got += more
         self.assertIn(EVENTS[1], got)
         self.assertNotIn(b'\r\n0\r\n', got)
-        self.assertTrue(gate.closed.acquire(timeout=test_callers.TIMEOUT_S))
+        self.assertTrue(facade.closed.acquire(timeout=test_callers.TIMEOUT_S))
 
     def test_error_answer_of_backend_server_is_forwarded(self):
         """The caller gets the backend server's answer, not one of ours."""
@@ -297,7 +297,7 @@
             headers=(('X-Seal', 's'), ('Content-Length', '99')),
         )
         answer = send(
-            Gate(
+            ScriptedFacade(
                 CALL, refuse(REASON.BACKEND_FAILED, MAY_HAVE_RUN), reply=reply
             ),
             raw(),
@@ -308,7 +308,10 @@
     def test_call_that_has_not_run_gets_503_after_a_failure(self):
         reply = engine.Reply(status=500, content_type='', body=b'')
         answer = send(
-            Gate(CALL, refuse(REASON.NO_BACKEND, NOT_RUN), reply=reply), raw()
+            ScriptedFacade(
+                CALL, refuse(REASON.NO_BACKEND, NOT_RUN), reply=reply
+            ),
+            raw(),
         )
         self.assertEqual(answer.status, 503)
 
@@ -327,15 +330,15 @@
         self, reason, known, status
     ):
         """Otherwise callers would resend a booking that was made already."""
-        answer = send(Gate(refuse(reason, known, 0.25)), raw())
+        answer = send(ScriptedFacade(refuse(reason, known, 0.25)), raw())
         self.assertEqual(answer.status, status)
         wait = answer.headers.get('retry-after')
         self.assertEqual(wait, '0.25' if status == 503 else None)
 
     def test_connections_are_closed_while_shutting_down(self):
-        gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
-        gate.is_shutting_down = True
-        self.assertTrue(send(gate, raw()).closes)
+        facade = ScriptedFacade(refuse(REASON.NO_BACKEND, NOT_RUN))
+        facade.is_shutting_down = True
+        self.assertTrue(send(facade, raw()).closes)
 
 
 class BadInputTest(unittest.TestCase):
@@ -351,23 +354,23 @@
     )
     def test_ambiguous_call_ends_its_connection(self, sent):
         """Otherwise the rest of the call could be run as another call."""
-        gate = Gate()
-        with serving(gate) as port, connect(port) as caller:
+        facade = ScriptedFacade()
+        with serving(facade) as port, connect(port) as caller:
             caller.sendall(sent + raw())
             answer = test_callers.read_answer(caller)
             self.assertIn(answer.status, (400, 413))
             with contextlib.suppress(ConnectionResetError):
                 self.assertEqual(caller.recv(1), b'')
-        self.assertEqual(gate.opened, [])
+        self.assertEqual(facade.opened, [])
 
     def test_call_after_a_chunked_body_is_read_correctly(self):
-        gate = Gate(refuse(REASON.NO_BACKEND, NOT_RUN))
+        facade = ScriptedFacade(refuse(REASON.NO_BACKEND, NOT_RUN))
         chunked = raw(
             'POST /a', b'3\r\nabc\r\n0\r\n\r\n', 'Transfer-Encoding: chunked'
         )
-        with serving(gate) as port, connect(port) as caller:
+        with serving(facade) as port, connect(port) as caller:
             for sent in (chunked, raw('GET /second')):
                 caller.sendall(sent)
                 test_callers.read_answer(caller)
-        bodies = [(work.path, work.body) for _, work in gate.opened]
+        bodies = [(payload.path, payload.body) for _, payload in facade.opened]
         self.assertEqual(bodies, [('/a', b'abc'), ('/second', b'')])
--- a/tests/test_http_ports.py
+++ b/tests/test_http_ports.py
@@ -32,7 +32,9 @@
 class FullPortTest(unittest.TestCase):
     def setUp(self):
         listen = settings.Listen(host='127.0.0.1', port=0, threads=1, queue=1)
-        self.port = self.enterContext(http_ports.bound(listen, 'callers', 1.0))
+        self.port = self.enterContext(
+            http_ports.open_port(listen, 'callers', 1.0)
+        )
         self.application = HeldApplication()
         self.addCleanup(self.application.may_answer.set)
         self.port.serve(self.application)
@@ -73,7 +75,9 @@
     def setUp(self):
         self.limits = hosts.BorderLimits()
         listen = settings.Listen(host='127.0.0.1', port=0, threads=2, queue=2)
-        self.port = self.enterContext(http_ports.bound(listen, 'callers', 1.0))
+        self.port = self.enterContext(
+            http_ports.open_port(listen, 'callers', 1.0)
+        )
         application = HeldApplication()
         application.may_answer.set()
         # Otherwise cheroot's own timeout could end the connection, not the
@@ -134,7 +138,9 @@
             threads=self.MAX_THREADS,
             queue=self.MAX_THREADS,
         )
-        self.port = self.enterContext(http_ports.bound(listen, 'callers', 1.0))
+        self.port = self.enterContext(
+            http_ports.open_port(listen, 'callers', 1.0)
+        )
         self.application = HeldApplication()
         self.addCleanup(self.application.may_answer.set)
 
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -26,7 +26,7 @@
     def run_ending(self, code):
         """Return the error of a system whose instances end by themselves."""
         command = (sys.executable, '-c', ENDING.format(code))
-        running = local.running(
+        running = local.run_system(
             folder=self.folder, instances=1, command=command
         )
         with self.assertRaises(local.InstanceExited) as raised:
@@ -55,7 +55,7 @@
         Cause: one process is looked at after another.
         """
         system = local.LocalSystem(folder=self.folder, instances=3)
-        self.addCleanup(system.discard)
+        self.addCleanup(system.kill_and_delete)
         system.start_instance('gw-1')
         system.instances_by_id['gw-3'].process = subprocess.Popen(
             [sys.executable, '-c', 'raise SystemExit(4)']
@@ -81,7 +81,7 @@
         ports = [[lost, *local.free_ports(2)], local.free_ports(3)]
         with mock.patch.object(local, 'free_ports', side_effect=ports):
             system = self.enterContext(
-                local.running(
+                local.run_system(
                     folder=self.folder, instances=1, timeouts=TIMEOUTS
                 )
             )
@@ -90,7 +90,9 @@
 
     def test_an_instance_killed_on_purpose_is_not_waited_for(self):
         system = self.enterContext(
-            local.running(folder=self.folder, instances=1, timeouts=TIMEOUTS)
+            local.run_system(
+                folder=self.folder, instances=1, timeouts=TIMEOUTS
+            )
         )
         system.kill(system.instances_by_id['gw-1'].process)
         system.wait_serving()
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -7,7 +7,7 @@
 
 from dandeliongw import _log_writer
 
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 class Stuck(io.StringIO):
@@ -18,7 +18,7 @@
         self.freed = threading.Event()
 
     def write(self, text):
-        self.freed.wait(PATIENCE_S)
+        self.freed.wait(TIMEOUT_S)
         return super().write(text)
 
 
@@ -54,7 +54,7 @@
             counts, {'flood': 1000 - _log_writer.MAX_LINES_PER_SECOND}
         )
         self.assertEqual(
-            writer.left_out, 1000 - _log_writer.MAX_LINES_PER_SECOND
+            writer.dropped, 1000 - _log_writer.MAX_LINES_PER_SECOND
         )
 
     def test_a_stream_that_takes_nothing_holds_nobody_up(self):
@@ -64,12 +64,12 @@
         writer.start()
         for number in range(2 * _log_writer.MAX_QUEUED_LINES):
             writer.put(f'kind {number % 50}', 'line')
-        self.assertGreater(writer.left_out, 0)
+        self.assertGreater(writer.dropped, 0)
         stream.freed.set()
         writer.stop()
         written = len(stream.getvalue().splitlines())
         self.assertEqual(
-            written + writer.left_out, 2 * _log_writer.MAX_QUEUED_LINES
+            written + writer.dropped, 2 * _log_writer.MAX_QUEUED_LINES
         )
 
     def test_a_stream_that_is_closed_ends_nothing(self):
@@ -79,4 +79,4 @@
         writer.start()
         writer.put('kind', 'line')
         writer.stop()
-        self.assertEqual(writer.left_out, 1)
+        self.assertEqual(writer.dropped, 1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -735,9 +735,9 @@
             await one.until(lambda: one.acks() == 1)
             relays[towards].blackhole()
             silent = relays[towards].connections[-1]
-            swallowed = silent.swallowed
+            dropped = silent.dropped
             one.probe()
-            await relays[towards].until(lambda: silent.swallowed > swallowed)
+            await relays[towards].until(lambda: silent.dropped > dropped)
             self.assertEqual(1, one.acks())
             one.probe()  # The retry of the same probe.
             await one.until(lambda: one.acks() == 2)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -61,7 +61,7 @@
 
     def test_a_watched_count_is_shown_as_it_is_now(self):
         counts = collections.Counter()
-        self.metrics.peer_drops.watch(lambda: counts)
+        self.metrics.peer_drops.set_callback(lambda: counts)
         counts[envelopes.DropReason.QUEUE_FULL] += 2
         value = self.metrics.value
         self.assertEqual(2, value('peer_drops_total', reason='queue_full'))
@@ -86,7 +86,9 @@
 
     def test_parts_of_the_way_are_told_apart(self):
         took = effects.PhaseDuration(
-            part=effects.Part.QUEUE, service='dieline-llm', seconds=0.3
+            phase=effects.RequestPhase.QUEUE,
+            service='dieline-llm',
+            seconds=0.3,
         )
         self.metrics.observe_phase(took)
         value = self.metrics.value
@@ -96,7 +98,7 @@
 
     def test_a_watched_gauge_forgets_what_is_not_there(self):
         epochs = {'a/x/0': 3}
-        self.metrics.lease_epoch.watch(lambda: epochs)
+        self.metrics.lease_epoch.set_callback(lambda: epochs)
         self.assertEqual(3, self.metrics.value('lease_epoch', cell='a/x/0'))
         del epochs['a/x/0']
         self.assertNotIn('a/x/0', self.metrics.render().decode())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -30,7 +30,7 @@
             stream=self.log,
         )
         self.addCleanup(logger.remove)
-        self.api = self.enterContext(operators_fake.border())
+        self.api = self.enterContext(operators_fake.serving_api())
 
     def put(self, body: bytes, headers=JSON_ANA):
         return self.api.request(
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -22,7 +22,7 @@
     folder = tempfile.mkdtemp(prefix='dandeliongw-')
     test.addCleanup(shutil.rmtree, folder)
     system = test.enterContext(
-        local.running(
+        local.run_system(
             folder=pathlib.Path(folder), timeouts={'entries_ttl_s': 0.5}
         )
     )
@@ -51,7 +51,7 @@
 
 
 def book(system, instance_id, key):
-    return system.caller(
+    return system.call_as_account(
         instance_id,
         'POST',
         BOOKINGS,
@@ -64,7 +64,7 @@
     """Stream a completion; return its text and whether it has an end mark."""
     instance = system.instances_by_id[instance_id]
     connection = http.client.HTTPConnection(
-        local.HOST, instance.callers_port, timeout=local.PATIENCE_S
+        local.HOST, instance.callers_port, timeout=local.WAIT_TIMEOUT_S
     )
     fields = {
         'model': 'dieline-llm',
@@ -154,7 +154,7 @@
             first = pool.submit(book, system, 'gw-1', 'once')
             local.wait_until('it runs', lambda: _ran(system, 'once'))
             system.kill(system.instances_by_id['gw-1'].process)
-            self.assertEqual(first.result(local.PATIENCE_S)[0], 0)
+            self.assertEqual(first.result(local.WAIT_TIMEOUT_S)[0], 0)
         status, answer = book(system, 'gw-2', 'once')
         error = answer['error']
         self.assertEqual((status, error['reason']), (409, 'in_progress'))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -392,13 +392,13 @@
     async def test_a_reconnect_gets_through_after_a_cut_both_ways(self):
         await self._recover(*relay.Direction)
 
-    async def _recover(self, *ways: relay.Direction) -> None:
+    async def _recover(self, *directions: relay.Direction) -> None:
         async with relayed() as (one, two, between):
-            between.blackhole(*ways)
+            between.blackhole(*directions)
             one.peers.send('gw-2', Received(count=1))
-            if relay.Direction.THERE in ways:
+            if relay.Direction.THERE in directions:
                 silent = between.connections[0]
-                await between.until(lambda: silent.swallowed > 0)
+                await between.until(lambda: silent.dropped > 0)
                 self.assertTrue(two.inbox.empty())
             one.peers.reconnect('gw-2')
             one.peers.send('gw-2', Received(count=2))
@@ -413,7 +413,7 @@
             between.blackhole()
             silent = between.connections[0]
             one.peers.send('gw-2', Received(count=1))
-            await between.until(lambda: silent.swallowed > 0)
+            await between.until(lambda: silent.dropped > 0)
             self.assertTrue(two.inbox.empty())
             self.assertEqual({}, dict(one.peers.counters.faults_by_reason))
 
--- a/tests/test_platform_backend_calls.py
+++ b/tests/test_platform_backend_calls.py
@@ -22,7 +22,7 @@
 NOT_RUN = verdict.Verdict.NOT_RUN
 MAY_HAVE_RUN = verdict.Verdict.MAY_HAVE_RUN
 TIMEOUTS = settings.Timeouts(connect_s=20.0, stall_s=20.0)
-FACTS = gateway.CallMetadata(
+METADATA = gateway.CallMetadata(
     request_id='c1',
     deadline_s=9.0,
     prompt_tokens=10,
@@ -32,7 +32,7 @@
     prefix=(),
     headers=(),
 )
-WORK = relay.RequestPayload(
+PAYLOAD = relay.RequestPayload(
     method='POST',
     path='/a?b',
     body=b'prompt',
@@ -60,9 +60,9 @@
 
 def backends(shared=None):
     return backend_calls.BackendCalls(
-        work=WORK,
-        facts=FACTS,
-        pool=shared or connection_pool.Pool(),
+        payload=PAYLOAD,
+        metadata=METADATA,
+        pool=shared or connection_pool.ConnectionPool(),
         timeouts=TIMEOUTS,
     )
 
@@ -257,7 +257,7 @@
                 connection.sendall(answer(body=b'ok', Connection='keep-alive'))
                 connection.recv(65536)
 
-        shared = connection_pool.Pool()
+        shared = connection_pool.ConnectionPool()
         with raw_server.serving(twice, answer(body=b'new')) as made:
             bodies = [call(made.url, shared).body for _ in range(2)]
         self.assertEqual(bodies, [b'ok', b'ok'])
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -21,7 +21,7 @@
 TIMEOUT_S = 20.0
 
 
-class Desk:
+class ScriptedPresence:
     """Records the messages of backend servers."""
 
     def __init__(self):
@@ -74,7 +74,7 @@
 @contextlib.contextmanager
 def serving(application):
     listen = settings.Listen(host='127.0.0.1', port=0, threads=2)
-    with http_ports.bound(listen, 'control', 1.0) as port:
+    with http_ports.open_port(listen, 'control', 1.0) as port:
         port.serve(application)
         yield f'http://127.0.0.1:{port.number}'
 
@@ -103,10 +103,12 @@
 
 class ControlTest(unittest.TestCase):
     def setUp(self):
-        self.desk = Desk()
+        self.presence_facade = ScriptedPresence()
         self.operators = Operators()
         self.application = control.make_application(
-            inner=inner, desk=self.desk, operators=self.operators
+            inner=inner,
+            presence_facade=self.presence_facade,
+            operators=self.operators,
         )
 
     def request(self, method, path, body=None):
@@ -117,16 +119,16 @@
             'PUT', '/instances/i-1', on_platform.HEARTBEAT
         )
         self.assertEqual(status, 200)
-        (message,) = self.desk.messages
+        (message,) = self.presence_facade.messages
         self.assertEqual(
             (message.backend_id, message.role, message.url, message.sequence),
             ('i-1', 'decode', 'http://10.128.0.9:8080', 4),
         )
 
     def test_a_service_without_engines_sends_no_stage(self):
-        beat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
-        self.request('PUT', '/instances/i-1', beat)
-        self.assertEqual(self.desk.messages[0].role, 'plain')
+        heartbeat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
+        self.request('PUT', '/instances/i-1', heartbeat)
+        self.assertEqual(self.presence_facade.messages[0].role, 'plain')
 
     @params(
         (
@@ -143,7 +145,7 @@
         """
         status, _ = self.request(method, '/instances/i-1', body)
         self.assertEqual(status, 200)
-        (message,) = self.desk.messages
+        (message,) = self.presence_facade.messages
         self.assertIsInstance(message, backends.Leaving)
         self.assertGreater(message.sequence, 10**12)
 
@@ -158,12 +160,16 @@
     )
     def test_a_departure_has_its_incarnation(self, method, body, incarnation):
         self.request(method, '/instances/i-1', body)
-        self.assertEqual(self.desk.messages[0].incarnation, incarnation)
+        self.assertEqual(
+            self.presence_facade.messages[0].incarnation, incarnation
+        )
 
     def test_a_start_time_is_the_incarnation(self):
-        beat = {**on_platform.HEARTBEAT, 'born': 1_790_000_000_000}
-        self.request('PUT', '/instances/i-1', beat)
-        self.assertEqual(self.desk.messages[0].incarnation, 1_790_000_000_000)
+        heartbeat = {**on_platform.HEARTBEAT, 'born': 1_790_000_000_000}
+        self.request('PUT', '/instances/i-1', heartbeat)
+        self.assertEqual(
+            self.presence_facade.messages[0].incarnation, 1_790_000_000_000
+        )
 
     @params(
         ('PUT', b'\xff\xfe'),
@@ -175,15 +181,15 @@
     def test_an_unreadable_message_has_no_effect(self, method, body):
         status, _ = self.request(method, '/instances/i-1', body)
         self.assertIn(status, (400, 413))
-        self.assertEqual(self.desk.messages, [])
+        self.assertEqual(self.presence_facade.messages, [])
 
     @params(['address'], ['service'], ['sequence'], ['slots'], ['state'])
     def test_a_heartbeat_that_lacks_a_field_is_refused(self, path):
-        beat = on_platform.changed(on_platform.HEARTBEAT, path, None)
-        status, body = self.request('PUT', '/instances/i-1', beat)
+        heartbeat = on_platform.changed(on_platform.HEARTBEAT, path, None)
+        status, body = self.request('PUT', '/instances/i-1', heartbeat)
         self.assertEqual(status, 400)
         self.assertIn(path[0], body.decode())
-        self.assertEqual(self.desk.messages, [])
+        self.assertEqual(self.presence_facade.messages, [])
 
     def test_a_configuration_is_read_back_as_it_was_sent(self):
         sent = json.dumps(on_platform.CONFIGURATION, indent=3).encode()
@@ -221,7 +227,7 @@
 
 
 def make_entry(name, region):
-    return membership.Entry(
+    return membership.ClientEndpoint(
         instance_id=name,
         callers_address=f'http://{name}:8149',
         data_centre=region,
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -31,13 +31,15 @@
 
 class DialectTest(unittest.TestCase):
     def test_the_headers_of_a_call(self):
-        facts = read()
-        self.assertEqual(facts.request_id, '9c41d07b')
-        self.assertEqual(facts.deadline_s, 14.0)
-        self.assertEqual((facts.prompt_tokens, facts.max_tokens), (1460, 80))
-        self.assertEqual(facts.expected_tokens, 64)
-        self.assertEqual(facts.prefix, ('5c1e07a2', '91bd3f06'))
-        self.assertEqual(facts.pieces_received, 0)
+        metadata = read()
+        self.assertEqual(metadata.request_id, '9c41d07b')
+        self.assertEqual(metadata.deadline_s, 14.0)
+        self.assertEqual(
+            (metadata.prompt_tokens, metadata.max_tokens), (1460, 80)
+        )
+        self.assertEqual(metadata.expected_tokens, 64)
+        self.assertEqual(metadata.prefix, ('5c1e07a2', '91bd3f06'))
+        self.assertEqual(metadata.pieces_received, 0)
 
     @params(
         ((('X-REQUEST-ID', '9c41d07b'),), '9c41d07b'),
--- a/tests/test_quarantine_check.py
+++ b/tests/test_quarantine_check.py
@@ -19,7 +19,7 @@
 from dandeliongw import verdict
 from tests import entry_fake
 from tests import network
-from tests import test_passed_on
+from tests import test_pass_through
 
 REASON = verdict.RefusalReason
 RETRY = verdict.RetryReason
@@ -35,7 +35,7 @@
         self.entry = entry_fake.Entry()
 
     def fingerprint(self, kind):
-        return self.entry.holds.fingerprint(entry_fake.call(kind))
+        return self.entry.quarantine_check.fingerprint(entry_fake.call(kind))
 
     def learn(self, kind, *backend_ids):
         """Report that backend servers ended under a kind of call.
@@ -57,7 +57,9 @@
         """Quarantine a kind of call; return the resulting effects."""
         self.learn(kind, 'a', 'b', 'c')
         return self.entry.take(
-            self.entry.requests.hold(self.entry.now, self.fingerprint(kind))
+            self.entry.requests.stop_quarantined(
+                self.entry.now, self.fingerprint(kind)
+            )
         )
 
 
@@ -206,7 +208,9 @@
             instance_id,
             quarantine.Ended(
                 now=self.network.now,
-                fingerprint=reducer.requests.holds.fingerprint(call),
+                fingerprint=reducer.requests.quarantine_check.fingerprint(
+                    call
+                ),
                 start=presence.BackendStart(
                     backend_id=backend_id, incarnation=1
                 ),
@@ -251,7 +255,7 @@
             call = entry_fake.call(
                 host='a.example', key_sha256='', address=f'10.0.0.{number % 5}'
             )
-            held = reducer.requests.holds.refusal(
+            held = reducer.requests.quarantine_check.refusal(
                 self.network.now, f'r{number}', call
             )
             if held is None:
@@ -262,7 +266,7 @@
 
     def test_one_trial_among_all_entries(self):
         """Guards against a thundering herd when the first trial is due."""
-        routes = document.document_bytes(test_passed_on.described())
+        routes = document.document_bytes(test_pass_through.described())
         self.network.apply('gw-1', json.loads(routes), 'routes')
         call = entry_fake.call(
             host='a.example', path='/plain/x', key_sha256='', service=''
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -47,7 +47,7 @@
         self.relay = relay.Relay(
             request_id='r',
             call=entry_fake.call(kind, **changes),
-            work=relay.RequestPayload(
+            payload=relay.RequestPayload(
                 prompt='p', path='/bookings', body=b'{}'
             ),
             backends=Adapters(),
@@ -71,7 +71,9 @@
             verdict=NOT_RUN,
             message='over',
         )
-        self.relay.give(effects.Refuse(request_id='r', refusal=refusal))
+        self.relay.put_directive(
+            effects.Refuse(request_id='r', refusal=refusal)
+        )
         self.thread.join(TIMEOUT_S)
 
     def next(self, event_class=events.StepEnded):
@@ -80,7 +82,7 @@
         return event
 
     def run(self, directive):
-        self.relay.give(directive)
+        self.relay.put_directive(directive)
         return self.next()
 
     @property
@@ -276,10 +278,10 @@
             }[step]
             kind = 'booking' if step == 'call' else 'completion'
             with RelayThread(kind) as runner:
-                runner.relay.give(directive)
+                runner.relay.put_directive(directive)
                 if step != 'waiting':
                     server.served.acquire(timeout=TIMEOUT_S)
-                runner.relay.give(
+                runner.relay.put_directive(
                     effects.Abort(request_id='r', attempt_id='r.1')
                 )
                 ended = runner.next()
@@ -297,7 +299,7 @@
 
             class LateAbort(Adapters):
                 def model_engine(self, url, backend_id, pieces_received):
-                    runner.relay.give(
+                    runner.relay.put_directive(
                         effects.Abort(request_id='r', attempt_id='r.1')
                     )
                     return super().model_engine(
@@ -312,7 +314,9 @@
 
     def test_the_next_attempt_is_not_stopped_with_the_last(self):
         with raw_server.serving(PREFILLED) as server, RelayThread() as runner:
-            runner.relay.give(effects.Abort(request_id='r', attempt_id='r.1'))
+            runner.relay.put_directive(
+                effects.Abort(request_id='r', attempt_id='r.1')
+            )
             self.assertIsNotNone(runner.run(run_prefill(server.url)).failure)
             ended = runner.run(run_prefill(server.url, 'r.2'))
         self.assertEqual((ended.failure, ended.kv), (None, 'k'))
@@ -370,7 +374,7 @@
         runner = relay.Relay(
             request_id='r',
             call=entry_fake.call('completion'),
-            work=relay.RequestPayload(),
+            payload=relay.RequestPayload(),
             backends=Adapters(),
             post=lambda make_event: posted.append(make_event(now=0.0)),
         )
@@ -380,7 +384,7 @@
         ) as server:
             pieces = runner.pieces()
             if read:
-                runner.give(run_decode(server.url))
+                runner.put_directive(run_decode(server.url))
                 next(pieces)
             pieces.close()
         kinds = [type(each) for each in posted]
@@ -422,13 +426,13 @@
     runner = relay.Relay(
         request_id='r',
         call=entry_fake.call('completion'),
-        work=relay.RequestPayload(),
+        payload=relay.RequestPayload(),
         backends=paced_engine,
         post=lambda make_event: posted.append(make_event(now=0.0)),
         clock=lambda: paced_engine.now,
     )
-    runner.give(directive)
-    runner.give(effects.Complete(request_id='r'))
+    runner.put_directive(directive)
+    runner.put_directive(effects.Complete(request_id='r'))
     for _ in runner.pieces():
         pass
     (ended,) = [each for each in posted if isinstance(each, events.StepEnded)]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -71,13 +71,13 @@
             if isinstance(each, effects.PhaseDuration)
         ]
         self.assertEqual(
-            {each.part: each.seconds for each in took},
+            {each.phase: each.seconds for each in took},
             {
-                effects.Part.BOOKING: 0.25,
-                effects.Part.QUEUE: 0.5,
-                effects.Part.PREFILL: 1.0,
-                effects.Part.TRANSFER: 0.125,
-                effects.Part.DECODE: 3.875,
+                effects.RequestPhase.BOOKING: 0.25,
+                effects.RequestPhase.QUEUE: 0.5,
+                effects.RequestPhase.PREFILL: 1.0,
+                effects.RequestPhase.TRANSFER: 0.125,
+                effects.RequestPhase.DECODE: 3.875,
             },
         )
         self.assertEqual({'dieline-llm'}, {each.service for each in took})
@@ -95,7 +95,9 @@
         )
         entry.receive(declined)
         took = entry.one(effects.PhaseDuration)
-        self.assertEqual((effects.Part.QUEUE, 2.0), (took.part, took.seconds))
+        self.assertEqual(
+            (effects.RequestPhase.QUEUE, 2.0), (took.phase, took.seconds)
+        )
 
     def test_the_times_of_a_forwarded_stream_are_measured(self):
         """Guards against forwarded streams without a first-token time.
@@ -145,7 +147,9 @@
         entry.book(request_id)
         entry.prefill(request_id, attempt_id=old)
         self.assertEqual(entry.found(effects.RunDecode), [])
-        self.assertEqual(entry.one(effects.CountLate).what, effects.Late.STEP)
+        self.assertEqual(
+            entry.one(effects.CountLate).what, effects.LateKind.STEP
+        )
 
     def test_swapped_bookings_reach_their_own_requests(self):
         """Guards against two requests that get each other's slots.
@@ -811,7 +815,9 @@
         entry.close(request_id)
         entry.receive(late)
         self.assertEqual(len(entry.sent(cells.Release)), 1)
-        self.assertEqual(entry.one(effects.CountLate).what, effects.Late.OWNER)
+        self.assertEqual(
+            entry.one(effects.CountLate).what, effects.LateKind.OWNER
+        )
 
 
 class UnknownRequests(unittest.TestCase):
--- a/tests/test_requests_machine.py
+++ b/tests/test_requests_machine.py
@@ -336,7 +336,7 @@
 
     @stateful.invariant()
     def released_once(self):
-        late = effects.Late.OWNER
+        late = effects.LateKind.OWNER
         given_back_late = sum(
             each.what is late
             for each in self.entry.found(effects.CountLate, self.entry.all)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -20,7 +20,7 @@
 
     @params((2, 0, 0.01), (2, 2**64 - 1, 0.02), (60, 2**64 - 1, 1.0))
     def test_backoff_is_bounded_and_jittered(self, attempt, bits, s):
-        self.assertAlmostEqual(s, retries.pause_s(attempt, bits))
+        self.assertAlmostEqual(s, retries.backoff_s(attempt, bits))
 
 
 class TogetherTest(unittest.TestCase):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -22,7 +22,7 @@
 
     def __init__(self, instance, tokens=TOKENS):
         self._connection = http.client.HTTPConnection(
-            local.HOST, instance.callers_port, timeout=local.PATIENCE_S
+            local.HOST, instance.callers_port, timeout=local.WAIT_TIMEOUT_S
         )
         body = {
             'model': 'dieline-llm',
@@ -57,7 +57,7 @@
         folder = tempfile.mkdtemp(prefix='dandeliongw-')
         self.addCleanup(shutil.rmtree, folder)
         system = self.enterContext(
-            local.running(
+            local.run_system(
                 folder=pathlib.Path(folder),
                 instances=1,
                 timeouts={'entries_ttl_s': 0.5, **timeouts},
@@ -84,7 +84,7 @@
         return system
 
     def exit_code(self):
-        return self.instance.process.wait(local.PATIENCE_S)
+        return self.instance.process.wait(local.WAIT_TIMEOUT_S)
 
     def test_nothing_in_flight_is_interrupted(self):
         """Guards against answers truncated by a deployment.
@@ -95,7 +95,9 @@
         """
         self.start()
         kept = http.client.HTTPConnection(
-            local.HOST, self.instance.callers_port, timeout=local.PATIENCE_S
+            local.HOST,
+            self.instance.callers_port,
+            timeout=local.WAIT_TIMEOUT_S,
         )
         headers = {'Authorization': f'Bearer {local.ACCOUNT_KEY}'}
         kept.request('GET', LOOKUP, headers=headers)
@@ -117,7 +119,7 @@
         return 'shutdown begins' in self.instance.log_file.read_text()
 
     def is_refusing(self):
-        status, answer = self.system.caller('gw-1', 'GET', LOOKUP)
+        status, answer = self.system.call_as_account('gw-1', 'GET', LOOKUP)
         if status == 200:
             return False
         error = answer['error']
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -22,7 +22,9 @@
     def setUp(self):
         folder = tempfile.mkdtemp(prefix='dandeliongw-')
         self.addCleanup(shutil.rmtree, folder)
-        running = local.running(folder=pathlib.Path(folder), timeouts=TIMEOUTS)
+        running = local.run_system(
+            folder=pathlib.Path(folder), timeouts=TIMEOUTS
+        )
         self.system = self.enterContext(running)
         self.revision = self.system.apply(
             'gw-1', local.example_document(), 'first'
@@ -46,11 +48,14 @@
     def wait_lookup(self, instance_id):
         local.wait_until(
             f'a lookup through {instance_id} is answered',
-            lambda: self.system.caller(instance_id, 'GET', LOOKUP)[0] == 200,
+            lambda: (
+                self.system.call_as_account(instance_id, 'GET', LOOKUP)[0]
+                == 200
+            ),
         )
 
     def book(self, instance_id, key):
-        return self.system.caller(
+        return self.system.call_as_account(
             instance_id,
             'POST',
             BOOKINGS,
@@ -64,7 +69,9 @@
         return answer['by_body']
 
     def status(self, instance_id):
-        return self.system.operator(instance_id, 'GET', '/v1/status')[1]
+        return self.system.call_as_operator(instance_id, 'GET', '/v1/status')[
+            1
+        ]
 
     def owner(self):
         for instance_id, instance in self.system.instances_by_id.items():
@@ -115,7 +122,7 @@
             process.send_signal(signal.SIGSTOP)
 
         def is_refused():
-            status, answer = self.system.caller('gw-1', 'GET', LOOKUP)
+            status, answer = self.system.call_as_account('gw-1', 'GET', LOOKUP)
             error = answer.get('error', {}) if status == 503 else {}
             return error.get('reason') == 'configuration_stale' and error
 
@@ -149,7 +156,9 @@
             self.wait_lookup(instance_id)
         self.assertEqual(first, self.book('gw-3', 'once'))
         self.assertEqual(1, self.runs()['{"horse": "once"}'])
-        _, document = self.system.operator('gw-3', 'GET', '/v1/document')
+        _, document = self.system.call_as_operator(
+            'gw-3', 'GET', '/v1/document'
+        )
         self.assertEqual(self.revision, document['revision'])
 
 
@@ -200,7 +209,9 @@
 
     def owner(self):
         for instance_id in self.system.instances_by_id:
-            _, answer = self.system.operator(instance_id, 'GET', '/v1/status')
+            _, answer = self.system.call_as_operator(
+                instance_id, 'GET', '/v1/status'
+            )
             leases = answer.get('leases', [])
             if any('dieline-llm' in each['name'] for each in leases):
                 return instance_id
@@ -294,7 +305,9 @@
         )
 
     def send(self, instance_id, what):
-        return self.system.caller(instance_id, 'GET', f'{LOOKUP}?for={what}')
+        return self.system.call_as_account(
+            instance_id, 'GET', f'{LOOKUP}?for={what}'
+        )
 
     def test_the_entries_quarantine_it_together(self):
         self.check()
@@ -329,7 +342,9 @@
 
     def send(self, instance_id, what):
         body = {'model': 'dieline-llm', 'prompt': what, 'max_tokens': 3}
-        return self.system.caller(instance_id, 'POST', '/v1/completions', body)
+        return self.system.call_as_account(
+            instance_id, 'POST', '/v1/completions', body
+        )
 
     def test_the_entries_quarantine_it_together(self):
         self.check()
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -10,7 +10,7 @@
 from dandeliongw import events
 from dandeliongw import verdict
 from tests import entry_fake
-from tests import test_passed_on
+from tests import test_pass_through
 
 REASON = verdict.RefusalReason
 RETRY = verdict.RetryReason
@@ -23,7 +23,7 @@
 
     def setUp(self):
         self.entry = entry_fake.Entry()
-        self.entry.directory.document = test_passed_on.described(
+        self.entry.directory.document = test_pass_through.described(
             repeat='always', max_runs=3
         )
 
@@ -50,7 +50,7 @@
             self.entry.quarantine.handle(
                 quarantine.Ended(
                     now=self.entry.now,
-                    fingerprint=self.entry.holds.fingerprint(call),
+                    fingerprint=self.entry.quarantine_check.fingerprint(call),
                     start=presence.BackendStart(
                         backend_id=backend_id, incarnation=1
                     ),
@@ -163,8 +163,8 @@
         request_id = self.arrive()
         self.answer(request_id, is_granted=True)
         call = entry_fake.call(**self.call())
-        stopped = self.entry.requests.hold(
-            self.entry.now, self.entry.holds.fingerprint(call)
+        stopped = self.entry.requests.stop_quarantined(
+            self.entry.now, self.entry.quarantine_check.fingerprint(call)
         )
         self.assertEqual([], stopped)
 
--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -90,7 +90,7 @@
     """Measure a local system when idle, with renewals and with changes."""
     with (
         tempfile.TemporaryDirectory(prefix='dandeliongw-capacity-') as folder,
-        local.running(
+        local.run_system(
             folder=pathlib.Path(folder),
             instances=instances,
             timeouts={'entries_ttl_s': 0.2},
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -93,7 +93,7 @@
 def look_up(system: local.LocalSystem, instance_id: str) -> Result:
     """Send a lookup to the plain service."""
     what = f'lookup through {instance_id}'
-    status, answer = system.caller(
+    status, answer = system.call_as_account(
         instance_id, 'GET', '/services/studio-portal/lookup?job=4711'
     )
     print(f'{what}: {status} {answer}')
@@ -111,7 +111,9 @@
     answers = []
     for receiver_id in (instance_id, other_id):
         what = f'booking {key["Idempotency-Key"]} through {receiver_id}'
-        status, answer = system.caller(receiver_id, 'POST', path, body, key)
+        status, answer = system.call_as_account(
+            receiver_id, 'POST', path, body, key
+        )
         print(f'{what}: {status} {answer}')
         answers.append(answer)
         results.append(
@@ -138,7 +140,7 @@
     return Result(what='each booking ran once', problem=problem)
 
 
-def show(system: local.LocalSystem) -> bool:
+def run_demo(system: local.LocalSystem) -> bool:
     """Send all requests.
 
     :returns: whether each request got one complete answer.
@@ -177,12 +179,12 @@
     """
     with tempfile.TemporaryDirectory(prefix='dandeliongw-') as folder:
         options = {'command': (command,)} if command else {}
-        with local.running(
+        with local.run_system(
             folder=pathlib.Path(folder),
             timeouts={'entries_ttl_s': 2},
             **options,
         ) as system:
-            is_ok = show(system)
+            is_ok = run_demo(system)
     sys.stdout.flush()
     sys.exit(0 if is_ok else 1)
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -693,11 +693,13 @@
         if job.attempt >= MAX_ATTEMPTS or not budget.spend():
             self._fail(job, RefusalReason.RETRIES_SPENT)
             return
-        pause_s = retries.pause_s(
+        backoff_s = retries.backoff_s(
             job.attempt + 1, self._random.getrandbits(64)
         )
         job.pausing = True
-        self.clock.at(self.clock.now + pause_s, self._start_next_attempt, job)
+        self.clock.at(
+            self.clock.now + backoff_s, self._start_next_attempt, job
+        )
 
     def _start_next_attempt(self, job: Job) -> None:
         if not job.over:
--- a/tools/local.py
+++ b/tools/local.py
@@ -27,7 +27,7 @@
 ACCOUNT_KEY = 'demo-account-key'
 #: Default timeout of waits, in seconds. It is long enough for slow machines
 #: and isn't spent if the condition is met earlier.
-PATIENCE_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 POLL_S = 0.05
 #: Until a process that was sent SIGTERM is killed.
 STOP_S = 40.0
@@ -81,10 +81,10 @@
 ) -> typing.Any:
     """Poll ``check`` until its result is true, and return the result.
 
-    :param timeout_s: how long to poll; :data:`PATIENCE_S` if zero.
+    :param timeout_s: how long to poll; :data:`WAIT_TIMEOUT_S` if zero.
     :raises TimeoutError: naming ``what``.
     """
-    ends_at = time.monotonic() + (timeout_s or PATIENCE_S)
+    ends_at = time.monotonic() + (timeout_s or WAIT_TIMEOUT_S)
     while True:
         result = check()
         if result:
@@ -258,7 +258,7 @@
         process.kill()
         process.wait()
 
-    def discard(self) -> None:
+    def kill_and_delete(self) -> None:
         """Kill all instances and delete their data folders."""
         for instance_id, instance in self.instances_by_id.items():
             if instance.process is not None:
@@ -291,7 +291,7 @@
 
     # Calls
 
-    def operator(
+    def call_as_operator(
         self, instance_id: str, method: str, path: str, body: typing.Any = None
     ) -> tuple[int, typing.Any]:
         """Send a request to the operators' API of an instance.
@@ -306,7 +306,7 @@
             {'Authorization': f'Bearer {OPERATOR_TOKEN}'},
         )
 
-    def caller(
+    def call_as_account(
         self,
         instance_id: str,
         method: str,
@@ -391,13 +391,15 @@
                     code=code,
                     log_file=instance.log_file,
                 )
-        status, answer = self.operator(instance_id, 'GET', '/v1/document')
+        status, answer = self.call_as_operator(
+            instance_id, 'GET', '/v1/document'
+        )
         return status == 200 and answer['revision'] >= revision
 
     def apply(self, instance_id: str, document: dict, change_id: str) -> int:
         """Replace the current document; return the new revision."""
-        _, current = self.operator(instance_id, 'GET', '/v1/document')
-        status, answer = self.operator(
+        _, current = self.call_as_operator(instance_id, 'GET', '/v1/document')
+        status, answer = self.call_as_operator(
             instance_id,
             'PUT',
             '/v1/document',
@@ -424,7 +426,9 @@
     def _count_present(self) -> int:
         present_ids: set[str] = set()
         for instance_id in self.instances_by_id:
-            status, answer = self.operator(instance_id, 'GET', '/v1/backends')
+            status, answer = self.call_as_operator(
+                instance_id, 'GET', '/v1/backends'
+            )
             if status == 200:
                 present_ids.update(
                     each['backend_id']
@@ -435,7 +439,7 @@
 
 
 @contextlib.contextmanager
-def running(**options: typing.Any) -> abc.Iterator[LocalSystem]:
+def run_system(**options: typing.Any) -> abc.Iterator[LocalSystem]:
     """Start all instances; stop every process at the end of the block.
 
     Another process may take a port between its choice and the instance's
@@ -451,7 +455,7 @@
             _start_all(system)
         except InstanceExited as error:
             is_port_taken = error.code == exceptions.ExitCode.PORT_IN_USE
-            system.discard()
+            system.kill_and_delete()
             if not is_port_taken or not attempts_left:
                 raise
         except BaseException:
