--- a/dandeliongw/cell/owner.py
+++ b/dandeliongw/cell/owner.py
@@ -64,7 +64,7 @@
         self._epochs_by_cell: dict[str, int] = {}
         self._load_times_by_id: dict[str, float] = {}
         self._takeovers_by_cell: dict[str, takeover.Takeover] = {}
-        #: Cells that are kept without a lease, see :meth:`keep`.
+        #: Cells that are kept without a lease, see :meth:`keep_without_lease`.
         self._kept_cells: set[str] = set()
         self.cells_by_id: dict[str, cells.Cell] = {}
         self.fallback_cells = fallback.FallbackCells(
