--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -38,7 +38,7 @@
     plain_id='',
     waited_ms=12,
 )
-FAILED = decisions.TriedAgain(
+FAILED = decisions.AttemptFailed(
     request_id=PLACED.request_id,
     attempt_id=PLACED.attempt_id,
     again=True,
--- a/dandeliongw/adapter.py
+++ b/dandeliongw/adapter.py
@@ -12,9 +12,9 @@
 
 from . import engine
 from . import settings as settings_module
-from .borders import backends
-from .borders import control
-from .borders import gateway
+from .api import backends
+from .api import gateway
+from .api import operator_interface
 from .coordination import membership
 from .entry import relay
 
@@ -31,7 +31,7 @@
         """Whether callers may be routed to this instance."""
         ...
 
-    def entries(self) -> list[membership.Entry]:
+    def entries(self) -> list[membership.ClientEndpoint]:
         """Return the instances that callers may use."""
         ...
 
@@ -40,7 +40,7 @@
         ...
 
 
-class Desk(typing.Protocol):
+class PresenceFacade(typing.Protocol):
     """Accepts announcements and leaves of backend servers."""
 
     def announce(
@@ -53,11 +53,17 @@
 class Operators(typing.Protocol):
     """Returns the document and accepts numbered changes of it."""
 
-    def current(self) -> control.Configuration | control.Unavailable: ...
+    def current(
+        self,
+    ) -> operator_interface.Configuration | operator_interface.Unavailable: ...
 
     def propose_ordered(
         self, *, order: int, author: str, document: bytes
-    ) -> control.Applied | control.Overtaken | control.Unavailable: ...
+    ) -> (
+        operator_interface.Applied
+        | operator_interface.Overtaken
+        | operator_interface.Unavailable
+    ): ...
 
 
 class ExtraPort(msgspec.Struct, frozen=True, kw_only=True):
@@ -75,10 +81,10 @@
     """What a platform implements."""
 
     @property
-    def dialect(self) -> gateway.Dialect: ...
+    def header_parser(self) -> gateway.HeaderParser: ...
 
     def backends(
-        self, *, work: relay.Work, facts: gateway.Facts
+        self, *, payload: relay.RequestPayload, metadata: gateway.CallMetadata
     ) -> relay.Backends:
         """Return the adapters that send one call to backend servers."""
         ...
@@ -88,7 +94,11 @@
         ...
 
     def control(
-        self, *, inner: Application, desk: Desk, operators: Operators
+        self,
+        *,
+        inner: Application,
+        presence_facade: PresenceFacade,
+        operators: Operators,
     ) -> Application:
         """Return the control port's application.
 
--- a/dandeliongw/borders/web.py
+++ b/dandeliongw/api/http_ports.py
@@ -198,7 +198,7 @@
 
 
 @contextlib.contextmanager
-def bound(
+def open_port(
     listen: settings_module.Listen, field: str, shutdown_s: float
 ) -> abc.Iterator[Port]:
     """Bind a port, and close it at the end of the context."""
@@ -218,7 +218,7 @@
         request.close_connection = True
 
 
-def quiet_cherrypy() -> None:
+def disable_cherrypy_logs() -> None:
     """Disable CherryPy's own log output, which isn't JSON."""
     cherrypy.log.screen = False
     cherrypy.log.access_log.propagate = False
--- a/dandeliongw/cell/cells.py
+++ b/dandeliongw/cell/cells.py
@@ -37,6 +37,11 @@
 from .cell_messages import StreamCancelled
 from .cell_messages import StreamsListed
 from .cell_messages import TermsChanged
+from .cell_types import Booking
+from .cell_types import CellBackend
+from .cell_types import CellTerms
+from .cell_types import Role
+from .cell_types import Stage
 from .cell_view import CellView
 from .fault_recorder import FaultRecorder
 from .health import Health
@@ -46,11 +51,6 @@
 from .policy import Policy
 from .policy import Wait
 from .roles import RoleBalancer
-from .vocabulary import Booking
-from .vocabulary import CellBackend
-from .vocabulary import CellTerms
-from .vocabulary import Role
-from .vocabulary import Stage
 
 __all__ = [
     'BackendsChanged',
@@ -73,7 +73,7 @@
     'Outcome',
     'PrefillDone',
     'Progress',
-    'PROGRESS_EVERY_S',
+    'PROGRESS_INTERVAL_S',
     'Queued',
     'Reclaim',
     'ReclaimedBooking',
@@ -88,7 +88,7 @@
 #: is taken to have died.
 BOOKING_LEASE_S = 4.0
 #: How often an entry should send :class:`Progress`, in seconds.
-PROGRESS_EVERY_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 #: How often an owner lists the streams of its backend servers, in seconds.
 LIST_INTERVAL_S = 5.0
 #: After a dispatch that placed nothing, events that free no capacity don't
--- a/dandeliongw/coordination/membership.py
+++ b/dandeliongw/coordination/membership.py
@@ -50,14 +50,14 @@
 
 __all__ = [
     'Discovered',
-    'Entry',
+    'ClientEndpoint',
     'Gossip',
     'IndirectAck',
     'IndirectProbe',
     'InstanceInfo',
     'Leave',
     'MESSAGES',
-    'MOST_UNSEEN_PERIODS',
+    'MAX_DETECTION_PERIODS',
     'Member',
     'MemberChanged',
     'MemberForgotten',
@@ -81,7 +81,7 @@
 #: which the update spreads. Over 100 simulated losses among 12 instances the
 #: longest took 2.7 periods; with 4 % of messages lost, 2.8; with two other
 #: instances frozen, 3.2.
-MOST_UNSEEN_PERIODS = 3.5
+MAX_DETECTION_PERIODS = 3.5
 #: Members to which each instance sends an urgent update at once.
 URGENT_FANOUT = 3
 #: Members that a leaving instance notifies at once.
@@ -111,10 +111,10 @@
 #: partitions between regions last: an instance that was partitioned that long
 #: still has a member alive that left meanwhile, and gossips this once it
 #: reconnects.
-MEMORY_S = 24 * 3600.0
+RETENTION_S = 24 * 3600.0
 
 
-class Entry(msgspec.Struct, frozen=True, kw_only=True):
+class ClientEndpoint(msgspec.Struct, frozen=True, kw_only=True):
     """An instance that clients may send requests to."""
 
     instance_id: str
@@ -135,7 +135,7 @@
     :param seeds_by_id: instances to contact first; this one may be among
         them.
     :param period_s: seconds between probes.
-    :param memory_s: seconds for which dead and left members are retained.
+    :param retention_s: seconds for which dead and left members are retained.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
         self_info: InstanceInfo,
         seeds_by_id: dict[str, InstanceInfo],
         period_s: float = PERIOD_S,
-        memory_s: float = MEMORY_S,
+        retention_s: float = RETENTION_S,
     ) -> None:
         own = Member(
             instance_id=instance_id,
@@ -159,7 +159,7 @@
         self.period_s = period_s
         self._seed_ids = seeds_by_id.keys() - {instance_id}
         self._view = MembershipView(
-            own=own, period_s=period_s, memory_s=memory_s
+            own=own, period_s=period_s, retention_s=retention_s
         )
         self._probing = Probing(period_s=period_s)
         self._comparison = Comparison(view=self._view, probing=self._probing)
@@ -194,7 +194,7 @@
         """Return whether a member is alive and not suspected."""
         return self._view.roster.is_alive(instance_id)
 
-    def entries(self, now: float) -> list[Entry]:
+    def entries(self, now: float) -> list[ClientEndpoint]:
         """Return the instances that clients may send requests to.
 
         A partitioned member is dropped once failure detection has suspected
@@ -204,7 +204,7 @@
         """
         stale = self._is_late(now)
         return [
-            _entry(self.members_by_id[instance_id])
+            _endpoint(self.members_by_id[instance_id])
             for instance_id in self.alive_ids()
             if _accepts_clients(self.members_by_id[instance_id])
             and not (stale and instance_id != self.instance_id)
@@ -507,8 +507,8 @@
         return effects
 
 
-def _entry(member: Member) -> Entry:
-    return Entry(
+def _endpoint(member: Member) -> ClientEndpoint:
+    return ClientEndpoint(
         instance_id=member.instance_id,
         callers_address=member.info.callers_address,
         data_centre=member.info.data_centre,
--- a/dandeliongw/directory.py
+++ b/dandeliongw/directory.py
@@ -2,11 +2,11 @@
 
 from . import document as document_module
 from . import settings as settings_module
+from .coordination import confirmation_status as status_module
 from .coordination import lease
 from .coordination import membership
 from .coordination import placement
 from .coordination import register
-from .coordination import standing as standings
 
 
 #: Up to this number of instances, all of them get the messages of every
@@ -71,9 +71,11 @@
             return True
         return self._configuration.is_fresh(now)
 
-    def standing(self, now: float) -> standings.Standing:
+    def confirmation_status(
+        self, now: float
+    ) -> status_module.ConfirmationStatus:
         """Return when the document was last confirmed by a majority."""
-        return self._configuration.standing(now)
+        return self._configuration.confirmation_status(now)
 
     def cell_of(self, service: str, request_id: str) -> str:
         """Return the cell of a service that serves this instance's callers."""
@@ -99,7 +101,7 @@
             self._ranks_by_cell[cell] = self._rank(cell)
         return self._ranks_by_cell[cell]
 
-    def forget_ranks(self) -> None:
+    def clear_rankings(self) -> None:
         """Drop cached rankings and counts after a change of the members."""
         self._ranks_by_cell.clear()
         self._entries = None
@@ -172,7 +174,7 @@
         return self._own_id
 
     @property
-    def places_alone(self) -> bool:
+    def places_without_owner(self) -> bool:
         """Whether this entry places work itself if a cell's owner is silent.
 
         With many entries this would only refuse callers with "no backend
--- a/dandeliongw/effects.py
+++ b/dandeliongw/effects.py
@@ -114,14 +114,14 @@
     reason: verdict.RetryReason
 
 
-class CountWaste(msgspec.Struct, frozen=True, kw_only=True):
+class CountWastedTokens(msgspec.Struct, frozen=True, kw_only=True):
     """Count prompt tokens whose prefill result was not used."""
 
     reason: waste.WasteReason
     tokens: int
 
 
-class Late(enum.StrEnum):
+class LateKind(enum.StrEnum):
     """What arrived for an attempt that had already ended (a counter label)."""
 
     #: A message from a cell's owner.
@@ -132,7 +132,7 @@
     PIECE = 'piece'
 
 
-class Part(enum.StrEnum):
+class RequestPhase(enum.StrEnum):
     """A phase in the processing of a request (a histogram label)."""
 
     #: From the booking request to a cell's owner until its reply.
@@ -150,15 +150,15 @@
     CALL = 'call'
 
 
-class Took(msgspec.Struct, frozen=True, kw_only=True):
+class PhaseDuration(msgspec.Struct, frozen=True, kw_only=True):
     """Record the duration of a finished phase of a request."""
 
-    part: Part
+    phase: RequestPhase
     service: str
     seconds: float
 
 
-class PassedStream(msgspec.Struct, frozen=True, kw_only=True):
+class PassThroughStream(msgspec.Struct, frozen=True, kw_only=True):
     """Record a complete stream that was passed on without parsing its tokens.
 
     :param first_token_s: seconds from the request's arrival to the first
@@ -174,7 +174,7 @@
 class CountLate(msgspec.Struct, frozen=True, kw_only=True):
     """Count something that was dropped because its attempt had ended."""
 
-    what: Late
+    what: LateKind
 
 
 class Log(msgspec.Struct, frozen=True, kw_only=True):
@@ -207,7 +207,7 @@
     queue: int
 
 
-class Observed(msgspec.Struct, frozen=True, kw_only=True):
+class GaugeValues(msgspec.Struct, frozen=True, kw_only=True):
     """Set the gauges to these values.
 
     :param confirmed_age_s: seconds since a majority confirmed the revision;
--- a/dandeliongw/entry/admission.py
+++ b/dandeliongw/entry/admission.py
@@ -7,7 +7,7 @@
 from .. import document
 from .. import events
 from .. import verdict
-from ..coordination import standing as standings
+from ..coordination import confirmation_status as status_module
 
 _REASON = verdict.RefusalReason
 
@@ -40,7 +40,9 @@
         """Whether a majority confirmed the document recently enough."""
         ...
 
-    def standing(self, now: float) -> standings.Standing:
+    def confirmation_status(
+        self, now: float
+    ) -> status_module.ConfirmationStatus:
         """How current the document is."""
         ...
 
@@ -52,7 +54,7 @@
         ...
 
     @property
-    def places_alone(self) -> bool:
+    def places_without_owner(self) -> bool:
         """Whether it places requests while an owner is unresponsive."""
         ...
 
@@ -75,7 +77,7 @@
     max_runs: int | None = None
     #: Whether the call is forwarded unchanged. Prefill then does not count as
     #: running it, and every send to a decode engine is a run of its own.
-    is_passed_on: bool = False
+    is_pass_through: bool = False
     #: Seconds without a piece after which its client disconnects; ``None`` if
     #: not known.
     patience_s: float | None = None
@@ -146,9 +148,9 @@
         """
         if refusal.reason not in _FINAL_REASONS:
             return refusal
-        standing = self._directory.standing(now)
-        message = f'{refusal.message} ({standing})'
-        if standing.is_confirmed:
+        status = self._directory.confirmation_status(now)
+        message = f'{refusal.message} ({status})'
+        if status.is_confirmed:
             return msgspec.structs.replace(refusal, message=message)
         return not_run(
             _REASON.CONFIGURATION_STALE,
@@ -192,7 +194,7 @@
             streamed=streamed,
             timeout_s=found.timeout_s,
             max_runs=found.max_runs,
-            is_passed_on=True,
+            is_pass_through=True,
             patience_s=found.patience_s if streamed else None,
             is_resent=(
                 call.deadline_s is not None
--- a/dandeliongw/entry/attempts.py
+++ b/dandeliongw/entry/attempts.py
@@ -5,10 +5,10 @@
 from .. import decisions
 from .. import effects
 from .. import verdict
+from ..cell import cell_types
 from ..cell import cells
-from ..cell import vocabulary
 from . import endings
-from . import holds as hold_module
+from . import quarantine_check as quarantine_module
 from . import refusals
 from . import reservations
 from . import retries
@@ -28,7 +28,7 @@
     """Begins attempts and decides on retries.
 
     :param budgets: retry budgets by service.
-    :param holds: quarantined calls, which are not attempted.
+    :param quarantine_check: quarantined calls, which are not attempted.
     """
 
     def __init__(
@@ -37,9 +37,9 @@
         reservations: reservations.Reservations,
         endings: endings.Endings,
         budgets: retries.RetryBudgets,
-        holds: hold_module.Holds,
+        quarantine_check: quarantine_module.QuarantineCheck,
     ) -> None:
-        self._holds = holds
+        self._quarantine_check = quarantine_check
         self._reservations = reservations
         self._endings = endings
         self._budgets = budgets
@@ -126,14 +126,16 @@
         request.retry_at = now + wait_s
         return [*out, count]
 
-    def held(self, now: float, request: Request) -> hold_module.Held | None:
+    def held(
+        self, now: float, request: Request
+    ) -> quarantine_module.Held | None:
         """Return why a request may not be sent; ``None`` if it may.
 
         A request that is a trial may run once.
         """
         if request.is_trial and not request.runs:
             return None
-        return self._holds.refusal(
+        return self._quarantine_check.refusal(
             now, request.request_id, request.call, request.known
         )
 
@@ -157,8 +159,8 @@
         request.last_resume_offset = -1
         if failed_id:
             request.exclude += (failed_id,)
-        if request.stage is vocabulary.Stage.DECODE:
-            request.stage = vocabulary.Stage.PAIR
+        if request.stage is cell_types.Stage.DECODE:
+            request.stage = cell_types.Stage.PAIR
         return [*release, *refusals.count_waste(failure, wasted)]
 
     def _backoff_s(self, request: Request, entropy: int) -> float:
@@ -191,7 +193,7 @@
     *,
     again: bool,
 ) -> effects.Log:
-    return decisions.TriedAgain(
+    return decisions.AttemptFailed(
         request_id=request.request_id,
         attempt_id=request.attempt_id,
         again=again,
--- a/dandeliongw/entry/request.py
+++ b/dandeliongw/entry/request.py
@@ -9,8 +9,8 @@
 from .. import events
 from .. import verdict
 from . import admission
+from ..cell import cell_types
 from ..cell import cells
-from ..cell import vocabulary
 from ..coordination import presence
 
 _NOT_RUN = verdict.Verdict.NOT_RUN
@@ -76,7 +76,7 @@
     deadline_at: float
     phase: Phase
     phase_at: float
-    stage: vocabulary.Stage
+    stage: cell_types.Stage
     search_timeout_s: float
     known: verdict.Verdict = _NOT_RUN
     claim_key: str = ''
@@ -129,7 +129,7 @@
         A call that is forwarded unchanged runs anew at each engine that it is
         sent to. Other calls run once, even if their KV cache is moved.
         """
-        return not self.admitted.is_passed_on or self.may_run_again
+        return not self.admitted.is_pass_through or self.may_run_again
 
     @property
     def has_used_up_runs(self) -> bool:
@@ -145,7 +145,7 @@
     @property
     def is_running(self) -> bool:
         """Whether a backend server may be running it now."""
-        if self.phase is Phase.PREFILL and self.admitted.is_passed_on:
+        if self.phase is Phase.PREFILL and self.admitted.is_pass_through:
             return False
         return self.phase in WORKING
 
@@ -186,9 +186,13 @@
         )
         return BookedBackend(start=start, url=url)
 
-    def duration(self, part: effects.Part, seconds: float) -> effects.Took:
+    def duration(
+        self, phase: effects.RequestPhase, seconds: float
+    ) -> effects.PhaseDuration:
         """Return the effect that records the duration of a part."""
-        return effects.Took(part=part, service=self.service, seconds=seconds)
+        return effects.PhaseDuration(
+            phase=phase, service=self.service, seconds=seconds
+        )
 
     def left_s(self, now: float) -> float:
         """Return the seconds until the deadline, at least 0."""
@@ -210,7 +214,7 @@
 
     def placement_timeout_s(self, now: float) -> float:
         """Return the seconds within which it has to be placed."""
-        if self.stage is not vocabulary.Stage.DECODE or not self.kv:
+        if self.stage is not cell_types.Stage.DECODE or not self.kv:
             return self.remaining_patience_s(now)
         kept_until = self.kv_at + self.kv_life_s
         return max(0.0, min(self.remaining_patience_s(now), kept_until - now))
--- a/dandeliongw/metrics.py
+++ b/dandeliongw/metrics.py
@@ -185,7 +185,7 @@
             'Replies for attempts that were over, dropped.',
             'what',
         )
-        _start_at_zero(self.late_answers, effects.Late)
+        _start_at_zero(self.late_answers, effects.LateKind)
         _start_at_zero(self.answers, verdicts.Verdict)
         _start_at_zero(self.refusals, verdicts.RefusalReason)
         _start_at_zero(self.retries, verdicts.RetryReason)
@@ -324,9 +324,9 @@
         """Record the time from a request's arrival to its first token."""
         self.first_token.labels(service).observe(seconds)
 
-    def observe_part(self, took: effects.Took) -> None:
-        """Record the duration of one stage of a request."""
-        self.parts.labels(took.service, took.part.value).observe(took.seconds)
+    def observe_phase(self, took: effects.PhaseDuration) -> None:
+        """Record the duration of one phase of a request."""
+        self.parts.labels(took.service, took.phase.value).observe(took.seconds)
 
     def observe_token_gap(self, service: str, seconds: float) -> None:
         """Record the time between two tokens of one stream."""
--- a/dandeliongw/probe.py
+++ b/dandeliongw/probe.py
@@ -6,10 +6,10 @@
 
 #: Time-out in seconds. A running machine refuses or accepts a connection
 #: within a round trip; a time-out proves nothing.
-PROBE_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 
 
-def is_refused(url: str, timeout_s: float = PROBE_S) -> bool:
+def is_refused(url: str, timeout_s: float = PROBE_TIMEOUT_S) -> bool:
     """Return whether the machine of ``url`` refuses the connection.
 
     Only a refusal proves that no process listens. If the process is frozen,
--- a/dandeliongw/reducer.py
+++ b/dandeliongw/reducer.py
@@ -19,15 +19,16 @@
 from . import events
 from . import exceptions
 from . import membership_log
-from . import repair
 from . import settings as settings_module
 from . import shutdown
+from . import voter_replacement
 from .cell import cells
 from .cell import orders
 from .cell import owner as owner_module
 from .cell import succession
 from .coordination import claim_messages
 from .coordination import claims
+from .coordination import confirmation_status as status_module
 from .coordination import lease
 from .coordination import lease_messages
 from .coordination import membership
@@ -36,10 +37,9 @@
 from .coordination import quarantine
 from .coordination import register
 from .coordination import register_messages
-from .coordination import standing as standings
 from .entry import admission
 from .entry import fingerprints
-from .entry import holds
+from .entry import quarantine_check
 from .entry import requests
 from .entry import retries
 
@@ -133,7 +133,7 @@
         self.presence = presence.Presence(
             instance_id=settings.instance_id,
             lease_s=settings.timeouts.presence_s,
-            outlasts_silence=settings.unconfirmed == 'serve',
+            suspends_leases_in_outage=settings.unconfirmed == 'serve',
         )
         self.directory = directory_module.Directory(
             settings=settings,
@@ -152,7 +152,7 @@
         self.requests = requests.Requests(
             directory=self.directory,
             gate=self.admission,
-            holds=holds.Holds(
+            quarantine_check=quarantine_check.QuarantineCheck(
                 quarantine=self.quarantine,
                 fingerprints=fingerprints.Fingerprints(
                     secret=settings.peer_secret.encode()
@@ -167,8 +167,8 @@
             ),
             # The claims part rejects an attempt that could still run when
             # its record has expired.
-            most_claimed_s=settings.timeouts.claim_retention_s / 2,
-            early_s=settings.timeouts.first_configuration_s,
+            max_claimed_s=settings.timeouts.claim_retention_s / 2,
+            startup_wait_s=settings.timeouts.first_configuration_s,
         )
         self.owner = owner_module.Owner(
             directory=self.directory,
@@ -185,7 +185,7 @@
             directory=self.directory,
             owner=self.owner,
         )
-        self.voter_replacement = repair.VoterReplacement(
+        self.voter_replacement = voter_replacement.VoterReplacement(
             instance_id=settings.instance_id,
             configuration=self.register,
             members=self.membership,
@@ -335,7 +335,7 @@
                 self.owner.handle_in_all,
                 (cells.StreamCancelled, cells.StreamsListed),
             ),
-            (self.owner.ordering.answer, (orders.OrderAnswered,)),
+            (self.owner.order_dispatch.answer, (orders.OrderAnswered,)),
             (self._tick, (parts.Ticked,)),
             (self._receive, (parts.Received,)),
             (self._on_persisted, (parts.Persisted,)),
@@ -361,12 +361,12 @@
             (self.membership.handle, membership.MESSAGES),
             (self.presence.handle, presence.MESSAGES),
             (self.quarantine.handle, quarantine.MESSAGES),
-            (self._receive_as_owner, owner_module.TO_OWNER),
+            (self._receive_as_owner, owner_module.OWNER_MESSAGES),
             (self._reclaim, (cells.ReclaimWanted,)),
             (
                 self._receive_as_entry,
                 set(cells.MESSAGES)
-                - {*owner_module.TO_OWNER, cells.ReclaimWanted},
+                - {*owner_module.OWNER_MESSAGES, cells.ReclaimWanted},
             ),
         ]
         return {
@@ -379,8 +379,8 @@
         return {
             register.ConfigurationChanged: self._change_configuration,
             register.VotersChanged: self._change_voters,
-            standings.ConfirmationLapsed: self._on_confirmation_lapsed,
-            standings.ConfirmationRegained: self._on_confirmation_regained,
+            status_module.ConfirmationLapsed: self._on_confirmation_lapsed,
+            status_module.ConfirmationRegained: self._on_confirmation_regained,
             lease.LeaseGained: self._on_lease_gained,
             lease.LeaseLost: self._on_lease_lost,
             lease.GrantorCaughtUp: self._on_leases_caught_up,
@@ -448,7 +448,7 @@
                 for further in answer(now, request_id, effect.result):
                     self._process_effect(now, further, pending, out)
                 return
-        if effect.ticket.startswith(repair.TICKET):
+        if effect.ticket.startswith(voter_replacement.TICKET):
             out.append(
                 effects.log(f'voter replacement result: {effect.result}')
             )
@@ -484,7 +484,7 @@
         if isinstance(message, cells.Book) and (
             message.cell not in self.owner.cells_by_id
         ):
-            self.succession.note_asked(event.now, message.cell)
+            self.succession.record_owner_request(event.now, message.cell)
             self._review_at = event.now
         return self.owner.receive(event)
 
@@ -535,7 +535,7 @@
             and self.settings.silent_owner == 'place'
             and not has_paused
         )
-        if may_keep and self.owner.keep(effect.name):
+        if may_keep and self.owner.keep_without_lease(effect.name):
             return [
                 effects.log(
                     'keeping a cell without a lease: no voter is reachable',
@@ -617,7 +617,10 @@
             told_by=' '.join(effect.told_by),
             held_s=effect.held_s,
         )
-        return [line.log(), *self.requests.hold(now, effect.fingerprint)]
+        return [
+            line.log(),
+            *self.requests.stop_quarantined(now, effect.fingerprint),
+        ]
 
     def _on_released(
         self, now: float, effect: quarantine.Released
@@ -652,7 +655,7 @@
         return [
             effects.log(
                 'configuration in force',
-                **_confirmation_fields(self.register.standing(now)),
+                **_confirmation_fields(self.register.confirmation_status(now)),
             ),
             *self.owner.change_document(
                 now, frozenset(self.membership.alive_ids())
@@ -660,12 +663,12 @@
         ]
 
     def _on_confirmation_lapsed(
-        self, now: float, effect: standings.ConfirmationLapsed
+        self, now: float, effect: status_module.ConfirmationLapsed
     ) -> list[typing.Any]:
         return [
             effects.log(
                 'configuration not confirmed in time',
-                **_confirmation_fields(effect.standing),
+                **_confirmation_fields(effect.status),
                 asks=str(effect.asks),
                 late_answers=str(effect.late_answers),
                 level='WARNING',
@@ -673,12 +676,12 @@
         ]
 
     def _on_confirmation_regained(
-        self, now: float, effect: standings.ConfirmationRegained
+        self, now: float, effect: status_module.ConfirmationRegained
     ) -> list[typing.Any]:
         return [
             effects.log(
                 'configuration confirmed again',
-                **_confirmation_fields(effect.standing),
+                **_confirmation_fields(effect.status),
                 lapsed_s=f'{effect.lapsed_s:.2f}',
             )
         ]
@@ -698,7 +701,7 @@
     def _on_claims_caught_up(
         self, now: float, effect: claim_messages.CaughtUp
     ) -> list[typing.Any]:
-        number = effect.epoch - repair.FIRST_CLAIMS_EPOCH
+        number = effect.epoch - voter_replacement.FIRST_CLAIMS_EPOCH
         return self.voter_replacement.note_caught_up(
             now, 'claims', number, self._entropy
         )
@@ -734,7 +737,7 @@
         self, now: float, effect: typing.Any
     ) -> list[typing.Any]:
         self._review_at = now
-        self.directory.forget_ranks()
+        self.directory.clear_rankings()
         if isinstance(effect, membership.MemberForgotten):
             self._membership_log.forget(effect.instance_id)
             return [effects.PeerForgotten(instance_id=effect.instance_id)]
@@ -783,10 +786,10 @@
             *self._membership_log.tick(now),
         ]
 
-    def _observe(self, now: float) -> effects.Observed:
+    def _observe(self, now: float) -> effects.GaugeValues:
         state = self.register
         age = None if state.confirmed_at is None else now - state.confirmed_at
-        return effects.Observed(
+        return effects.GaugeValues(
             revision=state.revision or 0,
             confirmed_age_s=age,
             members=len(self._instance_ids),
@@ -861,12 +864,14 @@
     )
 
 
-def _confirmation_fields(standing: standings.Standing) -> dict[str, str]:
+def _confirmation_fields(
+    status: status_module.ConfirmationStatus,
+) -> dict[str, str]:
     """Return the log fields on a configuration and its confirmation."""
-    age_s = standing.confirmed_age_s
+    age_s = status.confirmed_age_s
     return {
-        'revision': str(standing.revision),
-        'order': str(standing.order),
+        'revision': str(status.revision),
+        'order': str(status.order),
         'confirmed_age_s': 'never' if age_s is None else f'{age_s:.2f}',
     }
 
--- a/dandeliongw/server.py
+++ b/dandeliongw/server.py
@@ -14,7 +14,7 @@
 from . import __version__
 from . import adapter as adapter_module
 from . import caller_facades
-from . import desks
+from . import control_facades
 from . import events
 from . import exceptions
 from . import gc_control
@@ -24,18 +24,18 @@
 from . import journal as journal_module
 from . import logs
 from . import metrics as metrics_module
-from . import operations
+from . import operators_facade
 from . import peers as peers_module
 from . import reducer as reducer_module
 from . import runtime as runtime_module
 from . import settings as settings_module
 from . import wire
-from .borders import backends as backends_module
-from .borders import callers as callers_module
-from .borders import gateway
-from .borders import operators
-from .borders import watch as watch_module
-from .borders import web
+from .api import backends as backends_module
+from .api import callers as callers_module
+from .api import disconnects
+from .api import gateway
+from .api import http_ports
+from .api import operators
 
 #: Seconds between two checks whether the instance has failed, in the wait for
 #: the end of a shutdown.
@@ -111,17 +111,17 @@
     :raises DataFolderUnusable: when the data folder can't be used.
     :raises PortInUse: when a port is taken; names its field of the settings.
     """
-    web.quiet_cherrypy()
+    http_ports.disable_cherrypy_logs()
     codec = wire.make_codec()
     metrics = metrics_module.Metrics()
     shutdown_s = settings.timeouts.shutdown_s
     with contextlib.ExitStack() as stack:
         journal = _open_journal(stack, settings, codec)
         control_port = stack.enter_context(
-            web.bound(settings.control, 'control', shutdown_s)
+            http_ports.open_port(settings.control, 'control', shutdown_s)
         )
         callers_port = stack.enter_context(
-            web.bound(settings.callers, 'callers', shutdown_s)
+            http_ports.open_port(settings.callers, 'callers', shutdown_s)
         )
         incarnation = time.time_ns()
         reducer = reducer_module.Reducer(
@@ -140,7 +140,7 @@
             metrics=metrics,
             engine_for=backends.engine_at,
             journal=journal,
-            may_send=reducer.owner.ordering.may_send,
+            may_send=reducer.owner.order_dispatch.may_send,
         )
         stack.callback(runtime.stop)
         export_counts(metrics, reducer)
@@ -158,12 +158,12 @@
         # for a stopped runtime would delay the exit by its whole timeout.
         stack.callback(control_port.close)
         stack.callback(callers_port.close)
-        watch = stack.enter_context(_watching(runtime))
+        disconnect_watcher = stack.enter_context(_watching(runtime))
         applications = _Applications(
             settings=settings,
             reducer=reducer,
             runtime=runtime,
-            watch=watch,
+            disconnect_watcher=disconnect_watcher,
             metrics=metrics,
             adapter=adapter,
         )
@@ -171,7 +171,7 @@
         callers_port.serve(applications.callers(), applications.read_limits)
         for extra in applications.extra_ports():
             port = stack.enter_context(
-                web.bound(extra.listen, extra.name, shutdown_s)
+                http_ports.open_port(extra.listen, extra.name, shutdown_s)
             )
             port.serve(extra.application)
         joiner = None
@@ -280,7 +280,7 @@
     metrics: metrics_module.Metrics, reducer: reducer_module.Reducer
 ) -> None:
     """Export the counters of the reducer's parts as metrics."""
-    counts = reducer.owner.ordering.counts
+    counts = reducer.owner.order_dispatch.counts
     unlabelled = metrics_module.UNLABELLED
     metrics.lease_answers.set_callback(
         lambda: reducer.leases.outcomes_by_label
@@ -293,9 +293,11 @@
     metrics.retry_budget.set_callback(reducer.requests.retries_left_by_service)
     quarantine = reducer.quarantine
     metrics.backend_ends.set_callback(
-        lambda: {unlabelled: quarantine.ends_seen}
+        lambda: {unlabelled: quarantine.crashes_seen}
+    )
+    metrics.quarantined.set_callback(
+        lambda: {unlabelled: quarantine.quarantined_count}
     )
-    metrics.quarantined.set_callback(lambda: {unlabelled: quarantine.held})
     metrics.order_repeats.set_callback(lambda: {unlabelled: counts.repeats})
 
 
@@ -360,17 +362,17 @@
 @contextlib.contextmanager
 def _watching(
     runtime: runtime_module.Runtime,
-) -> abc.Iterator[watch_module.Watch]:
-    watch = watch_module.Watch(
-        on_gone=lambda request_id: runtime.post(
+) -> abc.Iterator[disconnects.DisconnectWatcher]:
+    disconnect_watcher = disconnects.DisconnectWatcher(
+        on_disconnect=lambda request_id: runtime.post(
             functools.partial(events.CallerGone, request_id=request_id)
         )
     )
-    watch.start()
+    disconnect_watcher.start()
     try:
-        yield watch
+        yield disconnect_watcher
     finally:
-        watch.stop()
+        disconnect_watcher.stop()
 
 
 @contextlib.contextmanager
@@ -405,14 +407,14 @@
         settings: settings_module.Settings,
         reducer: reducer_module.Reducer,
         runtime: runtime_module.Runtime,
-        watch: watch_module.Watch,
+        disconnect_watcher: disconnects.DisconnectWatcher,
         metrics: metrics_module.Metrics,
         adapter: adapter_module.Adapter | None,
     ) -> None:
         self._settings = settings
         self._reducer = reducer
         self._runtime = runtime
-        self._watch = watch
+        self._disconnect_watcher = disconnect_watcher
         self._metrics = metrics
         self._adapter = adapter
 
@@ -426,18 +428,18 @@
             'settings': self._settings,
             'reducer': self._reducer,
             'runtime': self._runtime,
-            'watch': self._watch,
+            'disconnect_watcher': self._disconnect_watcher,
         }
         if self._adapter is not None:
             return gateway.Gateway(
-                gate=caller_facades.PassThroughFacade(
+                facade=caller_facades.PassThroughFacade(
                     **parts, adapter=self._adapter
                 ),
-                dialect=self._adapter.dialect,
+                header_parser=self._adapter.header_parser,
                 metrics=self._metrics,
             )
         callers = callers_module.Callers(
-            gate=caller_facades.CallersFacade(**parts),
+            facade=caller_facades.CallersFacade(**parts),
             metrics=self._metrics,
             max_body_bytes=self._settings.limits.max_body_bytes,
         )
@@ -450,11 +452,11 @@
         """
         settings = self._settings
         parts = {'reducer': self._reducer, 'runtime': self._runtime}
-        desk = desks.BackendsDesk(**parts)
-        control = operations.OperatorsControl(settings=settings, **parts)
-        members = desks.MembersFacade(settings=settings, **parts)
+        presence_facade = control_facades.BackendsFacade(**parts)
+        control = operators_facade.OperatorsFacade(settings=settings, **parts)
+        members = control_facades.MembersFacade(settings=settings, **parts)
         backends = backends_module.Backends(
-            desk=desk,
+            presence_facade=presence_facade,
             key_sha256=settings.backend_key_sha256,
             lease_s=settings.timeouts.presence_s,
             renew_s=settings.timeouts.renew_s,
@@ -468,13 +470,15 @@
         )
         if self._adapter is None:
             return inner
-        return self._adapter.control(inner=inner, desk=desk, operators=control)
+        return self._adapter.control(
+            inner=inner, presence_facade=presence_facade, operators=control
+        )
 
     def extra_ports(self) -> abc.Sequence[adapter_module.ExtraPort]:
         """Return the additional ports of the platform adapter."""
         if self._adapter is None:
             return ()
-        state = desks.State(
+        state = control_facades.State(
             reducer=self._reducer,
             runtime=self._runtime,
             metrics=self._metrics,
--- a/tests/entry_fake.py
+++ b/tests/entry_fake.py
@@ -5,14 +5,14 @@
 
 from dandeliongw.cell import cells
 from dandeliongw.coordination import claim_messages as claims
+from dandeliongw.coordination import confirmation_status
 from dandeliongw.coordination import parts
 from dandeliongw.coordination import quarantine
-from dandeliongw.coordination import standing
 from dandeliongw import document
 from dandeliongw import effects
 from dandeliongw.entry import admission
 from dandeliongw.entry import fingerprints
-from dandeliongw.entry import holds
+from dandeliongw.entry import quarantine_check
 from dandeliongw.entry import requests
 from dandeliongw.entry import retries
 from dandeliongw import events
@@ -61,13 +61,13 @@
         self.confirmed = True
         self.owners = (OWNER, NEXT_OWNER)
         self.own_id = 'gw-0'
-        self.places_alone = False
+        self.places_without_owner = False
 
     def is_fresh(self, now):
         return self.fresh
 
-    def standing(self, now):
-        return standing.Standing(
+    def confirmation_status(self, now):
+        return confirmation_status.ConfirmationStatus(
             revision=1,
             order=1,
             confirmed_age_s=0.5 if self.confirmed else 9.0,
@@ -113,14 +113,14 @@
             directory=self.directory, max_requests=20, max_streams=10
         )
         self.quarantine = quarantine.Quarantine(instance_id='gw-0')
-        self.holds = holds.Holds(
+        self.quarantine_check = quarantine_check.QuarantineCheck(
             quarantine=self.quarantine,
             fingerprints=fingerprints.Fingerprints(secret=None),
         )
         self.requests = requests.Requests(
             directory=self.directory,
             gate=self.gate,
-            holds=self.holds,
+            quarantine_check=self.quarantine_check,
             budgets=make_budgets(1),
             **options,
         )
@@ -276,7 +276,7 @@
     def wastes(self):
         return [
             (each.reason, each.tokens)
-            for each in self.found(effects.CountWaste)
+            for each in self.found(effects.CountWastedTokens)
         ]
 
     # Requests at a given stage
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -9,11 +9,11 @@
 from nose2.tools import params
 import urllib3
 
-from dandeliongw.borders import backends
-from dandeliongw.borders import bodies
-from dandeliongw.borders import web
+from dandeliongw.api import backends
+from dandeliongw.api import bodies
+from dandeliongw.api import http_ports
+from dandeliongw import control_facades
 from dandeliongw.coordination import parts
-from dandeliongw import desks
 from dandeliongw import settings
 from tests import network
 
@@ -36,7 +36,7 @@
         self._net = net
         self._instance_id = instance_id
 
-    def ask(self, make_event):
+    def post_and_wait(self, make_event):
         event = make_event(now=self._net.now, ticket='ask')
         done = self._net.post(self._instance_id, event)
         (result,) = [
@@ -73,7 +73,7 @@
     """Serve the API in front of a real reducer; yields a client."""
     net = network.Network()
     made = backends.Backends(
-        desk=desks.BackendsDesk(
+        presence_facade=control_facades.BackendsFacade(
             reducer=net.reducers_by_id['gw-1'],
             runtime=VirtualRuntime(net=net, instance_id='gw-1'),
         ),
@@ -81,7 +81,7 @@
         **TERMS,
     )
     listen = settings.Listen(host='127.0.0.1', port=0, threads=4, queue=4)
-    with web.bound(listen, 'control', 1.0) as port:
+    with http_ports.open_port(listen, 'control', 1.0) as port:
         # Seconds between the server's checks whether it has been stopped.
         port._server.expiration_interval = 0.01
         port.serve(backends.make_application(made))
@@ -195,17 +195,17 @@
         be "not JSON", or a part of the body would be accepted.
         """
         body = json.dumps(ANNOUNCEMENT).encode()
-        body += b' ' * (bodies.MOST_BYTES + 1 - len(body))
+        body += b' ' * (bodies.MAX_BYTES + 1 - len(body))
         if way == 'chunked':
             body = [body[:100], body[100:]]
         status, answer = self.client.send('announce', body)
         self.assertEqual((413, 'too_large'), (status, answer['reason']))
-        self.assertIn(str(bodies.MOST_BYTES), answer['message'])
+        self.assertIn(str(bodies.MAX_BYTES), answer['message'])
         self.assertEqual(404, self.client.send_valid('renew')[0])
 
     def test_body_at_the_limit_is_accepted(self):
         body = json.dumps(ANNOUNCEMENT).encode()
-        body += b' ' * (bodies.MOST_BYTES - len(body))
+        body += b' ' * (bodies.MAX_BYTES - len(body))
         self.assertEqual((200, TERMS), self.client.send('announce', body))
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,9 +11,9 @@
 from loguru import logger
 from nose2.tools import params
 
-from dandeliongw.borders import control
-from dandeliongw.borders import drafts
-from dandeliongw.borders import sessions
+from dandeliongw.api import drafts
+from dandeliongw.api import operator_interface
+from dandeliongw.api import sessions
 from dandeliongw import differences
 from dandeliongw import document
 from tests import operators_fake
@@ -115,7 +115,7 @@
 class ConsoleTest(unittest.TestCase):
     def setUp(self):
         logger.remove()
-        self.api = self.enterContext(operators_fake.border())
+        self.api = self.enterContext(operators_fake.serving_api())
         self.browser = self.signed_in_browser('token-of-ana')
 
     def signed_in_browser(self, token: str) -> Browser:
@@ -198,7 +198,7 @@
 
     def test_lift_records_operator_and_reason(self):
         self.browser.get('quarantine')
-        self.assertIn(operators_fake.HELD_CALL, self.browser.text)
+        self.assertIn(operators_fake.QUARANTINED_CALL, self.browser.text)
         self.assertIn('for 540 s', self.browser.text)
         self.browser.send('lift', reason=' ')
         self.assertEqual(400, self.browser.status)
@@ -360,7 +360,7 @@
     def test_form_is_valid_after_a_restart_of_the_instance(self):
         self.put(self.browser, 'priorities', **URGENT)
         self.browser.get('draft')
-        restarted = self.enterContext(operators_fake.border())
+        restarted = self.enterContext(operators_fake.serving_api())
         self.browser._api = restarted
         self.browser.send('apply')
         current = restarted.control.current()
@@ -431,7 +431,7 @@
         result of the first one.
         """
         found = drafts.Drafts(make_nonce=lambda: 'ab')
-        current = control.Configuration(
+        current = operator_interface.Configuration(
             revision=3, document=b'{"version": 1}', author='ana'
         )
         found.edit('ana', current, 3, lambda tree: tree | {'pools': []})
--- a/tests/test_fallback.py
+++ b/tests/test_fallback.py
@@ -5,10 +5,10 @@
 import msgspec
 from nose2.tools import params
 
+from dandeliongw.cell import cell_types
 from dandeliongw.cell import cells
 from dandeliongw.cell import fallback
 from dandeliongw.cell import scheduler
-from dandeliongw.cell import vocabulary
 from dandeliongw.coordination import parts
 from dandeliongw import decisions
 from dandeliongw import effects
@@ -20,7 +20,7 @@
 OWN = 'gw-0'
 CELL = 'dieline-llm/tx-central/0'
 TERMS = msgspec.structs.replace(
-    test_scheduler.TERMS, kv_tokens_by_role={vocabulary.Role.DECODE: 80_000}
+    test_scheduler.TERMS, kv_tokens_by_role={cell_types.Role.DECODE: 80_000}
 )
 
 
@@ -29,7 +29,7 @@
 
     def setUp(self):
         self.entry = entry_fake.Entry()
-        self.entry.directory.places_alone = True
+        self.entry.directory.places_without_owner = True
 
     def books(self):
         """Return the recipient and the ``unowned`` flag of each ``Book``."""
@@ -38,7 +38,7 @@
     def silence(self):
         """Send a request and wait until its owner counts as silent."""
         request_id = self.entry.arrive('lookup')
-        self.entry.tick(reservations.OWNER_SILENT_S)
+        self.entry.tick(reservations.OWNER_TIMEOUT_S)
         return request_id
 
     def test_an_entry_does_not_wait_for_a_silent_owner(self):
@@ -142,10 +142,10 @@
         self.assertEqual(to, [entry_fake.NEXT_OWNER, OWN])
 
     def test_without_the_setting_the_next_owner_is_asked(self):
-        self.entry.directory.places_alone = False
+        self.entry.directory.places_without_owner = False
         self.entry.arrive('lookup')
         for _ in range(2):
-            self.entry.tick(reservations.OWNER_ANSWER_S)
+            self.entry.tick(reservations.OWNER_RETRY_S)
         self.assertEqual(self.books(), [(entry_fake.NEXT_OWNER, False)])
 
 
@@ -195,7 +195,7 @@
         shared = self.fallback_cells.cells_by_id[
             CELL
         ].view.terms.kv_tokens_by_role
-        self.assertEqual(shared, {vocabulary.Role.DECODE: 80_000 // entries})
+        self.assertEqual(shared, {cell_types.Role.DECODE: 80_000 // entries})
 
     def test_a_release_frees_the_slot(self):
         self.book('r1')
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from dandeliongw.borders import backends
-from dandeliongw.borders import calls
+from dandeliongw.api import backends
+from dandeliongw.api import calls
 from dandeliongw import codec
+from dandeliongw import control_facades
 from dandeliongw.coordination import parts
 from dandeliongw.coordination import presence
-from dandeliongw import desks
 from dandeliongw import document
 from dandeliongw import engine
 from dandeliongw import exceptions
@@ -117,7 +117,7 @@
 
 def announce(body: bytes) -> None:
     """Process a heartbeat up to the message for the other instances."""
-    parsed = control.announcement('i-2', models.parse(wire.Beat, body))
+    parsed = control.announcement('i-2', models.parse(wire.Heartbeat, body))
     pass_on(parsed)
 
 
@@ -144,8 +144,8 @@
 
 CODEC = instance_wire.make_codec()
 PARSERS_AND_EXAMPLES = (
-    (announce, on_platform.BEAT),
-    (announce, {**on_platform.BEAT, 'born': 1_790_000_000_000}),
+    (announce, on_platform.HEARTBEAT),
+    (announce, {**on_platform.HEARTBEAT, 'born': 1_790_000_000_000}),
     (announce_to_own_interface, OWN_ANNOUNCEMENT),
     (lambda body: models.parse(wire.Start, body), {'born': 1}),
     (configure, on_platform.CONFIGURATION),
@@ -210,8 +210,8 @@
         )
         def check(given):
             try:
-                headers.Dialect().read_call(tuple(given.items()))
-            except calls.BadCall as error:
+                headers.HeaderParser().read_call(tuple(given.items()))
+            except calls.InvalidCall as error:
                 self.assertTrue(str(error))
 
         check()
@@ -246,12 +246,14 @@
     )
     def test_a_malformed_heartbeat_is_refused_entirely(self, change):
         ((name, value),) = change.items()
-        beat = {**on_platform.BEAT, 'sequence': 9}
-        body = json.dumps({**beat, name: value}).encode()
+        heartbeat = {**on_platform.HEARTBEAT, 'sequence': 9}
+        body = json.dumps({**heartbeat, name: value}).encode()
         part = presence.Presence(instance_id='gw-1')
         part.handle(
             parts.Received(
-                now=0.0, sender='gw-2', message=presented(on_platform.BEAT)
+                now=0.0,
+                sender='gw-2',
+                message=presented(on_platform.HEARTBEAT),
             )
         )
         before = part.usable('model-a', 0.0)
@@ -277,21 +279,21 @@
         directory = types.SimpleNamespace(
             data_centres=('hall-a',), document=described
         )
-        desk = desks.BackendsDesk(
+        presence_facade = control_facades.BackendsFacade(
             reducer=types.SimpleNamespace(directory=directory), runtime=None
         )
-        beat = on_platform.changed(on_platform.BEAT, ['stage'], None)
+        heartbeat = on_platform.changed(on_platform.HEARTBEAT, ['stage'], None)
         parsed = control.announcement(
-            'i-1', models.parse(wire.Beat, json.dumps(beat).encode())
+            'i-1', models.parse(wire.Heartbeat, json.dumps(heartbeat).encode())
         )
         with self.assertRaises(exceptions.InvalidInput) as caught:
-            desk.announce(parsed)
+            presence_facade.announce(parsed)
         self.assertIn('decode, prefill', str(caught.exception.problems[0]))
 
 
-def presented(beat: dict[str, typing.Any]) -> presence.Presented:
+def presented(heartbeat: dict[str, typing.Any]) -> presence.Presented:
     parsed = control.announcement(
-        'i-1', models.parse(wire.Beat, json.dumps(beat).encode())
+        'i-1', models.parse(wire.Heartbeat, json.dumps(heartbeat).encode())
     )
     fields = {**parsed.model_dump(), 'role': presence.BackendRole(parsed.role)}
     return presence.Presented(
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -11,11 +11,11 @@
 from nose2.tools import params
 
 from dandeliongw import codec
-from dandeliongw.coordination import grantor
 from dandeliongw.coordination import lease
+from dandeliongw.coordination import lease_grantor
 from dandeliongw.coordination import lease_messages as messages
+from dandeliongw.coordination import lease_quorum
 from dandeliongw.coordination import parts
-from dandeliongw.coordination import quorum
 from dandeliongw.protocol import lease_pb2
 from tests import lease_network
 
@@ -248,11 +248,15 @@
         part = self.network.nodes_by_id['b'].part
         begun = self.network.clock('b')
         wait_s = LEASE_S + MARGIN_S + 5.0
-        self.assertIsNone(part.may_order(CELL, begun + 0.1, 5.0))
+        self.assertIsNone(
+            part.epoch_for_unfenced_order(CELL, begun + 0.1, 5.0)
+        )
         self.network.run(wait_s)
         now = self.network.clock('b')
-        self.assertGreater(part.may_order(CELL, now, 5.0), epoch)
-        self.assertIsNone(part.may_order(CELL, now, 6.0))
+        self.assertGreater(
+            part.epoch_for_unfenced_order(CELL, now, 5.0), epoch
+        )
+        self.assertIsNone(part.epoch_for_unfenced_order(CELL, now, 6.0))
 
     def test_the_grantors_are_replaced_under_a_held_lease(self):
         """v3 is replaced by v4; an older update of the set arrives late.
@@ -307,7 +311,7 @@
 
 def make_grantor(*records):
     """Return a grantor that is restored from records at time 0."""
-    part = grantor.Grantor(
+    part = lease_grantor.Grantor(
         instance_id='v1', duration_s=LEASE_S, margin_s=MARGIN_S
     )
     for each in (*records, messages.LeaseReady(version=0)):
@@ -504,7 +508,9 @@
     def test_a_change_needs_a_majority_of_both_sets(
         self, grantors, joining, agreeing, is_enough
     ):
-        both = quorum.Quorum(grantors=tuple(grantors), joining=tuple(joining))
+        both = lease_quorum.Quorum(
+            grantors=tuple(grantors), joining=tuple(joining)
+        )
         value = both.majority_value(dict.fromkeys(agreeing, 1.0))
         self.assertEqual(is_enough, value == 1.0)
 
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -26,10 +26,10 @@
     def run_ending(self, code):
         """Return the error of a system whose instances exit with a code."""
         command = (sys.executable, '-c', ENDING.format(code))
-        running = local.running(
+        running = local.run_system(
             folder=self.folder, instances=1, command=command
         )
-        with self.assertRaises(local.InstanceEnded) as raised:
+        with self.assertRaises(local.InstanceExited) as raised:
             self.enterContext(running)
         return raised.exception
 
@@ -55,19 +55,19 @@
         time-out.
         """
         system = local.LocalSystem(folder=self.folder, instances=3)
-        self.addCleanup(system.discard)
+        self.addCleanup(system.kill_and_delete)
         system.start_instance('gw-1')
         system.instances_by_id['gw-3'].process = subprocess.Popen(
             [sys.executable, '-c', 'raise SystemExit(4)']
         )
         system.instances_by_id['gw-3'].log_file.touch()
-        with self.assertRaises(local.InstanceEnded) as raised:
+        with self.assertRaises(local.InstanceExited) as raised:
             system.wait_serving()
         self.assertEqual(4, raised.exception.code)
 
     def test_lost_ports_are_retried_a_few_times_only(self):
         self.assertEqual(6, self.run_ending(6).code)
-        self.assertEqual(local.MOST_STARTS, self.starts())
+        self.assertEqual(local.MAX_START_ATTEMPTS, self.starts())
 
     def test_a_lost_port_is_replaced_by_new_ones(self):
         """A free port can't be reserved for a process that starts later.
@@ -80,7 +80,7 @@
         ports = [[lost, *local.free_ports(2)], local.free_ports(3)]
         with mock.patch.object(local, 'free_ports', side_effect=ports):
             system = self.enterContext(
-                local.running(
+                local.run_system(
                     folder=self.folder, instances=1, timeouts=TIMEOUTS
                 )
             )
@@ -89,7 +89,9 @@
 
     def test_an_instance_killed_on_purpose_is_not_waited_for(self):
         system = self.enterContext(
-            local.running(folder=self.folder, instances=1, timeouts=TIMEOUTS)
+            local.run_system(
+                folder=self.folder, instances=1, timeouts=TIMEOUTS
+            )
         )
         system.kill(system.instances_by_id['gw-1'].process)
         system.wait_serving()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -85,10 +85,12 @@
         self.assertNotIn('pool="a"', self.metrics.render().decode())
 
     def test_stages_of_a_request_are_labelled(self):
-        took = effects.Took(
-            part=effects.Part.QUEUE, service='dieline-llm', seconds=0.3
+        took = effects.PhaseDuration(
+            phase=effects.RequestPhase.QUEUE,
+            service='dieline-llm',
+            seconds=0.3,
         )
-        self.metrics.observe_part(took)
+        self.metrics.observe_phase(took)
         value = self.metrics.value
         labels = {'service': 'dieline-llm', 'part': 'queue'}
         self.assertEqual(1, value('part_seconds_count', **labels))
@@ -151,7 +153,7 @@
     def test_orders_that_are_held_back(self):
         reducer = network.Network().reducers_by_id['gw-1']
         server.export_counts(self.metrics, reducer)
-        counts = reducer.owner.ordering.counts
+        counts = reducer.owner.order_dispatch.counts
         counts.holds_by_reason[orders.HoldReason.STORE_BUDGET] += 1
         counts.repeats += 4
         name = 'orders_held_back_total'
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -65,15 +65,19 @@
         began_at = entry.now
         entry.now += 4.0
         entry.decode(request_id, first_piece_at=began_at + 0.125)
-        took = [each for each in entry.all if isinstance(each, effects.Took)]
+        took = [
+            each
+            for each in entry.all
+            if isinstance(each, effects.PhaseDuration)
+        ]
         self.assertEqual(
-            {each.part: each.seconds for each in took},
+            {each.phase: each.seconds for each in took},
             {
-                effects.Part.BOOKING: 0.25,
-                effects.Part.QUEUE: 0.5,
-                effects.Part.PREFILL: 1.0,
-                effects.Part.TRANSFER: 0.125,
-                effects.Part.DECODE: 3.875,
+                effects.RequestPhase.BOOKING: 0.25,
+                effects.RequestPhase.QUEUE: 0.5,
+                effects.RequestPhase.PREFILL: 1.0,
+                effects.RequestPhase.TRANSFER: 0.125,
+                effects.RequestPhase.DECODE: 3.875,
             },
         )
         self.assertEqual({'dieline-llm'}, {each.service for each in took})
@@ -90,8 +94,10 @@
             retry_after_s=1.0,
         )
         entry.receive(declined)
-        took = entry.one(effects.Took)
-        self.assertEqual((effects.Part.QUEUE, 2.0), (took.part, took.seconds))
+        took = entry.one(effects.PhaseDuration)
+        self.assertEqual(
+            (effects.RequestPhase.QUEUE, 2.0), (took.phase, took.seconds)
+        )
 
     def test_the_times_of_a_forwarded_stream_are_measured(self):
         """Guards against forwarded streams without a first-token time.
@@ -103,7 +109,7 @@
         request_id = entry.decoding()
         request = entry.requests.requests_by_id[request_id]
         request.admitted = msgspec.structs.replace(
-            request.admitted, is_passed_on=True
+            request.admitted, is_pass_through=True
         )
         entry.decode(
             request_id,
@@ -111,7 +117,7 @@
             first_token_at=request.arrived_at + 0.75,
             token_gap_s=0.125,
         )
-        stream = entry.one(effects.PassedStream)
+        stream = entry.one(effects.PassThroughStream)
         self.assertEqual(
             (0.75, 0.125), (stream.first_token_s, stream.token_gap_s)
         )
@@ -141,7 +147,9 @@
         entry.book(request_id)
         entry.prefill(request_id, attempt_id=old)
         self.assertEqual(entry.found(effects.RunDecode), [])
-        self.assertEqual(entry.one(effects.CountLate).what, effects.Late.STEP)
+        self.assertEqual(
+            entry.one(effects.CountLate).what, effects.LateKind.STEP
+        )
 
     def test_swapped_bookings_reach_their_own_requests(self):
         """Guards against two requests that get each other's slots.
@@ -175,7 +183,7 @@
         request_id = entry.arrive('completion')
         late = entry.booked(request_id)
         for _ in range(2):
-            entry.tick(reservations.OWNER_ANSWER_S)
+            entry.tick(reservations.OWNER_RETRY_S)
         ((to, _),) = entry.sent(cells.Book)
         self.assertEqual(to, NEXT_OWNER)
         entry.book(request_id, NEXT_OWNER, decode_id='d2')
@@ -397,7 +405,7 @@
         If the service's timeout exceeds the retention of claims, the claims
         part raises an exception, and the reducer drops the event.
         """
-        entry = Entry(most_claimed_s=2.0)
+        entry = Entry(max_claimed_s=2.0)
         entry.arrive('booking', 'k')
         (begin,) = entry.dispatched(claims.Begin)
         self.assertEqual(begin.deadline_s, 2.0)
@@ -658,7 +666,7 @@
         entry = Entry()
         request_id = entry.arrive('completion')
         _queue(entry, request_id)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         ((_, book),) = entry.sent(cells.Book)
         self.assertEqual(
             book.attempt_id, entry.ids_of(request_id)['attempt_id']
@@ -688,7 +696,7 @@
         queued = entry.arrive('completion')
         _queue(entry, queued)
         entry.directory.owners = (NEXT_OWNER, OWNER)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         ((to, reclaim),) = entry.sent(cells.Reclaim)
         self.assertEqual(to, NEXT_OWNER)
         reclaimed = {each.request_id: each for each in reclaim.bookings}
@@ -699,7 +707,7 @@
         )
         ((_, progress),) = entry.sent(cells.Progress)
         self.assertEqual(len(progress.bookings), 3)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         self.assertEqual(entry.sent(cells.Reclaim), [])
 
     def test_a_new_owner_gets_all_bookings_and_queued_requests(self):
@@ -749,7 +757,7 @@
         old = entry.ids_of(request_id)['attempt_id']
         if whose == 'next owner':
             entry.directory.owners = (NEXT_OWNER,)
-            entry.tick(cells.PROGRESS_EVERY_S)
+            entry.tick(cells.PROGRESS_INTERVAL_S)
             entry.now += cells.BOOKING_LEASE_S + 1
             entry.cancelled(request_id, epoch=2, sender=NEXT_OWNER)
         else:
@@ -786,7 +794,7 @@
         entry = Entry()
         request_id = entry.decoding()
         entry.directory.owners = (NEXT_OWNER,)
-        entry.tick(cells.PROGRESS_EVERY_S)
+        entry.tick(cells.PROGRESS_INTERVAL_S)
         entry.cancelled(request_id, epoch=1, sender=OWNER)
         self.assertEqual(entry.out, [])
 
@@ -807,7 +815,9 @@
         entry.close(request_id)
         entry.receive(late)
         self.assertEqual(len(entry.sent(cells.Release)), 1)
-        self.assertEqual(entry.one(effects.CountLate).what, effects.Late.OWNER)
+        self.assertEqual(
+            entry.one(effects.CountLate).what, effects.LateKind.OWNER
+        )
 
 
 class UnknownRequests(unittest.TestCase):
--- a/tools/capacity_memory.py
+++ b/tools/capacity_memory.py
@@ -7,7 +7,7 @@
 import typing
 
 from dandeliongw.cell import backend_state
-from dandeliongw.cell import vocabulary
+from dandeliongw.cell import cell_types
 from dandeliongw.coordination import claim_messages
 from dandeliongw.coordination import claims
 from dandeliongw.coordination import presence
@@ -113,15 +113,15 @@
 
 def _blocks(count: int) -> tuple[typing.Any, float]:
     state = backend_state.BackendState(
-        backend=vocabulary.CellBackend(
+        backend=cell_types.CellBackend(
             backend_id='engine-1',
             incarnation=1,
-            role=vocabulary.Role.PREFILL,
+            role=cell_types.Role.PREFILL,
             url='http://10.9.9.9:9000',
             slots=4,
         )
     )
-    block_count = min(count, backend_state.MOST_BLOCKS)
+    block_count = min(count, backend_state.MAX_BLOCKS)
     state.add_blocks([f'{block:016x}' for block in range(block_count)])
     return state, 1
 
--- a/tools/local.py
+++ b/tools/local.py
@@ -27,15 +27,15 @@
 ACCOUNT_KEY = 'demo-account-key'
 #: Default timeout of waits, in seconds. It is long enough for slow machines
 #: and isn't spent if the condition is met earlier.
-PATIENCE_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 POLL_S = 0.05
 #: Until a process that was sent SIGTERM is killed.
 STOP_S = 40.0
 #: How many instances are listed as seeds in the settings of all of them.
 SEEDS = 3
 #: Attempts to start a system when a port was taken by another process.
-MOST_STARTS = 5
-#: Lines of an instance's log that :class:`InstanceEnded` shows.
+MAX_START_ATTEMPTS = 5
+#: Lines of an instance's log that :class:`InstanceExited` shows.
 LOG_TAIL_LINES = 10
 
 
@@ -56,7 +56,7 @@
         return [probe.getsockname()[1] for probe in probes]
 
 
-class InstanceEnded(Exception):
+class InstanceExited(Exception):
     """An instance's process exited without being stopped by this module.
 
     :param code: its exit code; the negated number of the signal that
@@ -81,10 +81,10 @@
 ) -> typing.Any:
     """Poll ``check`` until its result is true, and return the result.
 
-    :param timeout_s: how long to poll; :data:`PATIENCE_S` if zero.
+    :param timeout_s: how long to poll; :data:`WAIT_TIMEOUT_S` if zero.
     :raises TimeoutError: naming ``what``.
     """
-    ends_at = time.monotonic() + (timeout_s or PATIENCE_S)
+    ends_at = time.monotonic() + (timeout_s or WAIT_TIMEOUT_S)
     while True:
         result = check()
         if result:
@@ -258,7 +258,7 @@
         process.kill()
         process.wait()
 
-    def discard(self) -> None:
+    def kill_and_delete(self) -> None:
         """Kill all instances and delete their data folders."""
         for instance_id, instance in self.instances_by_id.items():
             if instance.process is not None:
@@ -291,7 +291,7 @@
 
     # Calls
 
-    def operator(
+    def call_as_operator(
         self, instance_id: str, method: str, path: str, body: typing.Any = None
     ) -> tuple[int, typing.Any]:
         """Send a request to the operators' API of an instance.
@@ -306,7 +306,7 @@
             {'Authorization': f'Bearer {OPERATOR_TOKEN}'},
         )
 
-    def caller(
+    def call_as_account(
         self,
         instance_id: str,
         method: str,
@@ -359,7 +359,7 @@
     def wait_serving(self, revision: int = 0) -> None:
         """Wait until every instance that wasn't killed serves a revision.
 
-        :raises InstanceEnded: as soon as the process of one has exited.
+        :raises InstanceExited: as soon as the process of one has exited.
         :raises TimeoutError: when one doesn't serve it in time.
         """
         for instance in self._expected_instances():
@@ -386,18 +386,20 @@
         for instance in self._expected_instances():
             code = instance.process.poll()
             if code is not None:
-                raise InstanceEnded(
+                raise InstanceExited(
                     instance_id=instance.instance_id,
                     code=code,
                     log_file=instance.log_file,
                 )
-        status, answer = self.operator(instance_id, 'GET', '/v1/document')
+        status, answer = self.call_as_operator(
+            instance_id, 'GET', '/v1/document'
+        )
         return status == 200 and answer['revision'] >= revision
 
     def apply(self, instance_id: str, document: dict, change_id: str) -> int:
         """Replace the current document; return the new revision."""
-        _, current = self.operator(instance_id, 'GET', '/v1/document')
-        status, answer = self.operator(
+        _, current = self.call_as_operator(instance_id, 'GET', '/v1/document')
+        status, answer = self.call_as_operator(
             instance_id,
             'PUT',
             '/v1/document',
@@ -424,7 +426,9 @@
     def _count_present(self) -> int:
         present_ids: set[str] = set()
         for instance_id in self.instances_by_id:
-            status, answer = self.operator(instance_id, 'GET', '/v1/backends')
+            status, answer = self.call_as_operator(
+                instance_id, 'GET', '/v1/backends'
+            )
             if status == 200:
                 present_ids.update(
                     each['backend_id']
@@ -435,23 +439,23 @@
 
 
 @contextlib.contextmanager
-def running(**options: typing.Any) -> abc.Iterator[LocalSystem]:
+def run_system(**options: typing.Any) -> abc.Iterator[LocalSystem]:
     """Start all instances; stop every process at the end of the block.
 
     Another process may take a port between its choice and the instance's
     start. All instances are then started again on other ports.
 
     :param options: those of :class:`LocalSystem`.
-    :raises InstanceEnded: when an instance exits for another reason, or
-        when ports were taken in ``MOST_STARTS`` attempts.
+    :raises InstanceExited: when an instance exits for another reason, or
+        when ports were taken in ``MAX_START_ATTEMPTS`` attempts.
     """
-    for attempts_left in reversed(range(MOST_STARTS)):
+    for attempts_left in reversed(range(MAX_START_ATTEMPTS)):
         system = LocalSystem(**options)
         try:
             _start_all(system)
-        except InstanceEnded as error:
+        except InstanceExited as error:
             is_port_taken = error.code == exceptions.ExitCode.PORT_IN_USE
-            system.discard()
+            system.kill_and_delete()
             if not is_port_taken or not attempts_left:
                 raise
         except BaseException:
